--- a/src/galenastall/bench/cell_load/surroundings.py
+++ b/src/galenastall/bench/cell_load/surroundings.py
@@ -10,7 +10,7 @@
 from galenastall.bench.cell_load.arrivals import SERVICE, Arrival
 from galenastall.bench.cell_load.workload import Workload
 from galenastall.coordination.cell.advice import Approval
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.node.cell.advice_proxy import AdviceProxy
 from galenastall.protocol.cell.executor_port import ListingAnswer, OrderAnswer, StartVerdict
@@ -275,7 +275,7 @@
         return Success(OrderAnswer(verdict=verdict, clock_ms=int(executor.clock_ms())))
 
     async def pace(
-        self, *, address: str, order: PaceOrder, token: int, timeout_s: float
+        self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Confirm a pace; the lab's workloads have no fillers."""
         await trio.sleep(ORDER_S)
--- a/src/galenastall/coordination/cell/advice.py
+++ b/src/galenastall/coordination/cell/advice.py
@@ -9,11 +9,11 @@
 
 TICKET_MARGIN_S: Final = 0.25
 """A ticket is used only while it is good for longer: an append and a start come first."""
-ASK_PATIENCE_S: Final = 2.5
+REPEAT_UNANSWERED_AFTER_S: Final = 2.5
 """How long an unanswered call for advice keeps another one for its step from being made."""
-MOST_REPEATED: Final = 2
+MAX_UNANSWERED_CALLS: Final = 2
 """Calls of one step without an answer beyond which it makes none again."""
-ASK_AGAIN_S: Final = 0.15
+RETRY_PAUSE_S: Final = 0.15
 """Pause after a call that failed."""
 
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class OpenCall:
+class PendingCall:
     """A call under way."""
 
     executor_ids: frozenset[str]
@@ -44,7 +44,7 @@
     tickets_by_executor: dict[str, str] = field(default_factory=dict)
     good_until_by_executor: dict[str, float] = field(default_factory=dict)
     """Leader's time at which each ticket expires."""
-    open_calls: list[OpenCall] = field(default_factory=list)
+    pending_calls: list[PendingCall] = field(default_factory=list)
     """Calls under way; one made again about the same executors is there twice."""
     not_before: float = 0.0
 
@@ -59,23 +59,23 @@
         until = now + TICKET_MARGIN_S
         return [i for i, good_until in self.good_until_by_executor.items() if good_until >= until]
 
-    def is_asking(self, now: float) -> bool:
+    def is_request_pending(self, now: float) -> bool:
         """Whether a call is under way, or one has just failed."""
-        if now < self.not_before or len(self.open_calls) >= MOST_REPEATED:
+        if now < self.not_before or len(self.pending_calls) >= MAX_UNANSWERED_CALLS:
             return True
-        return any(now - call.asked_at < ASK_PATIENCE_S for call in self.open_calls)
+        return any(now - call.asked_at < REPEAT_UNANSWERED_AFTER_S for call in self.pending_calls)
 
     def has_ticket_soon(self, executor_id: str, now: float) -> bool:
         """Whether an executor has a good ticket, or a call under way names it."""
         if self.ticket(executor_id, now) is not None:
             return True
-        return any(executor_id in call.executor_ids for call in self.open_calls)
+        return any(executor_id in call.executor_ids for call in self.pending_calls)
 
     def end_call(self, executor_ids: frozenset[str]) -> bool:
         """Take the oldest call about these executors off; False if there is none."""
-        for call in self.open_calls:
+        for call in self.pending_calls:
             if call.executor_ids == executor_ids:
-                self.open_calls.remove(call)
+                self.pending_calls.remove(call)
                 return True
         return False
 
@@ -91,7 +91,7 @@
         return (self.approved + 1.0) / (self.answered + 2.0)
 
 
-class AdviceBook:
+class AdviceTable:
     """Advice by step; forgotten with the step's last start."""
 
     def __init__(self) -> None:
@@ -118,8 +118,8 @@
 
     def begin(self, step: StepKey, executor_ids: Sequence[str], now: float) -> None:
         """Note that a call is under way."""
-        call = OpenCall(executor_ids=frozenset(executor_ids), asked_at=now)
-        self.of(step).open_calls.append(call)
+        call = PendingCall(executor_ids=frozenset(executor_ids), asked_at=now)
+        self.of(step).pending_calls.append(call)
         self._calls_under_way += 1
 
     def answer(
@@ -179,7 +179,7 @@
         """Note that a call has failed."""
         advice = self._end_call(step, executor_ids)
         if advice is not None:
-            advice.not_before = now + ASK_AGAIN_S
+            advice.not_before = now + RETRY_PAUSE_S
 
     def _end_call(self, step: StepKey, executor_ids: Sequence[str]) -> StepAdvice | None:
         """Take a call off and return its step's entry; None once its job was forgotten."""
@@ -199,4 +199,4 @@
         """Forget all steps of a job."""
         for step in [step for step in self._advice_by_step if step.job == job_id]:
             advice = self._advice_by_step.pop(step)
-            self._calls_under_way -= len(advice.open_calls)
+            self._calls_under_way -= len(advice.pending_calls)
--- a/src/galenastall/coordination/cell/approved_room.py
+++ b/src/galenastall/coordination/cell/approved_capacity.py
@@ -6,13 +6,13 @@
 from galenastall.coordination.cell.advice import StepAdvice
 from galenastall.coordination.cell.executors import Closed, Executor
 from galenastall.coordination.cell.fitting import may_host
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.state.cell.jobs import Step
 from galenastall.state.resources import Resources
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ApprovedRoom:
+class ApprovedCapacity:
     """Executors that may run a step, and how many of its tasks they hold."""
 
     executors: int
@@ -27,15 +27,15 @@
     """On all of them if they were empty."""
 
 
-def room_of(
+def capacity_for(
     step: Step,
     service: str,
     advice: StepAdvice | None,
     *,
     executors_by_id: Mapping[str, Executor],
     closed_by_id: Mapping[str, Closed],
-    plan: RoomPlan,
-) -> ApprovedRoom:
+    plan: ReservationPlan,
+) -> ApprovedCapacity:
     """Return the room for a step; without an advisor all executors of its service may run it."""
     executors = opened = free = kept = empty_open = empty = 0
     for executor in _candidates(advice, executors_by_id):
@@ -50,7 +50,7 @@
         empty_open += held
         free += _places(step, executor.free)
         kept += _places(step, plan.kept_on(executor))
-    return ApprovedRoom(
+    return ApprovedCapacity(
         executors=executors,
         open=opened,
         places_free=free,
--- a/src/galenastall/coordination/cell/batches.py
+++ b/src/galenastall/coordination/cell/batches.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from galenastall.coordination.cell.advice import AdviceBook
+from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import Batch, StartOrder
 from galenastall.coordination.cell.host_care import HostCare
@@ -23,7 +23,7 @@
     """Collects changes for one append, and acts on it once it is durable."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, hosts: HostCare
+        self, *, state: CellState, ends: RunEnds, advice: AdviceTable, hosts: HostCare
     ) -> None:
         """Work on these tables; `hosts` adds its rows and orders."""
         self._state = state
--- a/src/galenastall/coordination/cell/cell_state.py
+++ b/src/galenastall/coordination/cell/cell_state.py
@@ -3,11 +3,17 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from galenastall.coordination.cell.commands import AskAdvice, Note, PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import (
+    AdviceRequest,
+    Note,
+    StartOrder,
+    StopOrder,
+    ThrottleOrder,
+)
 from galenastall.coordination.cell.executor_table import ExecutorTable
 from galenastall.coordination.cell.executors import Closed, Executor
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
-from galenastall.coordination.cell.mechanisms import ALL_ON, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms
 from galenastall.coordination.cell.stop_rules import StopRule
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.coordination.cell.timings import CellTimings
@@ -20,7 +26,7 @@
     """Shared by the parts of the core; holds no rule of its own beyond consistency."""
 
     def __init__(
-        self, *, timings: CellTimings, fenced_at: float, without: Without = ALL_ON
+        self, *, timings: CellTimings, fenced_at: float, without: DisabledMechanisms = ALL_ON
     ) -> None:
         """Create empty tables of a leader whose fence stands since `fenced_at`."""
         self.timings = timings
@@ -46,10 +52,10 @@
         self.stops: list[StopOrder] = []
         self.stopped_by_rule: Counter[StopRule] = Counter()
         """Runs that this leader has stopped; a gang's run counts once."""
-        self.paces: list[PaceOrder] = []
-        self.asks: list[AskAdvice] = []
+        self.throttle_orders: list[ThrottleOrder] = []
+        self.asks: list[AdviceRequest] = []
         self.notes: list[Note] = []
-        self.looked_for: set[str] = set()
+        self.wanted_listings: set[str] = set()
         """Executors whose listing is needed now, without waiting for an end."""
         self.suspect_members: set[TaskKey] = set()
         """Members of gangs whose next runs are watched from their start."""
@@ -93,10 +99,10 @@
             now=self.now, reach_s=timings.reach_s, delisted_grace_s=timings.delisted_grace_s
         )
 
-    def want_look(self, executor: Executor) -> None:
+    def request_listing(self, executor: Executor) -> None:
         """Have an executor asked for a listing now."""
         executor.wants_look = True
-        self.looked_for.add(executor.executor_id)
+        self.wanted_listings.add(executor.executor_id)
 
     def keep_polled(self, executor: Executor, *, until: float) -> None:
         """Have an executor polled without a pause until then, though it runs nothing."""
@@ -118,7 +124,7 @@
         found = self.executors.on_host(host)
         return max(found, key=lambda e: (e.answered_seq, e.executor_id), default=None)
 
-    def find_ordered(self, order: StartOrder | StopOrder | PaceOrder) -> TaskRun | None:
+    def find_ordered(self, order: StartOrder | StopOrder | ThrottleOrder) -> TaskRun | None:
         """Return the task of an order, or None if the order's run is not its run any more.
 
         The executor counts too: a job that was withdrawn and handed in again begins at run 1.
--- a/src/galenastall/coordination/cell/commands.py
+++ b/src/galenastall/coordination/cell/commands.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PaceOrder:
+class ThrottleOrder:
     """Let a run work at a share of its speed."""
 
     task: TaskKey
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskAdvice:
+class AdviceRequest:
     """Ask the advisor which of these executors may run a step."""
 
     step: StepKey
--- a/src/galenastall/coordination/cell/election.py
+++ b/src/galenastall/coordination/cell/election.py
@@ -90,7 +90,7 @@
         """Whether the leader's beats go on."""
         if self._beat is None:
             return False
-        return now - self._beat.heard_at <= self._timings.beat_silence_s
+        return now - self._beat.heard_at <= self._timings.heartbeat_timeout_s
 
     def is_confirmed(self, now: float, longest_s: float) -> bool:
         """Whether the leader is heard and the store has confirmed it within `longest_s`."""
@@ -104,7 +104,7 @@
             return False
         self._token = beat.token
         self._beat = beat
-        if beat.confirm_age_s < self._timings.confirm_doubt_s:
+        if beat.confirm_age_s < self._timings.confirm_suspect_s:
             self._tip = None
         return True
 
@@ -131,7 +131,7 @@
         What stood between looks that failed is not known: a leader takes a moment to be confirmed
         again after an outage, and claims at its end cost it 0.7 s and all its tickets.
         """
-        if now - self._seen_at > LOOKS_IN_A_ROW * self._timings.tip_every_s:
+        if now - self._seen_at > LOOKS_IN_A_ROW * self._timings.log_end_poll_s:
             self._tip = None
         self._seen_at = now
         self._claimed_weight = claimed_weight
@@ -157,10 +157,10 @@
         if self._tip is not None and self._is_silent(now):
             still_s = now - self._tip_moved_at
             is_still = still_s >= self._still_for_s
-            is_fresh = now - self._looked_at <= LOOKS_IN_A_ROW * self._timings.tip_every_s
+            is_fresh = now - self._looked_at <= LOOKS_IN_A_ROW * self._timings.log_end_poll_s
             if is_still and is_fresh and now >= self._not_before:
                 return Move.CLAIM
-        if now - self._looked_at >= self._timings.tip_every_s:
+        if now - self._looked_at >= self._timings.log_end_poll_s:
             self._looked_at = now
             return Move.LOOK
         return Move.WAIT
@@ -170,21 +170,23 @@
         """How long the state's end must stand still before this host claims."""
         timings = self._timings
         # A host that has heard nobody yet can't tell silence: it would come before all others.
-        silence_s = timings.tip_silence_s if self._beat is not None else timings.beat_silence_s
+        silence_s = (
+            timings.log_end_stalled_s if self._beat is not None else timings.heartbeat_timeout_s
+        )
         heaviest = self._beat.heaviest if self._beat is not None else self._claimed_weight
-        light_s = timings.light_delay_s if is_light(self._weight, heaviest) else 0.0
+        light_s = timings.light_host_delay_s if is_light(self._weight, heaviest) else 0.0
         return silence_s + self._jitter_s + light_s
 
     def _is_doubtful(self, now: float) -> bool:
         timings = self._timings
         if self._beat is None:
             return True
-        if now - self._beat.heard_at > timings.beat_doubt_s:
+        if now - self._beat.heard_at > timings.heartbeat_suspect_s:
             return True
-        return self._beat.confirm_age_at(now) > timings.confirm_doubt_s
+        return self._beat.confirm_age_at(now) > timings.confirm_suspect_s
 
     def _is_silent(self, now: float) -> bool:
         timings = self._timings
-        if self._beat is None or now - self._beat.heard_at > timings.beat_silence_s:
+        if self._beat is None or now - self._beat.heard_at > timings.heartbeat_timeout_s:
             return True
         return self._beat.confirm_age_at(now) > timings.stale_confirm_s
--- a/src/galenastall/coordination/cell/fitting.py
+++ b/src/galenastall/coordination/cell/fitting.py
@@ -5,7 +5,7 @@
 
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import StepRun
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.state.cell.jobs import Step
 
@@ -29,7 +29,7 @@
 
 
 def choose(
-    usable: Iterable[Executor], step: StepRun, task: TaskRun, plan: RoomPlan
+    usable: Iterable[Executor], step: StepRun, task: TaskRun, plan: ReservationPlan
 ) -> Executor | None:
     """Return the executor with the least room left that has some, near the data if possible.
 
@@ -40,7 +40,7 @@
     best_key: Preference | None = None
     plan.begin_search()
     for executor in usable:
-        if not plan.room_for(executor, step.step, 1) or not may_add(executor, step):
+        if not plan.startable_count(executor, step.step, 1) or not may_add(executor, step):
             continue
         key = _preference(executor, step, plan, is_avoided=executor.executor_id in task.avoided)
         if best_key is None or key < best_key:
@@ -54,7 +54,7 @@
     Only the executor that was chosen last has changed since.
     """
 
-    def __init__(self, usable: Iterable[Executor], step: StepRun, plan: RoomPlan) -> None:
+    def __init__(self, usable: Iterable[Executor], step: StepRun, plan: ReservationPlan) -> None:
         """Look at all executors once."""
         self._usable = list(usable)
         self._step = step
@@ -84,7 +84,7 @@
         return chosen
 
     def _rank(self, executor: Executor) -> None:
-        if not self._plan.room_for(executor, self._step.step, 1):
+        if not self._plan.startable_count(executor, self._step.step, 1):
             return
         if may_add(executor, self._step):
             preference = _preference(executor, self._step, self._plan, is_avoided=False)
@@ -92,7 +92,7 @@
 
 
 def choose_for_gang(
-    usable: list[Executor], step: StepRun, count: int, plan: RoomPlan
+    usable: list[Executor], step: StepRun, count: int, plan: ReservationPlan
 ) -> list[Executor] | None:
     """Return an executor for each member, on one rack if that is wanted and possible."""
     if not step.step.wants_one_rack:
@@ -113,14 +113,14 @@
 
 
 def _fill(
-    usable: list[Executor], step: StepRun, count: int, plan: RoomPlan
+    usable: list[Executor], step: StepRun, count: int, plan: ReservationPlan
 ) -> list[Executor] | None:
     plan.begin_search()
     fitting_by_id = {e.executor_id: _fitting(e, step, count, plan) for e in usable}
     # Most gangs that wait don't fit: preferences are worked out for those only that do.
     fitting = sum(fitting_by_id.values())
     if fitting < count:
-        plan.lacking = count - fitting
+        plan.missing_slots = count - fitting
         return None
     avoided = _avoided(step)
 
@@ -135,23 +135,23 @@
     return chosen
 
 
-def _fitting(executor: Executor, step: StepRun, count: int, plan: RoomPlan) -> int:
+def _fitting(executor: Executor, step: StepRun, count: int, plan: ReservationPlan) -> int:
     """Return how many members of a gang an executor takes now, `count` at the highest."""
-    fitting = plan.room_for(executor, step.step, count)
+    fitting = plan.startable_count(executor, step.step, count)
     most = step.step.most_per_executor
     return min(fitting, most) if most > 0 else fitting
 
 
 def _preference(
-    executor: Executor, step: StepRun, plan: RoomPlan, *, is_avoided: bool
+    executor: Executor, step: StepRun, plan: ReservationPlan, *, is_avoided: bool
 ) -> Preference:
-    doubtful = 1 if is_avoided or executor.consecutive_failures > 1 else 0
+    suspect = 1 if is_avoided or executor.consecutive_failures > 1 else 0
     rack = step.step.data_rack
-    far = 1 if rack and rack != executor.info.rack else 0
+    off_rack = 1 if rack and rack != executor.info.rack else 0
     need = step.step.need
     capacity = executor.info.capacity
     cores_left = (executor.free.cores_milli - need.cores_milli) / max(capacity.cores_milli, 1)
     memory_left = (executor.free.memory_mb - need.memory_mb) / max(capacity.memory_mb, 1)
     uneven = abs(cores_left - memory_left)
-    kept = 1 if plan.was_kept(executor) and not step.step.is_gang else 0
-    return (doubtful, far, kept, cores_left + memory_left + uneven, executor.executor_id)
+    reserved = 1 if plan.was_reserved(executor) and not step.step.is_gang else 0
+    return (suspect, off_rack, reserved, cores_left + memory_left + uneven, executor.executor_id)
--- a/src/galenastall/coordination/cell/kept_advice.py
+++ b/src/galenastall/coordination/cell/inherited_advice.py
@@ -7,23 +7,25 @@
 
 from collections.abc import Sequence
 
-from galenastall.coordination.cell.advice import AdviceBook, Approval
+from galenastall.coordination.cell.advice import AdviceTable, Approval
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.commands import AskAdvice
+from galenastall.coordination.cell.commands import AdviceRequest
 from galenastall.state.cell.jobs import StepKey
 
 
-class KeptAdvice:
+class InheritedAdvice:
     """Puts answers of earlier leaders' calls into the tables."""
 
-    def __init__(self, *, state: CellState, advice: AdviceBook) -> None:
+    def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
         """Work on these tables."""
         self._state = state
         self._advice = advice
 
     def wanted_steps(self) -> tuple[StepKey, ...]:
         """Return the steps that wait and need advice."""
-        return tuple(step for step in self._state.waiting_steps if self._ask(step, ()) is not None)
+        return tuple(
+            step for step in self._state.waiting_steps if self._request(step, ()) is not None
+        )
 
     def adopt(
         self,
@@ -34,22 +36,24 @@
         good_until: float,
     ) -> bool:
         """Take an answer with tickets that are good until then; False if its step does not wait."""
-        ask = self._ask(step, tuple(executor_ids))
-        if ask is None:
+        request = self._request(step, tuple(executor_ids))
+        if request is None:
             return False
         self._advice.adopt(
-            step, executor_ids, approved, good_until=good_until, queue_name=ask.queue_name
+            step, executor_ids, approved, good_until=good_until, queue_name=request.queue_name
         )
         return True
 
-    def begin(self, step: StepKey, executor_ids: Sequence[str], *, now: float) -> AskAdvice | None:
+    def begin(
+        self, step: StepKey, executor_ids: Sequence[str], *, now: float
+    ) -> AdviceRequest | None:
         """Count a call that is under way, so that it is not made again; None if nobody waits."""
-        ask = self._ask(step, tuple(executor_ids))
-        if ask is not None:
+        request = self._request(step, tuple(executor_ids))
+        if request is not None:
             self._advice.begin(step, executor_ids, now)
-        return ask
+        return request
 
-    def _ask(self, step: StepKey, executor_ids: tuple[str, ...]) -> AskAdvice | None:
+    def _request(self, step: StepKey, executor_ids: tuple[str, ...]) -> AdviceRequest | None:
         """Return the call about a step that waits and needs advice."""
         job = self._state.jobs_by_id.get(step.job)
         if job is None or step not in self._state.waiting_steps:
@@ -57,7 +61,7 @@
         queue = self._state.queue_of(job)
         if queue.advisor is None:
             return None
-        return AskAdvice(
+        return AdviceRequest(
             step=step,
             executor_ids=executor_ids,
             timing=queue.advisor,
--- a/src/galenastall/coordination/cell/job_rates.py
+++ b/src/galenastall/coordination/cell/job_rates.py
@@ -12,12 +12,12 @@
 
 BURST_S: Final = 5.0
 """Seconds of its rate that a workspace may hand in at one moment."""
-LEAST_BURST: Final = 1.0
+MIN_BURST: Final = 1.0
 """Jobs: a workspace of a small weight still hands in whole ones."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Account:
+class _TokenBucket:
     """Jobs that a workspace may hand in at a time."""
 
     jobs: float
@@ -30,16 +30,16 @@
 
     def __init__(self) -> None:
         """Begin with full accounts."""
-        self._accounts_by_name: dict[str, _Account] = {}
+        self._buckets_by_name: dict[str, _TokenBucket] = {}
 
     def is_within(self, workspace: Workspace, *, wall: float) -> bool:
         """Charge a job that comes at `wall` seconds; False if it is beyond the workspace's rate."""
-        most = max(workspace.weight * BURST_S, LEAST_BURST)
-        full = _Account(jobs=most, at=wall)
-        known = self._accounts_by_name.get(workspace.name, full)
+        most = max(workspace.weight * BURST_S, MIN_BURST)
+        full = _TokenBucket(jobs=most, at=wall)
+        known = self._buckets_by_name.get(workspace.name, full)
         filled = workspace.weight * max(wall - known.at, 0.0)
         jobs = min(known.jobs + filled, most)
         is_within = jobs >= 1.0
         left = jobs - 1.0 if is_within else jobs
-        self._accounts_by_name[workspace.name] = _Account(jobs=left, at=wall)
+        self._buckets_by_name[workspace.name] = _TokenBucket(jobs=left, at=wall)
         return is_within
--- a/src/galenastall/coordination/cell/load_report.py
+++ b/src/galenastall/coordination/cell/load_report.py
@@ -5,7 +5,7 @@
 
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.executors import Closed
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.state.cell.phases import TaskPhase
 
 
@@ -20,7 +20,7 @@
 
 def report_load(
     state: CellState,
-    plan: RoomPlan,
+    plan: ReservationPlan,
     closed: Mapping[str, Closed],
     *,
     advice_calls: int,
@@ -35,7 +35,7 @@
             "executors": str(len(executors)),
             "open": str(len(open_now)),
             **{f"closed_{why}": str(n) for why, n in sorted(Counter(closed.values()).items())},
-            "kept_on": str(plan.kept_count),
+            "kept_on": str(plan.reserved_count),
             "kept_cores_milli": str(plan.kept_cores_milli),
             "cores_milli": str(sum(e.info.capacity.cores_milli for e in executors)),
             "free_cores_milli": str(sum(e.free.cores_milli for e in executors)),
--- a/src/galenastall/coordination/cell/mechanisms.py
+++ b/src/galenastall/coordination/cell/mechanisms.py
@@ -28,6 +28,6 @@
     """What is past its objective after what is not."""
 
 
-Without = frozenset[Mechanism]
+DisabledMechanisms = frozenset[Mechanism]
 """Mechanisms that are switched off."""
-ALL_ON: Without = frozenset()
+ALL_ON: DisabledMechanisms = frozenset()
--- a/src/galenastall/coordination/cell/orders.py
+++ b/src/galenastall/coordination/cell/orders.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook
+from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
 from galenastall.coordination.cell.doubts import Doubts
@@ -38,7 +38,7 @@
     """Applies answers to the tables."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, doubts: Doubts
+        self, *, state: CellState, ends: RunEnds, advice: AdviceTable, doubts: Doubts
     ) -> None:
         """Work on these tables; `doubts` hears of starts that were taken or refused."""
         self._state = state
@@ -77,7 +77,7 @@
         if silent is None or Mechanism.PATH_DOUBTS in self._state.without:
             return
         silent.doubted_at = now
-        self._state.want_look(silent)
+        self._state.request_listing(silent)
         data_centre = silent.info.data_centre
         if now - self._doubted_at_by_data_centre.get(data_centre, float("-inf")) < DOUBT_EVERY_S:
             return
@@ -91,7 +91,7 @@
             )
             if is_beside and is_in_use and not has_answered:
                 executor.doubted_at = now
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
 
     def _on_unknown(self, task: TaskRun) -> bool:
         task.state = StartState.UNSURE
@@ -114,7 +114,7 @@
         task.known_seq = self._state.next_seq()
         executor = self._state.executors_by_id.get(task.executor_id)
         if executor is not None:
-            self._state.want_look(executor)
+            self._state.request_listing(executor)
 
     def _on_refused(
         self, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
@@ -147,7 +147,7 @@
         """Apply the answer to a stop: from now on the run is listed as ended, or never comes."""
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None:
-            self._state.want_look(executor)
+            self._state.request_listing(executor)
         task = self._state.find_ordered(order)
         if task is not None:
             task.stop_seq = self._state.next_seq()
--- a/src/galenastall/coordination/cell/placer.py
+++ b/src/galenastall/coordination/cell/placer.py
@@ -3,7 +3,7 @@
 from itertools import takewhile
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook
+from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.advice_planner import AdvicePlanner
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder
@@ -12,12 +12,12 @@
 from galenastall.coordination.cell.forecast import Forecast
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.probation import Probation
-from galenastall.coordination.cell.room_plan import PlannedStart, RoomPlan, could_hold
+from galenastall.coordination.cell.reservation_plan import PlannedStart, ReservationPlan, could_hold
+from galenastall.coordination.cell.rotation import GangRotation, OverdueRotation, StepRotation
 from galenastall.coordination.cell.task_runs import TaskRun
-from galenastall.coordination.cell.turns import GangTurns, OverdueTurns, StepTurns
+from galenastall.coordination.cell.wait_observations import WaitObservations
+from galenastall.coordination.cell.wait_queue import WaitingStep, WaitQueue
 from galenastall.coordination.cell.wait_reasons import WaitReason, why_not_gang, why_not_singles
-from galenastall.coordination.cell.wait_sight import WaitSight
-from galenastall.coordination.cell.waiting_line import WaitingLine, WaitingStep
 from galenastall.state.cell.jobs import StepKey
 from galenastall.state.resources import NOTHING, Resources
 
@@ -26,31 +26,31 @@
 
 OpenExecutors = dict[str, Executor]
 """Executors that take new work, by id."""
-LookedAt = tuple[WaitingStep, OpenExecutors]
+PlaceableStep = tuple[WaitingStep, OpenExecutors]
 """A waiting step with the executors that may host it."""
 
 
 class Placer:
     """Gives waiting tasks runs on executors with room, and asks for advice where it is needed."""
 
-    def __init__(self, *, state: CellState, advice: AdviceBook) -> None:
+    def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
         """Work on these tables."""
         self._state = state
-        self._line = WaitingLine(state=state, advice=advice)
+        self._queue = WaitQueue(state=state, advice=advice)
         self._forecast = Forecast(state=state)
         self._planner = AdvicePlanner(state=state, advice=advice, forecast=self._forecast)
-        self.plan = RoomPlan(forecast=self._forecast, without=state.without)
+        self.plan = ReservationPlan(forecast=self._forecast, without=state.without)
         """Room that the last decision kept."""
         self._probation = Probation(state=state)
-        self.sight = WaitSight()
+        self.observations = WaitObservations()
         """Why the last decision did not start what waits."""
-        self._step_turns = StepTurns()
-        self._gang_turns = GangTurns()
+        self._step_rotation = StepRotation()
+        self._gang_rotation = GangRotation()
         self._answered: set[StepKey] = set()
         """Steps for which advice came since the last decision."""
         self._overdue: StepKey | None = None
         """The step that this decision brings forward."""
-        self._overdue_turns = OverdueTurns()
+        self._overdue_rotation = OverdueRotation()
 
     def note_answer(self, step: StepKey) -> None:
         """Have the next decision look at a step: with many ahead tickets don't last for a turn."""
@@ -62,48 +62,54 @@
         self._probation.begin(open_executors)
         self.plan.begin(now=now, fleet_size=len(open_executors))
         self.plan.close(self._probation.kept_ids)
-        self.sight.begin(is_any_open=bool(open_executors))
+        self.observations.begin(is_any_open=bool(open_executors))
         if not open_executors:
             return
-        self._gang_turns.begin(self._state.waiting_steps)
+        self._gang_rotation.begin(self._state.waiting_steps)
         self._state.workspaces.begin_decision()
-        for waiting, usable in self._looked_at(_Usable(open_executors), now, wall):
+        for waiting, usable in self._steps_to_place(_UsableExecutors(open_executors), now, wall):
             self._place(waiting, usable)
         self._forecast.forget()
 
-    def _looked_at(self, usable: "_Usable", now: float, wall: float) -> list[LookedAt]:
+    def _steps_to_place(
+        self, usable: "_UsableExecutors", now: float, wall: float
+    ) -> list[PlaceableStep]:
         """Return the steps to look at, in their order, with the executors that may host each."""
-        line = self._bring_forward(self._hosted(usable, now, wall), usable, now)
-        chosen = self._step_turns.choose([waiting.step.key for waiting, _ in line])
-        chosen |= self._gang_turns.in_turn | self._answered
+        queue = self._promote_overdue(self._placeable_steps(usable, now, wall), usable, now)
+        chosen = self._step_rotation.choose([waiting.step.key for waiting, _ in queue])
+        chosen |= self._gang_rotation.in_turn | self._answered
         self._answered.clear()
-        return [(waiting, hosting) for waiting, hosting in line if waiting.step.key in chosen]
+        return [(waiting, hosting) for waiting, hosting in queue if waiting.step.key in chosen]
 
-    def _hosted(self, usable: "_Usable", now: float, wall: float) -> list[LookedAt]:
+    def _placeable_steps(
+        self, usable: "_UsableExecutors", now: float, wall: float
+    ) -> list[PlaceableStep]:
         """Return what waits, in its order; a step that no open executor may host takes no place."""
-        line: list[LookedAt] = []
-        for waiting in self._line.in_order(now=now, wall=wall):
+        queue: list[PlaceableStep] = []
+        for waiting in self._queue.in_order(now=now, wall=wall):
             hosting = usable.by(waiting)
             if hosting:
-                line.append((waiting, hosting))
+                queue.append((waiting, hosting))
             else:
-                self.sight.note(waiting.step.key, WaitReason.NONE_OPEN)
-        return line
+                self.observations.note(waiting.step.key, WaitReason.NONE_OPEN)
+        return queue
 
-    def _bring_forward(self, line: list[LookedAt], usable: "_Usable", now: float) -> list[LookedAt]:
+    def _promote_overdue(
+        self, queue: list[PlaceableStep], usable: "_UsableExecutors", now: float
+    ) -> list[PlaceableStep]:
         """Put one overdue step before all that is not urgent, unless the last look was in vain."""
         overdue_keys = [
             waiting.step.key
-            for waiting, _ in line
+            for waiting, _ in queue
             if waiting.is_worthless
             and waiting.is_overdue(usable.total(waiting))
-            and not self._gang_turns.is_fruitless(waiting.step.key)
+            and not self._gang_rotation.had_no_start(waiting.step.key)
         ]
-        self._overdue = self._overdue_turns.choose(overdue_keys, now=now)
-        overdue = next((pair for pair in line if pair[0].step.key == self._overdue), None)
+        self._overdue = self._overdue_rotation.choose(overdue_keys, now=now)
+        overdue = next((pair for pair in queue if pair[0].step.key == self._overdue), None)
         if overdue is None:
-            return line
-        others = [pair for pair in line if pair is not overdue]
+            return queue
+        others = [pair for pair in queue if pair is not overdue]
         ahead = list(takewhile(lambda pair: pair[0].is_urgent and not pair[0].is_worthless, others))
         return [*ahead, overdue, *others[len(ahead) :]]
 
@@ -126,9 +132,9 @@
         tasks = [task for task in waits if task.not_before <= waiting.now]
         is_gang = waiting.step.step.is_gang
         if is_gang and len(waits) < waiting.step.step.count:
-            self.sight.note(waiting.step.key, WaitReason.LAST_RUN_ENDING)
+            self.observations.note(waiting.step.key, WaitReason.LAST_RUN_ENDING)
         elif not tasks or (is_gang and len(tasks) < len(waits)):
-            self.sight.note(waiting.step.key, WaitReason.REFUSED)
+            self.observations.note(waiting.step.key, WaitReason.REFUSED)
         elif tasks := self._within_quota(waiting, tasks):
             if is_gang:
                 self._place_gang(waiting, tasks, usable)
@@ -142,13 +148,13 @@
         allowed = workspaces.startable(name, step, len(tasks))
         if allowed == len(tasks):
             return tasks
-        if not workspaces.is_told:
-            self.sight.note(waiting.step.key, WaitReason.QUOTA_UNKNOWN)
+        if not workspaces.is_configured:
+            self.observations.note(waiting.step.key, WaitReason.QUOTA_UNKNOWN)
             return []
         if not workspaces.may_ever_start(name, step):
-            self.sight.note(waiting.step.key, WaitReason.OVER_QUOTA)
+            self.observations.note(waiting.step.key, WaitReason.OVER_QUOTA)
             return []
-        self.sight.note(waiting.step.key, WaitReason.QUOTA_USED)
+        self.observations.note(waiting.step.key, WaitReason.QUOTA_USED)
         if step.is_gang and waiting.job.is_within_rate and not waiting.is_worthless:
             workspaces.hold_for_gang(name)
         return tasks[:allowed]
@@ -165,16 +171,18 @@
         if not left:
             return
         advice = waiting.advice
-        if advice is not None and not advice.is_asking(waiting.now):
-            self._planner.ask_for_singles(waiting, advice, list(usable.values()), left)
-        if others_left and self._may_keep(waiting):
-            self.plan.keep_singles(waiting.step.step, others_left, _approved(usable, waiting))
+        if advice is not None and not advice.is_request_pending(waiting.now):
+            self._planner.request_for_singles(waiting, advice, list(usable.values()), left)
+        if others_left and self._may_reserve(waiting):
+            self.plan.reserve_for_singles(
+                waiting.step.step, others_left, _approved(usable, waiting)
+            )
         if suspects_left and not others_left:
-            self.sight.note(waiting.step.key, WaitReason.ON_PROBATION)
+            self.observations.note(waiting.step.key, WaitReason.ON_PROBATION)
             return
-        can_ask = self._planner.can_ask(waiting)
-        reason = why_not_singles(waiting, usable, self.plan, can_ask=can_ask)
-        self.sight.note(waiting.step.key, reason)
+        can_request = self._planner.can_request(waiting)
+        reason = why_not_singles(waiting, usable, self.plan, can_request=can_request)
+        self.observations.note(waiting.step.key, reason)
 
     def _place_gang(
         self, waiting: WaitingStep, tasks: list[TaskRun], usable: OpenExecutors
@@ -183,14 +191,14 @@
             return
         planned = self._plan_gang(waiting, usable)
         advice = waiting.advice
-        if advice is not None and not advice.is_asking(waiting.now):
-            self._planner.ask_for_gang(waiting, advice, list(usable.values()), planned)
-        can_ask = self._planner.can_ask(waiting)
-        may_plan = not self._gang_turns.is_left_out(waiting.step.key)
+        if advice is not None and not advice.is_request_pending(waiting.now):
+            self._planner.request_for_gang(waiting, advice, list(usable.values()), planned)
+        can_request = self._planner.can_request(waiting)
+        may_plan = not self._gang_rotation.is_deferred(waiting.step.key)
         reason = why_not_gang(
-            waiting, usable, self.plan, planned, may_plan=may_plan, can_ask=can_ask
+            waiting, usable, self.plan, planned, may_plan=may_plan, can_request=can_request
         )
-        self.sight.note(waiting.step.key, reason)
+        self.observations.note(waiting.step.key, reason)
 
     def _plan_gang(self, waiting: WaitingStep, usable: OpenExecutors) -> PlannedStart | None:
         """Return where a gang could start soonest, and keep that room if it is its turn."""
@@ -198,14 +206,14 @@
         approved = _approved(usable, waiting)
         if not could_hold(step, step.count, approved):
             # Told from capacities alone, 40 us with 60 executors: it takes nobody's place.
-            self._gang_turns.note_hopeless(key)
+            self._gang_rotation.note_infeasible(key)
             return None
-        if not self._gang_turns.may_look(key):
+        if not self._gang_rotation.may_plan(key):
             return None
         planned = self._plan_on(waiting, approved)
-        is_first = self._gang_turns.note(key, is_found=planned is not None)
-        if planned is not None and is_first and self._may_keep(waiting):
-            self.plan.keep_gang(planned, step)
+        is_first = self._gang_rotation.note(key, is_found=planned is not None)
+        if planned is not None and is_first and self._may_reserve(waiting):
+            self.plan.reserve_for_gang(planned, step)
         return planned
 
     def _plan_on(self, waiting: WaitingStep, approved: list[Executor]) -> PlannedStart | None:
@@ -217,18 +225,18 @@
         step, advice, now = waiting.step.step, waiting.advice, waiting.now
         if advice is not None:
             soon = [e for e in approved if advice.has_ticket_soon(e.executor_id, now)]
-            planned = self.plan.earliest(
+            planned = self.plan.earliest_start(
                 step, step.count, soon, not_before=now, within_s=TICKETED_SOON_S
             )
             if planned is not None:
                 return planned
-        return self.plan.earliest(step, step.count, approved, not_before=now)
+        return self.plan.earliest_start(step, step.count, approved, not_before=now)
 
-    def _may_keep(self, waiting: WaitingStep) -> bool:
+    def _may_reserve(self, waiting: WaitingStep) -> bool:
         if Mechanism.RESERVATIONS in self._state.without:
             return False
-        is_owed = waiting.job.is_within_rate and not waiting.is_worthless
-        return is_owed or waiting.step.key == self._overdue
+        is_entitled = waiting.job.is_within_rate and not waiting.is_worthless
+        return is_entitled or waiting.step.key == self._overdue
 
     def _is_on_probation(self, task: TaskRun) -> bool:
         return task.is_suspect and Mechanism.PROBATION not in self._state.without
@@ -307,7 +315,7 @@
         )
 
 
-class _Usable:
+class _UsableExecutors:
     """Open executors by what a step requires of them, listed once a decision."""
 
     def __init__(self, executors: list[Executor]) -> None:
--- a/src/galenastall/coordination/cell/probation.py
+++ b/src/galenastall/coordination/cell/probation.py
@@ -16,7 +16,7 @@
 from galenastall.coordination.cell.fitting import may_add
 from galenastall.coordination.cell.job_runs import StepRun
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
-from galenastall.coordination.cell.waiting_line import URGENT_PRIORITY
+from galenastall.coordination.cell.wait_queue import URGENT_PRIORITY
 from galenastall.state.cell.jobs import TaskKey
 from galenastall.state.cell.phases import TaskPhase
 
@@ -60,7 +60,7 @@
             if executor is None or task is None or not self._is_of_use(place, task, open_ids):
                 del self._places_by_task[key]
             elif self._is_look_due(executor):
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
         self._look_at_gangs()
 
     def _look_at_gangs(self) -> None:
@@ -72,7 +72,7 @@
                 continue
             executor = self._state.executors_by_id.get(task.executor_id)
             if executor is not None and self._is_look_due(executor):
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
 
     def choose(
         self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]
--- a/src/galenastall/coordination/cell/room_plan.py
+++ b/src/galenastall/coordination/cell/reservation_plan.py
@@ -12,17 +12,17 @@
 
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.forecast import OVERDUE_S, Forecast
-from galenastall.coordination.cell.mechanisms import ALL_ON, Mechanism, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms, Mechanism
 from galenastall.state.cell.jobs import Step
 from galenastall.state.resources import NOTHING, Resources
 
-KEPT_SHARE: Final = 0.4
+MAX_RESERVED_SHARE: Final = 0.4
 """Share of the executors on which room may be kept at once; the rest goes to whoever fits."""
-SINGLE_TASKS: Final = 2
+MAX_RESERVED_SINGLES: Final = 2
 """Tasks of a step that is no gang for which room is kept: each starts on its own."""
 RUN_MARGIN: Final = 1.5
 """A run counts as over before a moment if this many times its declared time is."""
-KEPT_AHEAD_S: Final = 0.7
+RESERVE_AHEAD_S: Final = 0.7
 """Room that is needed later is kept for the first in the line only: it would lie idle for longer
 than what could use it meanwhile runs."""
 HORIZON_S: Final = 30.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _Reservation:
     """What is kept on one executor."""
 
     at: float
@@ -56,44 +56,48 @@
     slots: tuple[Slot, ...]
 
 
-class RoomPlan:
+class ReservationPlan:
     """Keeps room while one decision is taken."""
 
-    def __init__(self, *, forecast: Forecast, without: Without = ALL_ON) -> None:
+    def __init__(self, *, forecast: Forecast, without: DisabledMechanisms = ALL_ON) -> None:
         """Plan with these expected ends."""
-        self._goes_last = Mechanism.KEPT_ROOM_LAST not in without
+        self._avoids_reserved = Mechanism.KEPT_ROOM_LAST not in without
         self._forecast = forecast
-        self._kept_by_id: dict[str, _Kept] = {}
-        self._kept_before: frozenset[str] = frozenset()
+        self._reservations_by_id: dict[str, _Reservation] = {}
+        self._reserved_before: frozenset[str] = frozenset()
         self._now = 0.0
-        self._most_kept = 0
+        self._max_reserved = 0
         self._closed_ids: frozenset[str] = frozenset()
         self.withheld = 0
         """Places that the last search for room did not get, as they are kept for others."""
-        self.lacking = 0
+        self.missing_slots = 0
         """Places that the last search for a gang did not find."""
 
     @property
-    def kept_count(self) -> int:
+    def reserved_count(self) -> int:
         """On how many executors room is kept."""
-        return len(self._kept_by_id)
+        return len(self._reservations_by_id)
 
     @property
     def kept_cores_milli(self) -> int:
         """How many thousandths of cores are kept."""
-        return sum(kept.amount.cores_milli for kept in self._kept_by_id.values())
+        return sum(
+            reservation.amount.cores_milli for reservation in self._reservations_by_id.values()
+        )
 
     def kept_on(self, executor: Executor) -> Resources:
         """Return what is kept on an executor."""
-        kept = self._kept_by_id.get(executor.executor_id)
-        return NOTHING if kept is None else kept.amount
+        reservation = self._reservations_by_id.get(executor.executor_id)
+        return NOTHING if reservation is None else reservation.amount
 
     def begin(self, *, now: float, fleet_size: int) -> None:
         """Begin a decision for which nothing is kept."""
-        self._kept_before = frozenset(self._kept_by_id) if self._goes_last else frozenset()
-        self._kept_by_id.clear()
+        self._reserved_before = (
+            frozenset(self._reservations_by_id) if self._avoids_reserved else frozenset()
+        )
+        self._reservations_by_id.clear()
         self._now = now
-        self._most_kept = max(1, int(fleet_size * KEPT_SHARE))
+        self._max_reserved = max(1, int(fleet_size * MAX_RESERVED_SHARE))
 
     def close(self, executor_ids: frozenset[str]) -> None:
         """Start nothing more on these executors in this decision."""
@@ -101,57 +105,57 @@
 
     def begin_search(self) -> None:
         """Begin to look for room for a task or a gang."""
-        self.withheld = self.lacking = 0
+        self.withheld = self.missing_slots = 0
 
-    def was_kept(self, executor: Executor) -> bool:
+    def was_reserved(self, executor: Executor) -> bool:
         """Whether the decision before kept room on an executor.
 
         More pressing work may have that room, and takes other room where there is some.
         """
-        return executor.executor_id in self._kept_before
+        return executor.executor_id in self._reserved_before
 
-    def room_for(self, executor: Executor, step: Step, most: int) -> int:
+    def startable_count(self, executor: Executor, step: Step, most: int) -> int:
         """Return how many tasks of a step may start on an executor now, `most` at the highest."""
         if executor.executor_id in self._closed_ids:
             return 0
         fitting = executor.room_for(step.need, most)
-        kept = self._kept_by_id.get(executor.executor_id)
-        if kept is None or fitting == 0:
+        reservation = self._reservations_by_id.get(executor.executor_id)
+        if reservation is None or fitting == 0:
             return fitting
-        if self._now + RUN_MARGIN * step.estimate_s <= kept.at:
+        if self._now + RUN_MARGIN * step.estimate_s <= reservation.at:
             return fitting
-        allowed = min(fitting, step.need.count_in(kept.spare, most))
+        allowed = min(fitting, step.need.count_in(reservation.spare, most))
         self.withheld += fitting - allowed
         return allowed
 
     def use(self, executor: Executor, step: Step) -> None:
         """Note that a task of a step was given room."""
-        kept = self._kept_by_id.get(executor.executor_id)
-        if kept is not None and self._now + RUN_MARGIN * step.estimate_s > kept.at:
-            kept.spare = kept.spare - step.need
+        reservation = self._reservations_by_id.get(executor.executor_id)
+        if reservation is not None and self._now + RUN_MARGIN * step.estimate_s > reservation.at:
+            reservation.spare = reservation.spare - step.need
 
-    def keep_gang(self, planned: PlannedStart, step: Step) -> None:
+    def reserve_for_gang(self, planned: PlannedStart, step: Step) -> None:
         """Keep the room of a planned start, unless it is far ahead or too much is kept already."""
-        if self._kept_by_id and planned.at > self._now + KEPT_AHEAD_S:
+        if self._reservations_by_id and planned.at > self._now + RESERVE_AHEAD_S:
             return
-        if not self._may_keep_on({slot.executor.executor_id for slot in planned.slots}):
+        if not self._may_reserve_on({slot.executor.executor_id for slot in planned.slots}):
             return
         for slot in planned.slots:
-            self._keep(slot.executor, step.need.times(slot.count), planned.at)
+            self._reserve(slot.executor, step.need.times(slot.count), planned.at)
 
-    def keep_singles(self, step: Step, wanted: int, candidates: Iterable[Executor]) -> None:
+    def reserve_for_singles(self, step: Step, wanted: int, candidates: Iterable[Executor]) -> None:
         """Keep room for some tasks that start one by one, where they fit soonest."""
-        left = min(wanted, SINGLE_TASKS)
-        usable = [e for e in candidates if self._may_keep_beside(e, step.need)]
-        usable.sort(key=lambda e: (-_readiness(self._left(e), step.need), e.executor_id))
+        left = min(wanted, MAX_RESERVED_SINGLES)
+        usable = [e for e in candidates if self._fits_with_reservation(e, step.need)]
+        usable.sort(key=lambda e: (-_fit_ratio(self._unreserved(e), step.need), e.executor_id))
         for executor in usable:
             if left <= 0:
                 return
-            if self._may_keep_on({executor.executor_id}):
-                self._keep(executor, step.need, self._first_fit(executor, step.need))
+            if self._may_reserve_on({executor.executor_id}):
+                self._reserve(executor, step.need, self._first_fit(executor, step.need))
                 left -= 1
 
-    def earliest(
+    def earliest_start(
         self,
         step: Step,
         count: int,
@@ -166,8 +170,10 @@
 
         One pass over the expected ends of all candidates, in the order of time.
         """
-        left_by_id = {e.executor_id: self._left(e) for e in candidates}
-        slots_by_id = {e.executor_id: self._slots(e, left_by_id, step, count) for e in candidates}
+        unreserved_by_id = {e.executor_id: self._unreserved(e) for e in candidates}
+        slots_by_id = {
+            e.executor_id: self._slots(e, unreserved_by_id, step, count) for e in candidates
+        }
         total = sum(slots_by_id.values())
         if total >= count:
             return _planned(not_before, candidates, slots_by_id, count)
@@ -180,8 +186,8 @@
         ]
         ends.sort(key=lambda end: end[:2])
         for at, executor_id, amount, executor in ends:
-            left_by_id[executor_id] = left_by_id[executor_id] + amount
-            slots = self._slots(executor, left_by_id, step, count)
+            unreserved_by_id[executor_id] = unreserved_by_id[executor_id] + amount
+            slots = self._slots(executor, unreserved_by_id, step, count)
             total += slots - slots_by_id[executor_id]
             slots_by_id[executor_id] = slots
             if total >= count:
@@ -189,17 +195,17 @@
         return None
 
     def _slots(
-        self, executor: Executor, left_by_id: dict[str, Resources], step: Step, count: int
+        self, executor: Executor, unreserved_by_id: dict[str, Resources], step: Step, count: int
     ) -> int:
-        return _slots_in(left_by_id[executor.executor_id], step, count)
+        return _slots_in(unreserved_by_id[executor.executor_id], step, count)
 
-    def _left(self, executor: Executor) -> Resources:
+    def _unreserved(self, executor: Executor) -> Resources:
         """Return what is free now and not kept; may be negative."""
-        kept = self._kept_by_id.get(executor.executor_id)
-        return executor.free if kept is None else executor.free - kept.amount
+        reservation = self._reservations_by_id.get(executor.executor_id)
+        return executor.free if reservation is None else executor.free - reservation.amount
 
     def _first_fit(self, executor: Executor, need: Resources) -> float:
-        free = self._left(executor)
+        free = self._unreserved(executor)
         at = self._now
         for release in self._forecast.releases(executor):
             if need.fits_in(free):
@@ -208,25 +214,27 @@
             at = max(release.at, self._now + OVERDUE_S)
         return at
 
-    def _may_keep_on(self, executor_ids: set[str]) -> bool:
+    def _may_reserve_on(self, executor_ids: set[str]) -> bool:
         """Whether room may be kept there; the first in the line may whatever its size."""
-        if not self._kept_by_id:
+        if not self._reservations_by_id:
             return True
-        return len(self._kept_by_id.keys() | executor_ids) <= self._most_kept
+        return len(self._reservations_by_id.keys() | executor_ids) <= self._max_reserved
 
-    def _may_keep_beside(self, executor: Executor, need: Resources) -> bool:
+    def _fits_with_reservation(self, executor: Executor, need: Resources) -> bool:
         """Whether the executor, once empty, holds what is kept there and `need`."""
-        kept = self._kept_by_id.get(executor.executor_id)
-        wanted = need if kept is None else kept.amount + need
+        reservation = self._reservations_by_id.get(executor.executor_id)
+        wanted = need if reservation is None else reservation.amount + need
         return wanted.fits_in(executor.info.capacity)
 
-    def _keep(self, executor: Executor, amount: Resources, at: float) -> None:
-        known = self._kept_by_id.get(executor.executor_id)
+    def _reserve(self, executor: Executor, amount: Resources, at: float) -> None:
+        known = self._reservations_by_id.get(executor.executor_id)
         if known is not None:
             amount = known.amount + amount
             at = min(known.at, at)
         free = self._free_at(executor, at)
-        self._kept_by_id[executor.executor_id] = _Kept(at=at, amount=amount, spare=free - amount)
+        self._reservations_by_id[executor.executor_id] = _Reservation(
+            at=at, amount=amount, spare=free - amount
+        )
 
     def _free_at(self, executor: Executor, at: float) -> Resources:
         released = NOTHING
@@ -268,7 +276,7 @@
     return PlannedStart(at=at, slots=tuple(slots))
 
 
-def _readiness(free: Resources, need: Resources) -> float:
+def _fit_ratio(free: Resources, need: Resources) -> float:
     """Return how near free room is to holding one task; 1 and more if it does."""
     shares = [
         have / wanted
--- a/src/galenastall/coordination/cell/scheduler.py
+++ b/src/galenastall/coordination/cell/scheduler.py
@@ -3,16 +3,16 @@
 from collections.abc import Iterable
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook, Approval
+from galenastall.coordination.cell.advice import AdviceTable, Approval
 from galenastall.coordination.cell.batches import Batches
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import (
-    AskAdvice,
+    AdviceRequest,
     Batch,
     Note,
-    PaceOrder,
     StartOrder,
     StopOrder,
+    ThrottleOrder,
 )
 from galenastall.coordination.cell.crashes import CrashJudge
 from galenastall.coordination.cell.doubts import Doubts
@@ -20,20 +20,20 @@
 from galenastall.coordination.cell.fleet import Fleet
 from galenastall.coordination.cell.host_care import HostCare
 from galenastall.coordination.cell.incarnations import Incarnations
+from galenastall.coordination.cell.inherited_advice import InheritedAdvice
 from galenastall.coordination.cell.job_rates import JobRates
 from galenastall.coordination.cell.job_runs import JobRun
-from galenastall.coordination.cell.kept_advice import KeptAdvice
 from galenastall.coordination.cell.listings import Listing, ListingReader
 from galenastall.coordination.cell.load_report import closed_by_id, report_load
-from galenastall.coordination.cell.mechanisms import ALL_ON, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms
 from galenastall.coordination.cell.orders import OrderBook, StartOutcome
-from galenastall.coordination.cell.pacing import Pacing
 from galenastall.coordination.cell.placer import Placer
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.run_moves import RunMoves
 from galenastall.coordination.cell.stop_rules import StopRule
 from galenastall.coordination.cell.task_runs import StartState
+from galenastall.coordination.cell.throttling import Throttling
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.coordination.cell.wait_reasons import WaitReason
 from galenastall.coordination.cell.waiting_report import WaitingReport
@@ -47,7 +47,7 @@
 from galenastall.state.cell.workspaces import Workspace
 from galenastall.state.resources import Resources
 
-TIDY_EVERY_S: Final = 1.0
+CLEANUP_INTERVAL_S: Final = 1.0
 """Between two looks through all jobs; a thousand of them take half a millisecond."""
 
 
@@ -55,22 +55,22 @@
     """All decisions of one term of leadership; `now` is trio's time, `wall` is since 1970."""
 
     def __init__(
-        self, *, timings: CellTimings, fenced_at: float, without: Without = ALL_ON
+        self, *, timings: CellTimings, fenced_at: float, without: DisabledMechanisms = ALL_ON
     ) -> None:
         """Create the core of a leader whose fence at the store stands since `fenced_at`."""
         self._state = CellState(timings=timings, fenced_at=fenced_at, without=without)
-        self._advice = AdviceBook()
+        self._advice = AdviceTable()
         self._doubts = Doubts(state=self._state)
         self._ends = RunEnds(state=self._state, doubts=self._doubts)
         self._listings = ListingReader(state=self._state, ends=self._ends)
         self._orders = OrderBook(
             state=self._state, ends=self._ends, advice=self._advice, doubts=self._doubts
         )
-        self.kept_advice = KeptAdvice(state=self._state, advice=self._advice)
+        self.inherited_advice = InheritedAdvice(state=self._state, advice=self._advice)
         """Advice that earlier leaders asked for."""
         self._placer = Placer(state=self._state, advice=self._advice)
         self._waiting = WaitingReport(
-            state=self._state, advice=self._advice, sight=self._placer.sight, plan=self.plan
+            state=self._state, advice=self._advice, sight=self._placer.observations, plan=self.plan
         )
         crashes = CrashJudge(state=self._state)
         self._incarnations = Incarnations(state=self._state, ends=self._ends, crashes=crashes)
@@ -78,15 +78,15 @@
             state=self._state, ends=self._ends, crashes=crashes, incarnations=self._incarnations
         )
         self._moves = RunMoves(state=self._state, ends=self._ends, doubts=self._doubts)
-        self._pacing = Pacing(state=self._state)
+        self._throttling = Throttling(state=self._state)
         self.hosts = HostCare(state=self._state, ends=self._ends)
         self._batches = Batches(
             state=self._state, ends=self._ends, advice=self._advice, hosts=self.hosts
         )
         self._rates = JobRates()
-        self._timed_jobs: set[str] = set()
+        self._recurring_jobs: set[str] = set()
         """Live jobs whose steps run several times."""
-        self._tidied_at = float("-inf")
+        self._cleaned_up_at = float("-inf")
 
     @property
     def timings(self) -> CellTimings:
@@ -109,7 +109,7 @@
         return self._state.jobs_by_id
 
     @property
-    def plan(self) -> RoomPlan:
+    def plan(self) -> ReservationPlan:
         """Room that the last decision kept."""
         return self._placer.plan
 
@@ -261,9 +261,9 @@
         executor.clock.observe(clock_ms=listing.clock_ms, received_at=now)
         self._incarnations.end_earlier(executor, listing, asked_seq=asked_seq, wall=wall)
         self._listings.read(executor, listing, asked_seq=asked_seq, now=now, wall=wall)
-        self._pacing.on_listing(executor)
+        self._throttling.on_listing(executor)
 
-    def on_other_executor(self, executor_id: str, *, wall: float) -> None:
+    def on_address_reused(self, executor_id: str, *, wall: float) -> None:
         """Note that an executor of another name answers at an executor's address."""
         cause = "another executor answers at its address"
         self._incarnations.end(executor_id, cause=cause, wall=wall)
@@ -283,31 +283,36 @@
         """Apply an executor's answer to a stop."""
         self._orders.on_stop(order)
 
-    def on_paced(self, order: PaceOrder) -> None:
+    def on_throttle_confirmed(self, order: ThrottleOrder) -> None:
         """Apply an executor's answer to a pace."""
-        self._pacing.on_paced(order)
+        self._throttling.on_throttle_confirmed(order)
 
     def on_advice(
-        self, ask: AskAdvice, approved: tuple[Approval, ...], *, validity_s: float, now: float
+        self,
+        request: AdviceRequest,
+        approved: tuple[Approval, ...],
+        *,
+        validity_s: float,
+        now: float,
     ) -> None:
         """Take the advisor's answer to a question."""
-        if ask.step.job in self._state.jobs_by_id:
+        if request.step.job in self._state.jobs_by_id:
             self._advice.answer(
-                ask.step,
-                ask.executor_ids,
+                request.step,
+                request.executor_ids,
                 approved,
                 validity_s=validity_s,
                 now=now,
-                queue_name=ask.queue_name,
+                queue_name=request.queue_name,
             )
-            self._placer.note_answer(ask.step)
+            self._placer.note_answer(request.step)
 
-    def on_advice_failed(self, ask: AskAdvice, *, now: float) -> None:
+    def on_advice_failed(self, request: AdviceRequest, *, now: float) -> None:
         """Note that the advisor gave no answer to a question."""
-        if ask.step.job in self._state.jobs_by_id:
-            self._advice.fail(ask.step, ask.executor_ids, now)
+        if request.step.job in self._state.jobs_by_id:
+            self._advice.fail(request.step, request.executor_ids, now)
 
-    def is_wanted(self, order: StartOrder) -> bool:
+    def is_needed(self, order: StartOrder) -> bool:
         """Whether an order is still to be sent: its run was neither given up nor seen there."""
         task = self._state.find_ordered(order)
         if task is None or task.is_stopping:
@@ -322,7 +327,7 @@
         self._state.now = now
         self._fleet.expire(now=now, wall=wall)
         self._open_all_due(wall)
-        is_report_due = self._tidy(now, wall)
+        is_report_due = self._clean_up(now, wall)
         self._moves.decide(now=now)
         if may_place:
             self.hosts.decide(now=now, wall=wall)
@@ -330,7 +335,7 @@
         if may_place:
             self._placer.decide(now=now, wall=wall)
         else:
-            self._placer.sight.hold()
+            self._placer.observations.hold()
         if is_report_due:
             self._report()
 
@@ -347,20 +352,20 @@
         stops, self._state.stops = self._state.stops, []
         return stops
 
-    def take_paces(self) -> list[PaceOrder]:
+    def take_throttle_orders(self) -> list[ThrottleOrder]:
         """Return the paces to order now."""
-        paces, self._state.paces = self._state.paces, []
-        return paces
+        throttle_orders, self._state.throttle_orders = self._state.throttle_orders, []
+        return throttle_orders
 
-    def take_looks(self) -> list[str]:
+    def take_listing_requests(self) -> list[str]:
         """Return the executors whose listing is needed and has not been asked for."""
         executors_by_id = self._state.executors_by_id
         wanted = sorted(
             executor_id
-            for executor_id in self._state.looked_for
+            for executor_id in self._state.wanted_listings
             if executor_id in executors_by_id and executors_by_id[executor_id].wants_look
         )
-        self._state.looked_for = set(wanted)
+        self._state.wanted_listings = set(wanted)
         return wanted
 
     def take_newly_polled(self) -> list[str]:
@@ -368,7 +373,7 @@
         polled, self._state.newly_polled = self._state.newly_polled, set()
         return sorted(polled)
 
-    def take_asks(self) -> list[AskAdvice]:
+    def take_advice_requests(self) -> list[AdviceRequest]:
         """Return the questions for the advisor."""
         asks, self._state.asks = self._state.asks, []
         return asks
@@ -384,10 +389,10 @@
         return self._batches.has_changes
 
     def _open_all_due(self, wall: float) -> None:
-        for job_id in list(self._timed_jobs):
+        for job_id in list(self._recurring_jobs):
             run = self._state.jobs_by_id.get(job_id)
             if run is None or run.has_ended:
-                self._timed_jobs.discard(job_id)
+                self._recurring_jobs.discard(job_id)
             else:
                 self._open_due(run, wall)
 
@@ -395,7 +400,7 @@
         if run.has_ended:
             return
         if run.job.recurrence is not None:
-            self._timed_jobs.add(run.job.job_id)
+            self._recurring_jobs.add(run.job.job_id)
         if run.open_due(wall):
             self._state.dirty_jobs.add(run.job.job_id)
         self._state.refresh_waiting(run)
@@ -413,11 +418,11 @@
             not_looked_at=not_looked_at,
         )
 
-    def _tidy(self, now: float, wall: float) -> bool:
+    def _clean_up(self, now: float, wall: float) -> bool:
         """Forget what is of no more use of ended jobs once a second; return whether it was due."""
-        if now - self._tidied_at < TIDY_EVERY_S:
+        if now - self._cleaned_up_at < CLEANUP_INTERVAL_S:
             return False
-        self._tidied_at = now
+        self._cleaned_up_at = now
         oldest = wall - self._state.timings.ended_kept_s
         for job_id, run in list(self._state.jobs_by_id.items()):
             if not run.has_ended or run.assigned():
--- a/src/galenastall/coordination/cell/pacing.py
+++ b/src/galenastall/coordination/cell/throttling.py
@@ -3,26 +3,26 @@
 from typing import Final
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.commands import PaceOrder
+from galenastall.coordination.cell.commands import ThrottleOrder
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import StepRun
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 
 FULL_PERCENT: Final = 100
-TOO_CLOSE: Final = 0.85
+THROTTLE_ABOVE: Final = 0.85
 """Share of a target at which fillers are halved: a tail is a rough figure of half a second."""
-WELL_BELOW: Final = 0.6
+RAISE_BELOW: Final = 0.6
 """Share of a target below which fillers may speed up by a step."""
 STEP_UP_PERCENT: Final = 10
-LOWEST_PERCENT: Final = 10
+MIN_PERCENT: Final = 10
 """Below this a filler stands still altogether."""
-CHANGE_EVERY_S: Final = 0.6
+CHANGE_INTERVAL_S: Final = 0.6
 """Between two changes of an executor's pace: the figure of a tail follows within half a second."""
 REPEAT_S: Final = 0.5
 """Between two tries of an order that was not confirmed."""
 
 
-class Pacing:
+class Throttling:
     """One pace for all fillers of an executor, halved quickly and raised slowly."""
 
     def __init__(self, *, state: CellState) -> None:
@@ -42,7 +42,7 @@
         for task in fillers:
             self._order(executor, task)
 
-    def on_paced(self, order: PaceOrder) -> None:
+    def on_throttle_confirmed(self, order: ThrottleOrder) -> None:
         """Note that an executor has confirmed a pace."""
         task = self._state.find_ordered(order)
         if task is not None:
@@ -63,12 +63,12 @@
 
     def _change(self, executor: Executor, worst_share: float) -> None:
         now = self._state.now
-        if now - executor.paced_at < CHANGE_EVERY_S:
+        if now - executor.paced_at < CHANGE_INTERVAL_S:
             return
         percent = executor.filler_percent
-        if worst_share > TOO_CLOSE:
-            percent = percent // 2 if percent // 2 >= LOWEST_PERCENT else 0
-        elif worst_share < WELL_BELOW:
+        if worst_share > THROTTLE_ABOVE:
+            percent = percent // 2 if percent // 2 >= MIN_PERCENT else 0
+        elif worst_share < RAISE_BELOW:
             percent = min(percent + STEP_UP_PERCENT, FULL_PERCENT)
         if percent == executor.filler_percent:
             return
@@ -89,8 +89,8 @@
             return
         task.pace_sent_at = now
         task.pace_sent_percent = executor.filler_percent
-        self._state.paces.append(
-            PaceOrder(
+        self._state.throttle_orders.append(
+            ThrottleOrder(
                 task=task.key,
                 run=task.run,
                 executor_id=executor.executor_id,
--- a/src/galenastall/coordination/cell/timings.py
+++ b/src/galenastall/coordination/cell/timings.py
@@ -36,34 +36,34 @@
     """Least time between two appends; 40 a second cost 0.3% of what a day earns."""
     confirm_every_s: float = 0.2
     """An idle leader appends this often, so that leases go on and standbys see it alive."""
-    beat_every_s: float = 0.15
+    heartbeat_interval_s: float = 0.15
     """Between two heartbeats of the leader to each standby."""
-    beat_doubt_s: float = 0.35
+    heartbeat_suspect_s: float = 0.35
     """Silence after which a standby looks at the store for signs of the leader: two beats lost."""
-    beat_silence_s: float = 0.6
+    heartbeat_timeout_s: float = 0.6
     """Silence after which a standby claims if the store shows no sign either."""
-    confirm_doubt_s: float = 0.8
+    confirm_suspect_s: float = 0.8
     """A leader whose last confirmation is older makes standbys look at the store."""
     stale_confirm_s: float = 1.3
     """A leader whose last confirmation is older counts as silent; slow stores stay below it."""
     ready_confirm_s: float = 0.9
     """A host whose leader's last confirmation is older reports itself not ready: the balancer takes
     1 to 2 s more to send callers elsewhere. Confirmations through a slow store stay below it."""
-    tip_silence_s: float = 0.35
+    log_end_stalled_s: float = 0.35
     """How long the state's end must stand still before a standby claims: a confirmation each 0.2 s
     and an append of some 10 ms. A host that has just started hears a living leader within 0.2 s."""
-    tip_every_s: float = 0.15
+    log_end_poll_s: float = 0.15
     """Between two looks at the store while the leader is silent."""
     claim_jitter_s: float = 0.1
     """Standbys draw a delay up to this; the store takes one of several claims in any case, so it
     only spares calls."""
-    light_delay_s: float = 0.6
+    light_host_delay_s: float = 0.6
     """How much later a light host claims: by then a heavy one has looked, claimed and been
     answered, which differs between hosts by 0.3 s, through a store that takes 0.1 s for each."""
-    load_within_s: float = 6.0
+    load_timeout_s: float = 6.0
     """A leader that has not read the state by then is stuck, and ends its term: 4 MB take 4.3 s
     through a link of 10 Mbit/s, and callers give up within seconds."""
-    unwilling_s: float = 30.0
+    fell_behind_pause_s: float = 30.0
     """How long a host that fell behind as leader is not given the leadership again."""
     withdrawn_pause_s: float = 3.0
     """A leader that gave up its place leaves it to others for this long."""
--- a/src/galenastall/coordination/cell/wait_sight.py
+++ b/src/galenastall/coordination/cell/wait_observations.py
@@ -4,7 +4,7 @@
 from galenastall.state.cell.jobs import StepKey
 
 
-class WaitSight:
+class WaitObservations:
     """Reasons by step, of one decision."""
 
     def __init__(self) -> None:
--- a/src/galenastall/coordination/cell/waiting_line.py
+++ b/src/galenastall/coordination/cell/wait_queue.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook, StepAdvice
+from galenastall.coordination.cell.advice import AdviceTable, StepAdvice
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.job_runs import JobRun, Occurrence, StepRun
-from galenastall.coordination.cell.mechanisms import ALL_ON, Mechanism, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms, Mechanism
 from galenastall.coordination.cell.objectives import lateness_rank, worthless_at
 from galenastall.state.cell.jobs import Queue, StepKey
 from galenastall.state.resources import Resources
@@ -14,10 +14,10 @@
 URGENT_PRIORITY: Final = 0
 WORTHLESS_RANK: Final = 2
 """Rank of what is so late that it earns nothing more; it runs when nothing else wants the room."""
-LATE_PATIENCE_S: Final = 15.0
+OVERDUE_AFTER_S: Final = 15.0
 """A gang that has earned nothing for longer is brought forward, one step at a time: small tasks
 would take each bit of room before it."""
-HEAVY_PATIENCE_S: Final = 120.0
+HEAVY_OVERDUE_AFTER_S: Final = 120.0
 """The same for gangs that take more than half of all room, and for single tasks, which may need
 whole executors: room for these is emptied at the cost of work that still earns."""
 
@@ -59,13 +59,13 @@
         if step.is_gang and len(self.step.waiting()) < step.count:
             return False
         is_light = step.is_gang and step.need.times(2 * step.count).fits_in(total)
-        return self.worthless_s > (LATE_PATIENCE_S if is_light else HEAVY_PATIENCE_S)
+        return self.worthless_s > (OVERDUE_AFTER_S if is_light else HEAVY_OVERDUE_AFTER_S)
 
     def ticket(self, executor_id: str) -> str | None:
         """Return a ticket for the executor; empty where none is needed, None where one is."""
         return "" if self.advice is None else self.advice.ticket(executor_id, self.now)
 
-    def order_key(self, without: Without = ALL_ON) -> OrderKey:
+    def order_key(self, without: DisabledMechanisms = ALL_ON) -> OrderKey:
         """Return its place in the order of decisions.
 
         Urgent work goes before other work also when it is late: what waits behind work with seconds
@@ -77,10 +77,10 @@
         return (worthless, urgency, rank, self.occurrence.objective, self.step.key)
 
 
-class WaitingLine:
+class WaitQueue:
     """Lists what waits, from the leader's tables."""
 
-    def __init__(self, *, state: CellState, advice: AdviceBook) -> None:
+    def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
         """Read these tables."""
         self._state = state
         self._advice = advice
--- a/src/galenastall/coordination/cell/wait_reasons.py
+++ b/src/galenastall/coordination/cell/wait_reasons.py
@@ -6,8 +6,8 @@
 
 from galenastall.coordination.cell.advice import TICKET_MARGIN_S, StepAdvice
 from galenastall.coordination.cell.executors import Executor
-from galenastall.coordination.cell.room_plan import PlannedStart, RoomPlan
-from galenastall.coordination.cell.waiting_line import WaitingStep
+from galenastall.coordination.cell.reservation_plan import PlannedStart, ReservationPlan
+from galenastall.coordination.cell.wait_queue import WaitingStep
 
 SOON_S: Final = 1.5
 """Room that is planned nearer than this is awaited with the tickets that a step has."""
@@ -67,7 +67,11 @@
 
 
 def why_not_singles(
-    waiting: WaitingStep, usable: Mapping[str, Executor], plan: RoomPlan, *, can_ask: bool
+    waiting: WaitingStep,
+    usable: Mapping[str, Executor],
+    plan: ReservationPlan,
+    *,
+    can_request: bool,
 ) -> WaitReason:
     """Return why some tasks that start one by one did not; call it once the advisor was asked."""
     if not usable:
@@ -77,22 +81,22 @@
     advice = waiting.advice
     if advice is None:
         return WaitReason.NO_ROOM
-    return _why_no_tickets(waiting, advice, usable, can_ask=can_ask) or WaitReason.NO_ROOM
+    return _why_no_tickets(waiting, advice, usable, can_request=can_request) or WaitReason.NO_ROOM
 
 
 def why_not_gang(
     waiting: WaitingStep,
     usable: Mapping[str, Executor],
-    plan: RoomPlan,
+    plan: ReservationPlan,
     planned: PlannedStart | None,
     *,
     may_plan: bool,
-    can_ask: bool,
+    can_request: bool,
 ) -> WaitReason:
     """Return why a gang did not start; call it once it was planned and the advisor was asked."""
     if not usable:
         return WaitReason.NONE_OPEN
-    if plan.withheld > 0 and plan.withheld >= plan.lacking:
+    if plan.withheld > 0 and plan.withheld >= plan.missing_slots:
         return WaitReason.ROOM_KEPT
     if planned is not None and planned.at > waiting.now:
         is_soon = planned.at <= waiting.now + SOON_S
@@ -100,7 +104,7 @@
     advice = waiting.advice
     if advice is None:
         return WaitReason.NO_ROOM_AHEAD if may_plan else WaitReason.NO_ROOM
-    why = _why_no_tickets(waiting, advice, usable, can_ask=can_ask)
+    why = _why_no_tickets(waiting, advice, usable, can_request=can_request)
     if why is WaitReason.NO_HOST and not may_plan and advice.tickets_by_executor:
         # Beyond the plan no call would renew its tickets, however many hosts were free.
         return WaitReason.NOT_PLANNED
@@ -112,15 +116,15 @@
 
 
 def _why_no_tickets(
-    waiting: WaitingStep, advice: StepAdvice, usable: Mapping[str, Executor], *, can_ask: bool
+    waiting: WaitingStep, advice: StepAdvice, usable: Mapping[str, Executor], *, can_request: bool
 ) -> WaitReason | None:
     """Return what keeps tickets from coming; None if the advisor has said what it can."""
     if waiting.now < advice.not_before:
         return WaitReason.ADVICE_FAILED
     tickets = advice.tickets_by_executor
-    if advice.is_asking(waiting.now):
+    if advice.is_request_pending(waiting.now):
         return WaitReason.TICKETS_ASKED if tickets else WaitReason.ADVICE_ASKED
-    if not can_ask and _lacks_any(waiting, advice, usable):
+    if not can_request and _lacks_any(waiting, advice, usable):
         return WaitReason.NO_HOST
     if not tickets:
         return WaitReason.NONE_APPROVED
--- a/src/galenastall/coordination/cell/waiting_report.py
+++ b/src/galenastall/coordination/cell/waiting_report.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook, StepAdvice
-from galenastall.coordination.cell.approved_room import ApprovedRoom, room_of
+from galenastall.coordination.cell.advice import AdviceTable, StepAdvice
+from galenastall.coordination.cell.approved_capacity import ApprovedCapacity, capacity_for
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.executors import Closed
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
+from galenastall.coordination.cell.wait_observations import WaitObservations
 from galenastall.coordination.cell.wait_reasons import WaitReason
-from galenastall.coordination.cell.wait_sight import WaitSight
 from galenastall.state.cell.jobs import StepKey
 
 LONG_WAIT_S: Final = 5.0
@@ -51,7 +51,12 @@
     """Tells the reasons of the last decision; once a second."""
 
     def __init__(
-        self, *, state: CellState, advice: AdviceBook, sight: WaitSight, plan: RoomPlan
+        self,
+        *,
+        state: CellState,
+        advice: AdviceTable,
+        sight: WaitObservations,
+        plan: ReservationPlan,
     ) -> None:
         """Read these tables."""
         self._plan = plan
@@ -125,7 +130,7 @@
             self._told_at_by_job[job_id] = now
             self._tell_job(wait, self._room(wait, closed_by_id))
 
-    def _tell_job(self, wait: _Wait, room: ApprovedRoom) -> None:
+    def _tell_job(self, wait: _Wait, room: ApprovedCapacity) -> None:
         key = wait.step.key
         stops = wait.job.stops.by_rule
         workspace = self._state.workspaces.find(wait.job.job.workspace)
@@ -156,12 +161,12 @@
             },
         )
 
-    def _room(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> ApprovedRoom:
+    def _room(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> ApprovedCapacity:
         queue = self._state.queue_of(wait.job)
         advice: StepAdvice | None = None
         if queue.advisor is not None:
             advice = self._advice.of(wait.step.key)
-        return room_of(
+        return capacity_for(
             wait.step.step,
             queue.service,
             advice,
@@ -171,7 +176,7 @@
         )
 
 
-def sharper(reason: WaitReason, step: StepRun, room: ApprovedRoom) -> WaitReason:
+def sharper(reason: WaitReason, step: StepRun, room: ApprovedCapacity) -> WaitReason:
     """Return why a gang has no room now, from all the room of its executors."""
     wanted = step.step.count
     if room.places < wanted:
--- a/src/galenastall/coordination/cell/workspace_use.py
+++ b/src/galenastall/coordination/cell/workspace_use.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         """Begin without workspaces and runs."""
         self._workspaces_by_name: dict[str, Workspace] = {}
-        self.is_told = False
+        self.is_configured = False
         """Whether a configuration has been read; before that no limit is known."""
         self._run_by_task: dict[TaskKey, tuple[str, Resources]] = {}
         self._used_by_name: dict[str, Resources] = {}
@@ -43,7 +43,7 @@
 
         A removed one keeps its last limit.
         """
-        self.is_told = True
+        self.is_configured = True
         known = self._workspaces_by_name
         changed = [each for each in workspaces if known.get(each.name) != each]
         known.update({each.name: each for each in changed})
@@ -87,7 +87,7 @@
         """Return how many tasks of a step its workspace may start; a gang whole or not at all."""
         if name == NO_WORKSPACE:
             return most
-        if not self.is_told or name in self._waiting_gangs:
+        if not self.is_configured or name in self._waiting_gangs:
             return 0
         count = self.find(name).room_for(step.need, used=self.used(name), most=most)
         return 0 if step.is_gang and count < most else count
--- a/src/galenastall/node/cell/advice_desk.py
+++ b/src/galenastall/node/cell/advice_desk.py
@@ -8,8 +8,8 @@
 import trio
 from returns.result import Failure, Result
 
-from galenastall.coordination.cell.advice_planner import KEPT_FOR_URGENT
-from galenastall.coordination.cell.commands import AskAdvice
+from galenastall.coordination.cell.advice_planner import HOSTS_RESERVED_FOR_URGENT
+from galenastall.coordination.cell.commands import AdviceRequest
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.messages import AdviceAnswer, GetAdvice
 from galenastall.protocol.peers import PeerLink
@@ -40,13 +40,13 @@
         self._link = link
         self._helpers = helpers
         self._nursery = nursery
-        self._urgent: deque[tuple[AskAdvice, int]] = deque()
-        self._other: deque[tuple[AskAdvice, int]] = deque()
+        self._urgent: deque[tuple[AdviceRequest, int]] = deque()
+        self._other: deque[tuple[AdviceRequest, int]] = deque()
         """Calls that wait for a host, with the tries that they have had."""
         self._busy: set[HostId] = set()
         self._avoided_until: dict[HostId, float] = {}
 
-    def ask(self, ask: AskAdvice) -> None:
+    def ask(self, ask: AdviceRequest) -> None:
         """Make a call as soon as a host is free for it."""
         self._put(ask, 0)
         self._dispatch()
@@ -61,7 +61,7 @@
             self._busy.discard(host)
             self._dispatch()
 
-    def _put(self, ask: AskAdvice, tries: int) -> None:
+    def _put(self, ask: AdviceRequest, tries: int) -> None:
         (self._urgent if ask.is_urgent else self._other).append((ask, tries))
 
     def _dispatch(self) -> None:
@@ -72,15 +72,15 @@
         free = [host for host in usable if host not in self._busy]
         while free and self._urgent:
             self._begin(free.pop(), *self._urgent.popleft())
-        kept = KEPT_FOR_URGENT if len(usable) > KEPT_FOR_URGENT else 0
+        kept = HOSTS_RESERVED_FOR_URGENT if len(usable) > HOSTS_RESERVED_FOR_URGENT else 0
         while len(free) > kept and self._other:
             self._begin(free.pop(), *self._other.popleft())
 
-    def _begin(self, host: HostId, ask: AskAdvice, tries: int) -> None:
+    def _begin(self, host: HostId, ask: AdviceRequest, tries: int) -> None:
         self._busy.add(host)
         self._nursery.start_soon(self._ask_through, host, ask, tries)
 
-    async def _ask_through(self, host: HostId, ask: AskAdvice, tries: int) -> None:
+    async def _ask_through(self, host: HostId, ask: AdviceRequest, tries: int) -> None:
         asked_at = trio.current_time()
         try:
             answer = await self._call(host, ask)
@@ -92,13 +92,13 @@
             self._on_failure(host, ask, tries + 1, answer.failure())
         self._dispatch()
 
-    async def _call(self, host: HostId, ask: AskAdvice) -> Result[AdviceAnswer, StepError]:
+    async def _call(self, host: HostId, ask: AdviceRequest) -> Result[AdviceAnswer, StepError]:
         takes_s = ask.timing.base_s + len(ask.executor_ids) * ask.timing.per_executor_s
         timeout_s = takes_s + ADVICE_SLACK_S
         message = GetAdvice(step=ask.step, executor_ids=ask.executor_ids, timeout_s=timeout_s)
         return await self._link.call(peer=host, message=message, timeout_s=timeout_s)
 
-    def _on_failure(self, host: HostId, ask: AskAdvice, tries: int, error: StepError) -> None:
+    def _on_failure(self, host: HostId, ask: AdviceRequest, tries: int, error: StepError) -> None:
         now = trio.current_time()
         self._avoided_until[host] = now + AVOID_S
         self._context.note("advice.failed", ask.step.job, cause=str(error), host=host)
@@ -108,7 +108,7 @@
         self._context.core.on_advice_failed(ask, now=now)
         self._context.wake()
 
-    def _take(self, ask: AskAdvice, advice: AdviceAnswer, *, took_s: float) -> None:
+    def _take(self, ask: AdviceRequest, advice: AdviceAnswer, *, took_s: float) -> None:
         self._context.note(
             "advice.answered",
             ask.step.job,
--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -59,7 +59,7 @@
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Collect; reports started once the hosts that are known have answered."""
-        steps = self._context.core.kept_advice.wanted_steps()
+        steps = self._context.core.inherited_advice.wanted_steps()
         until = trio.current_time() + COLLECT_FOR_S
         async with trio.open_nursery() as nursery:
             self._ask_new(nursery, steps)
@@ -96,7 +96,7 @@
     def _adopt(self, answers: tuple[KeptAnswer, ...], *, asked_at: float) -> None:
         """Take a host's answers; it measured the tickets' time after it was asked."""
         for kept in answers:
-            self._adopted += self._context.core.kept_advice.adopt(
+            self._adopted += self._context.core.inherited_advice.adopt(
                 kept.step,
                 kept.executor_ids,
                 kept.approved,
@@ -107,7 +107,7 @@
 
     async def _await_call(self, host: HostId, call: CallUnderWay) -> None:
         core = self._context.core
-        ask = core.kept_advice.begin(call.step, call.executor_ids, now=trio.current_time())
+        ask = core.inherited_advice.begin(call.step, call.executor_ids, now=trio.current_time())
         with self._desk.holding(host):
             answer = await self._link.call(
                 peer=host,
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Failure, Result
 
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.node.cell.term_context import TermContext
@@ -176,7 +176,7 @@
             self._on_fenced(token)
             return False
         if answer.verdict is StartVerdict.OTHER_EXECUTOR:
-            context.core.on_other_executor(executor_id, wall=context.wall())
+            context.core.on_address_reused(executor_id, wall=context.wall())
             context.wake()
             return False
         if answer.executor_id != executor_id:
@@ -211,7 +211,7 @@
         context = self._context
         self.wake()
         is_wanted = True
-        while is_wanted and context.core.is_wanted(order):
+        while is_wanted and context.core.is_needed(order):
             outcome = await self._send_start(order)
             is_wanted = context.core.on_start(
                 order, outcome, now=trio.current_time(), wall=context.wall()
@@ -226,7 +226,7 @@
         An order that is sent again needlessly may be carried out late, by a later incarnation.
         """
         await trio.sleep(RETRY_S)
-        while self._executor.is_doubted and self._context.core.is_wanted(order):  # noqa: ASYNC110
+        while self._executor.is_doubted and self._context.core.is_needed(order):  # noqa: ASYNC110
             await trio.sleep(RETRY_S)
 
     async def _send_start(self, order: StartOrder) -> StartOutcome:
@@ -256,7 +256,7 @@
             self._on_fenced(token)
         return _OUTCOME_BY_VERDICT[verdict]
 
-    async def pace(self, order: PaceOrder) -> None:
+    async def pace(self, order: ThrottleOrder) -> None:
         """Send a pace; the core repeats it until it is confirmed."""
         context, executor = self._context, self._executor
         token = context.token_of(executor.executor_id)
@@ -267,7 +267,7 @@
             timeout_s=context.core.timings.order_timeout_s,
         )
         if self._is_obeyed(answer, token):
-            context.core.on_paced(order)
+            context.core.on_throttle_confirmed(order)
 
     async def stop(self, order: StopOrder) -> None:
         """Send a stop; the core repeats it until the run is listed as ended."""
--- a/src/galenastall/node/cell/executor_sessions.py
+++ b/src/galenastall/node/cell/executor_sessions.py
@@ -48,7 +48,7 @@
             session = self._by_id.get(stop.executor_id)
             if session is not None:
                 self._nursery.start_soon(session.stop, stop)
-        for pace in core.take_paces():
+        for pace in core.take_throttle_orders():
             session = self._by_id.get(pace.executor_id)
             if session is not None:
                 self._nursery.start_soon(session.pace, pace)
@@ -56,7 +56,7 @@
             session = self._by_id.get(executor_id)
             if session is not None:
                 session.wake()
-        for executor_id in core.take_looks():
+        for executor_id in core.take_listing_requests():
             session = self._by_id.get(executor_id)
             if session is not None:
                 self._nursery.start_soon(session.look)
--- a/src/galenastall/node/cell/leader_term.py
+++ b/src/galenastall/node/cell/leader_term.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from galenastall.coordination.cell.executors import ExecutorInfo
-from galenastall.coordination.cell.mechanisms import ALL_ON, Mechanism, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms, Mechanism
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.node.cell.advice_desk import AdviceDesk
@@ -65,7 +65,7 @@
     """Entry hosts through which the advisor can be asked."""
     lag_s: Callable[[], float]
     """By how many seconds the loop of this process is late on average."""
-    without: Without = ALL_ON
+    without: DisabledMechanisms = ALL_ON
 
 
 class LeaderTerm:
@@ -187,7 +187,7 @@
         """Read the stored state; False if that takes so long that another host should lead."""
         error: StepError | None = None
         begun_at = trio.current_time()
-        with trio.move_on_after(self._parts.timings.load_within_s):
+        with trio.move_on_after(self._parts.timings.load_timeout_s):
             while True:
                 answer = await self._parts.state.load()
                 if not isinstance(answer, Failure):
@@ -262,7 +262,7 @@
             may_place=self._commits.failing_since is None,
         )
         sessions.open()
-        for ask in self.core.take_asks():
+        for ask in self.core.take_advice_requests():
             desk.ask(ask)
         sessions.send_orders()
         for order in self.core.hosts.take_ready():
--- a/src/galenastall/node/cell/standing.py
+++ b/src/galenastall/node/cell/standing.py
@@ -270,12 +270,12 @@
         )
 
     def _on_behind(self) -> None:
-        self._members.refuse_to_lead(self._timings.unwilling_s)
+        self._members.refuse_to_lead(self._timings.fell_behind_pause_s)
 
     async def _beat_forever(self, term: LeaderTerm) -> None:
         while True:
             self._beat(term)
-            await trio.sleep(self._timings.beat_every_s)
+            await trio.sleep(self._timings.heartbeat_interval_s)
 
     def _beat(self, term: LeaderTerm) -> None:
         config: CellConfig | None = self._parts.config()
--- a/src/galenastall/platform/executors.py
+++ b/src/galenastall/platform/executors.py
@@ -6,7 +6,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.listings import ListedEnd, ListedRun, Listing
 from galenastall.platform.calls import PlatformCalls, decode_answer
 from galenastall.platform.names import END_BY_NAME, parse_task, task_name
@@ -140,7 +140,7 @@
         return await self._order(_STOP, address, order.executor_id, message, timeout_s)
 
     async def pace(
-        self, *, address: str, order: PaceOrder, token: int, timeout_s: float
+        self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Let a run work at a share of its speed."""
         message: Message = {
--- a/src/galenastall/protocol/cell/executor_port.py
+++ b/src/galenastall/protocol/cell/executor_port.py
@@ -6,7 +6,7 @@
 
 from returns.result import Result
 
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.listings import Listing
 from galenastall.state.errors import StepError
 
@@ -67,7 +67,7 @@
         """Stop a run, and have it rejected if it comes later."""
 
     async def pace(
-        self, *, address: str, order: PaceOrder, token: int, timeout_s: float
+        self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Let a run work at a share of its speed; idempotent."""
 
--- a/tests/cell/advised.py
+++ b/tests/cell/advised.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from cell.rig import JOB, QUEUE, Rig, make_info, make_job, make_step
+from cell.rig import JOB, QUEUE, Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.advice import Approval
-from galenastall.coordination.cell.commands import AskAdvice, StartOrder
+from galenastall.coordination.cell.commands import AdviceRequest, StartOrder
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.state.cell.jobs import AdvisorTiming, Step
 
@@ -14,7 +14,7 @@
 """Thousandths of a core that leave no room for another task on an executor of 4."""
 
 
-class AdvisedRig(Rig):
+class AdvisedHarness(Harness):
     """A core whose jobs need advice, and an advisor that approves by name."""
 
     def __init__(self, *, executors: int, hosts: int) -> None:
@@ -32,19 +32,19 @@
             step = make_step(1, cores=FULL, estimate_s=estimate_s)
             self.submit(make_job(step, job_id=f"{number:016x}"))
             orders += self.step()
-        self.run_all(orders)
+        self.confirm_starts(orders)
         return orders
 
-    def asks(self) -> list[AskAdvice]:
+    def asks(self) -> list[AdviceRequest]:
         self.core.decide(now=self.now, wall=self.wall)
-        return self.core.take_asks()
+        return self.core.take_advice_requests()
 
-    def answer(self, ask: AskAdvice, approved: set[str] | None = None) -> None:
-        named = [e for e in ask.executor_ids if approved is None or e in approved]
+    def answer(self, request: AdviceRequest, approved: set[str] | None = None) -> None:
+        named = [e for e in request.executor_ids if approved is None or e in approved]
         answer = tuple(Approval(executor_id=e, ticket=f"t-{e}") for e in named)
-        self.core.on_advice(ask, answer, validity_s=TIMING.validity_s, now=self.now)
+        self.core.on_advice(request, answer, validity_s=TIMING.validity_s, now=self.now)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let time pass with all executors answering, their runs at a tenth a second."""
         self.now += seconds
         for executor in list(self.core.executors_by_id.values()):
--- a/tests/cell/rig.py
+++ b/tests/cell/rig.py
@@ -42,7 +42,7 @@
     return replace(job, **fields)  # type: ignore[arg-type]
 
 
-class Rig:
+class Harness:
     """A core, with a store that keeps what it writes."""
 
     def __init__(self, *infos: ExecutorInfo, rows: dict[str, bytes] | None = None) -> None:
@@ -52,7 +52,7 @@
         self.core.set_queues([QUEUE])
         self.core.restore(decode_rows(self.rows), wall=self.wall)
         self.infos = infos
-        self.see(*infos)
+        self.update_fleet(*infos)
         for info in infos:
             self.listing(info.executor_id)
 
@@ -60,7 +60,7 @@
     def wall(self) -> float:
         return WALL + self.now - 100.0
 
-    def see(self, *infos: ExecutorInfo) -> None:
+    def update_fleet(self, *infos: ExecutorInfo) -> None:
         self.core.on_fleet(infos, now=self.now)
 
     def listing(
@@ -103,7 +103,7 @@
         self.core.submit(job, wall=self.wall)
         self.commit()
 
-    def run_all(self, orders: list[StartOrder]) -> None:
+    def confirm_starts(self, orders: list[StartOrder]) -> None:
         for order in orders:
             self.core.on_start(order, StartOutcome.STARTED, now=self.now, wall=self.wall)
 
--- a/tests/cell/world.py
+++ b/tests/cell/world.py
@@ -14,7 +14,7 @@
 
 from cell.world_hosts import CAPACITY, Hosts
 from cell.world_store import Store
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
 from galenastall.protocol.cell.config import CellConfig, QueueRoute
@@ -320,7 +320,7 @@
         return await self._order(order.executor_id, timeout_s, lambda e: e.stop(order, token))
 
     async def pace(
-        self, *, address: str, order: PaceOrder, token: int, timeout_s: float
+        self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         return await self._order(order.executor_id, timeout_s, lambda e: StartVerdict.STARTED)
 
--- a/tests/test_cell_advice_calls.py
+++ b/tests/test_cell_advice_calls.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from cell.advised import AdvisedRig
+from cell.advised import AdvisedHarness
 from cell.rig import make_step
 from galenastall.coordination.cell.advice_planner import _calls_for
 
 
-class TestCallsOfAFirstQuestion:
+class TestCallsOfAFirstRequest:
     @pytest.mark.parametrize(
         ("count", "hosts_left", "calls"),
         [
@@ -23,24 +23,24 @@
             (176, 0, 0),
         ],
     )
-    def test_fewer_and_longer_ones_where_hosts_are_few(
+    def test_fewer_and_longer_calls_where_hosts_are_few(
         self, count: int, hosts_left: int, calls: int
     ) -> None:
         assert _calls_for(count, hosts_left=hosts_left) == calls
 
     @pytest.mark.parametrize(("hosts", "calls"), [(34, 6), (10, 2)])
-    def test_a_wide_gang_asks_about_all_executors(self, hosts: int, calls: int) -> None:
-        rig = AdvisedRig(executors=176, hosts=hosts)
-        rig.hand_in(make_step(20, is_gang=True))
-        asks = rig.asks()
+    def test_a_wide_gang_requests_advice_on_all_executors(self, hosts: int, calls: int) -> None:
+        harness = AdvisedHarness(executors=176, hosts=hosts)
+        harness.hand_in(make_step(20, is_gang=True))
+        asks = harness.asks()
         assert len(asks) == calls
-        named = [executor_id for ask in asks for executor_id in ask.executor_ids]
+        named = [executor_id for request in asks for executor_id in request.executor_ids]
         assert len(named) == len(set(named)) == 176
 
-    def test_gangs_that_come_together_leave_hosts_for_each_other(self) -> None:
+    def test_gangs_submitted_together_share_the_hosts(self) -> None:
         """Ten gangs at once on 34 hosts: all are asked about with the first decisions."""
-        rig = AdvisedRig(executors=176, hosts=34)
+        harness = AdvisedHarness(executors=176, hosts=34)
         for number in range(10):
-            rig.hand_in(make_step(20, is_gang=True), job_id=f"{number:016x}")
-        asked = {ask.step.job for ask in rig.asks()}
+            harness.hand_in(make_step(20, is_gang=True), job_id=f"{number:016x}")
+        asked = {request.step.job for request in harness.asks()}
         assert len(asked) == 10
--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -18,7 +18,7 @@
 
 from cell.cluster import Cluster
 from cell.play import hand_in, play, random_trouble
-from cell.rig import JOB, Rig, make_info, make_job, make_step
+from cell.rig import JOB, Harness, make_info, make_job, make_step
 from cell.world import World
 from cell.world_hosts import CAPACITY
 from galenastall.coordination.cell.executors import ExecutorInfo
@@ -41,10 +41,10 @@
 class TestStartsOnTheirWay:
     def test_a_start_that_waits_for_the_store_does_not_leave(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
         rig.core.decide(now=rig.now, wall=rig.wall)
-        rig.see(resized(info, 2000))
+        rig.update_fleet(resized(info, 2000))
         assert len(rig.commit()) == 2
         withheld = [note for note in rig.core.take_notes() if note.step == "run.withheld"]
         assert [note.cause for note in withheld] == ["no room left"] * 2
@@ -53,33 +53,33 @@
 
     def test_all_members_of_a_gang_wait_or_none(self) -> None:
         infos = [make_info("e0"), make_info("e1")]
-        rig = Rig(*infos)
+        rig = Harness(*infos)
         rig.submit(make_job(make_step(6, is_gang=True)))
         rig.core.decide(now=rig.now, wall=rig.wall)
-        rig.see(resized(infos[0], 2000), infos[1])
+        rig.update_fleet(resized(infos[0], 2000), infos[1])
         assert rig.commit() == []
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
         orders = rig.step()
-        rig.run_all(orders[1:])
-        rig.see(resized(info, 3000))
+        rig.confirm_starts(orders[1:])
+        rig.update_fleet(resized(info, 3000))
         late = orders[0]
         again = rig.core.on_start(late, StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
-        assert not (again and rig.core.is_wanted(late))
+        assert not (again and rig.core.is_needed(late))
         assert [stop.task for stop in rig.stops()] == [late.task]
 
     def test_an_order_sent_again_is_dropped_once_the_room_is_gone(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
         orders = rig.step()
-        rig.run_all(orders[1:])
+        rig.confirm_starts(orders[1:])
         assert rig.core.on_start(orders[0], StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
-        rig.see(resized(info, 3000))
-        assert not rig.core.is_wanted(orders[0])
+        rig.update_fleet(resized(info, 3000))
+        assert not rig.core.is_needed(orders[0])
         assert [stop.task for stop in rig.stops()] == [orders[0].task]
         assert rig.core.stopped_by_rule == {StopRule.ROOM_SHRANK: 1}
 
@@ -89,42 +89,42 @@
     def test_nothing_starts_where_any_amount_is_over(self, cores: int) -> None:
         """A filler reserves no processor; an executor over its capacity takes none all the same."""
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
-        rig.run_all(rig.step())
-        rig.see(resized(info, 3000))
+        rig.confirm_starts(rig.step())
+        rig.update_fleet(resized(info, 3000))
         rig.submit(make_job(make_step(1, cores=cores, is_filler=True), job_id=OTHER))
         assert rig.step() == []
 
     def test_runs_go_on(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
-        rig.run_all(rig.step())
-        rig.see(resized(info, 1000))
+        rig.confirm_starts(rig.step())
+        rig.update_fleet(resized(info, 1000))
         assert rig.stops() == []
         assert len(rig.runs_on("e0")) == 4
 
     def test_room_that_is_back_is_used_at_once(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(6)))
-        rig.run_all(rig.step())
-        rig.see(resized(info, 1000))
+        rig.confirm_starts(rig.step())
+        rig.update_fleet(resized(info, 1000))
         assert rig.step() == []
-        rig.see(resized(info, 6000))
+        rig.update_fleet(resized(info, 6000))
         assert len(rig.step()) == 2
 
     def test_what_is_being_stopped_still_counts(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
         orders = rig.step()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         rig.core.cancel(JOB, wall=rig.wall)
         rig.step()
         assert len(rig.stops()) == 4
-        rig.see(resized(info, 2000))
+        rig.update_fleet(resized(info, 2000))
         rig.submit(make_job(make_step(1), job_id=OTHER))
         assert rig.step() == []
         for position, order in enumerate(orders[:3], start=1):
@@ -133,11 +133,11 @@
 
     def test_a_new_leader_counts_what_runs_against_the_capacity_of_now(self) -> None:
         info = make_info("e0")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(4)))
-        rig.run_all(rig.step())
-        heir = Rig(rows=rig.rows)
-        heir.see(resized(info, 3000))
+        rig.confirm_starts(rig.step())
+        heir = Harness(rows=rig.rows)
+        heir.update_fleet(resized(info, 3000))
         heir.listing("e0", tuple(ListedRun(task=task, run=1) for task in rig.runs_on("e0")))
         assert heir.core.executors_by_id["e0"].free.cores_milli == -1000
         heir.submit(make_job(make_step(1), job_id=OTHER))
--- a/tests/test_cell_crash_blame.py
+++ b/tests/test_cell_crash_blame.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from cell.rig import JOB, QUEUE, Rig, make_info, make_job, make_step
+from cell.rig import JOB, QUEUE, Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.crashes import (
     ALONE_WEIGHT,
@@ -138,7 +138,7 @@
         assert rig.task(A)[0] == 2 * AT_WORK_WEIGHT
 
 
-class CrashRig(Rig):
+class CrashRig(Harness):
     """A core whose executors crash, and start again."""
 
     def __init__(self, *, executors: int = 8, rows: dict[str, bytes] | None = None) -> None:
@@ -149,7 +149,7 @@
     def start(self) -> list[StartOrder]:
         """Decide, and have all starts that leave confirmed."""
         orders = self.step()
-        self.run_all(orders)
+        self.confirm_starts(orders)
         return orders
 
     def crash(self, executor_id: str) -> None:
@@ -159,7 +159,7 @@
         self.now += 2.0
         later = make_info(f"e{number}.{self.starts[number]}", host=f"h{number}")
         self.infos = (*(i for i in self.infos if i.executor_id != executor_id), later)
-        self.see(*self.infos)
+        self.update_fleet(*self.infos)
         self.listen()
 
     def listen(self) -> None:
@@ -226,7 +226,7 @@
         rig = CrashRig(executors=1)
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
-        rig.see(replace(rig.infos[0], is_draining=True, leaves_in_s=2.0))
+        rig.update_fleet(replace(rig.infos[0], is_draining=True, leaves_in_s=2.0))
         rig.crash(order.executor_id)
         assert rig.task(A) == (0, False)
 
@@ -254,7 +254,7 @@
         rig.now += 2.0
         rig.step()
         for order in orders:
-            rig.core.on_other_executor(order.executor_id, wall=rig.wall)
+            rig.core.on_address_reused(order.executor_id, wall=rig.wall)
         blames = [rig.task(order.task)[0] for order in orders]
         assert blames == [SHARED_WEIGHT] * 4
 
@@ -266,7 +266,7 @@
         rig.now += 2.0
         number = int(order.executor_id[1])
         later = make_info(f"e{number}.2", host=f"h{number}")
-        rig.see(*rig.infos, later)
+        rig.update_fleet(*rig.infos, later)
         rig.listing(later.executor_id)
         assert rig.task(A) == (ALONE_WEIGHT, True)
 
@@ -369,7 +369,7 @@
         rig.crash(first.executor_id)
         assert len(rig.start()) == 1
         rig.start()
-        assert rig.core._placer.sight.reason_of(STEP) is WaitReason.ON_PROBATION
+        assert rig.core._placer.observations.reason_of(STEP) is WaitReason.ON_PROBATION
 
     def test_a_suspect_goes_where_no_urgent_run_and_few_others_are(self) -> None:
         rig = CrashRig(executors=3)
@@ -415,6 +415,6 @@
         rig.crash(order.executor_id)
         small = Resources(cores_milli=2000, memory_mb=8000)
         rig.infos = tuple(replace(info, capacity=small) for info in rig.infos)
-        rig.see(*rig.infos)
+        rig.update_fleet(*rig.infos)
         rig.submit(make_job(make_step(8, cores=500), job_id=OTHER))
         assert len(rig.start()) == 8
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -9,12 +9,12 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cell.advised import AdvisedRig
+from cell.advised import AdvisedHarness
 from cell.alone import play_alone
 from cell.cluster import Cluster
 from cell.cluster import make_job as make_cluster_job
 from cell.play import check_all_end, hand_in, play, random_trouble, restarts_in_trouble
-from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
+from cell.rig import JOB, TIMINGS, Harness, make_info, make_job, make_step
 from cell.weakenings import incarnations_are_shown_one_token, runs_are_not_handed_on
 from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
@@ -151,18 +151,18 @@
         assert executor_name(EARLIER) == executor_name(LATER)
 
 
-class RestartRig(Rig):
+class RestartRig(Harness):
     """A core with one executor that runs one task, and starts again."""
 
     def __init__(self) -> None:
         super().__init__(make_info(EARLIER, host="h"))
         self.submit(make_job(make_step(1)))
         (self.order,) = self.step()
-        self.run_all([self.order])
+        self.confirm_starts([self.order])
 
     def restart(self, running: tuple[ListedRun, ...] = (), *ended: ListedEnd) -> list[StartOrder]:
         """Have the later incarnation listed, and give its first listing."""
-        self.see(make_info(LATER, host="h"))
+        self.update_fleet(make_info(LATER, host="h"))
         self.listing(LATER, running, *ended)
         return self.step()
 
@@ -214,7 +214,7 @@
         rig.end(rig.order, RunEnd.FAILED, position=40)
         rig.commit()
         (order,) = rig.restart()
-        rig.run_all([order])
+        rig.confirm_starts([order])
         rig.end(order, RunEnd.DONE, position=1)
         rig.commit()
         assert rig.shown() is JobPhase.COMPLETED
@@ -223,7 +223,7 @@
         rig = RestartRig()
         rig.end(rig.order, RunEnd.FAILED, position=40)
         batch = rig.core.take_batch()
-        rig.see(make_info(LATER, host="h"))
+        rig.update_fleet(make_info(LATER, host="h"))
         rig.listing(LATER)
         rig.core.commit(batch, wall=rig.wall)
         assert rig.core.executors_by_id[LATER].durable == 0
@@ -233,32 +233,32 @@
         # Clocks of hosts may go back between two births.
         rig = RestartRig()
         later = make_executor_id("e", born_ms)
-        rig.see(make_info(later, host="h"))
+        rig.update_fleet(make_info(later, host="h"))
         rig.listing(later)
-        rig.see(make_info(EARLIER, host="h"))
+        rig.update_fleet(make_info(EARLIER, host="h"))
         assert set(rig.core.executors_by_id) == {later}
 
     def test_a_new_leader_finds_a_run_that_an_earlier_order_began(self) -> None:
         rig = RestartRig()
-        following = Rig(rows=rig.rows)
-        following.see(make_info(LATER, host="h"))
+        following = Harness(rows=rig.rows)
+        following.update_fleet(make_info(LATER, host="h"))
         following.listing(LATER, (rig.listed_run,))
         assert following.step() == []
         assert following.runs_on(LATER) == {rig.order.task}
 
     def test_a_new_leader_starts_again_what_the_later_one_lacks(self) -> None:
         rig = RestartRig()
-        following = Rig(rows=rig.rows)
-        following.see(make_info(LATER, host="h"))
+        following = Harness(rows=rig.rows)
+        following.update_fleet(make_info(LATER, host="h"))
         following.listing(LATER)
         assert [order.run for order in following.step()] == [2]
 
     def test_rows_that_name_no_birth_are_taken_up(self) -> None:
-        rig = Rig(make_info("e", host="h"))
+        rig = Harness(make_info("e", host="h"))
         rig.submit(make_job(make_step(1)))
         (order,) = rig.step()
-        following = Rig(rows=rig.rows)
-        following.see(make_info(LATER, host="h"))
+        following = Harness(rows=rig.rows)
+        following.update_fleet(make_info(LATER, host="h"))
         following.listing(LATER, (ListedRun(task=order.task, run=order.run),))
         assert following.runs_on(LATER) == {order.task}
 
@@ -278,7 +278,7 @@
         rig.core.on_restart(EARLIER, LATER, now=rig.now)
         rig.listing(LATER)
         assert rig.step() == []
-        rig.see(make_info(LATER, host="h"))
+        rig.update_fleet(make_info(LATER, host="h"))
         assert [order.executor_id for order in rig.step()] == [LATER]
 
     def test_an_answer_of_one_that_is_over_brings_it_not_back(self) -> None:
@@ -291,14 +291,14 @@
 class TestAdviceForALaterIncarnation:
     def test_one_that_was_not_approved_is_asked_about_again_after_its_restart(self) -> None:
         # A restarted executor may be of another kind, and tickets hold for one incarnation.
-        rig = AdvisedRig(executors=0, hosts=4)
-        rig.see(make_info(EARLIER, host="h"))
+        rig = AdvisedHarness(executors=0, hosts=4)
+        rig.update_fleet(make_info(EARLIER, host="h"))
         rig.listing(EARLIER)
         rig.hand_in(make_step(1))
         (ask,) = rig.asks()
         rig.answer(ask, approved=set())
         assert rig.asks() == []
-        rig.see(make_info(LATER, host="h"))
+        rig.update_fleet(make_info(LATER, host="h"))
         rig.listing(LATER)
         assert [ask.executor_ids for ask in rig.asks()] == [(LATER,)]
 
@@ -340,8 +340,8 @@
     """A session with an executor's first incarnation."""
 
     def __init__(self) -> None:
-        self.rig = Rig()
-        self.rig.see(make_info(EARLIER, host="h"))
+        self.rig = Harness()
+        self.rig.update_fleet(make_info(EARLIER, host="h"))
         self.port = Port()
         self.losses: list[str] = []
         clock = TrioClock(wall_at_start=1_000.0)
--- a/tests/test_cell_fitting.py
+++ b/tests/test_cell_fitting.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.fitting import SingleChoices, choose
 from galenastall.coordination.cell.forecast import Forecast
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.state.cell.jobs import StepKey
 
@@ -19,17 +19,17 @@
     def __init__(self, seed: int) -> None:
         rng = Random(seed)
         infos = [make_info(f"e{n:03}", cores=rng.randrange(500, 9000)) for n in range(30)]
-        rig = Rig(*infos)
+        harness = Harness(*infos)
         most = rng.choice([0, 0, 2])
         step = make_step(60, cores=rng.choice([700, 1500, 2500]), most_per_executor=most)
         self.job = JobRun(job=make_job(step))
-        self.job.open_due(rig.wall)
-        self.state = rig.core._state
+        self.job.open_due(harness.wall)
+        self.state = harness.core._state
         self.state.jobs_by_id[self.job.job.job_id] = self.job
-        self.plan = RoomPlan(forecast=Forecast(state=self.state))
-        self.plan.begin(now=rig.now, fleet_size=len(infos))
+        self.plan = ReservationPlan(forecast=Forecast(state=self.state))
+        self.plan.begin(now=harness.now, fleet_size=len(infos))
         pressing = make_step(1, cores=3000, estimate_s=60.0)
-        self.plan.keep_singles(pressing, 2, self.state.executors_by_id.values())
+        self.plan.reserve_for_singles(pressing, 2, self.state.executors_by_id.values())
         for task in self.step.tasks:
             if rng.random() < 0.1:
                 task.avoided = frozenset(rng.sample(sorted(self.state.executors_by_id), 3))
@@ -48,7 +48,7 @@
 
 class TestSingleChoices:
     @pytest.mark.parametrize("seed", range(20))
-    def test_they_are_those_of_a_look_at_all_executors_for_each_task(self, seed: int) -> None:
+    def test_choices_match_a_full_search_for_each_task(self, seed: int) -> None:
         one, other = Fleet(seed), Fleet(seed)
         choices = SingleChoices(one.state.executors_by_id.values(), one.step, one.plan)
         placed = 0
--- a/tests/test_cell_fleet_size.py
+++ b/tests/test_cell_fleet_size.py
@@ -13,7 +13,7 @@
 
 from cell.cluster import Cluster
 from cell.play import check_all_end, hand_in, play
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.executor_table import ExecutorTable
@@ -46,8 +46,8 @@
     return count
 
 
-def rig_of(executors: int) -> Rig:
-    return Rig(*(make_info(f"e{number}") for number in range(executors)))
+def rig_of(executors: int) -> Harness:
+    return Harness(*(make_info(f"e{number}") for number in range(executors)))
 
 
 class TestCostOfAListing:
@@ -73,7 +73,7 @@
         assert first > LARGE_FLEET
         assert others < first
 
-    def _fail(self, rig: Rig, orders: list[StartOrder]) -> None:
+    def _fail(self, rig: Harness, orders: list[StartOrder]) -> None:
         for order in orders:
             rig.core.on_start(order, StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
 
--- a/tests/test_cell_hosts.py
+++ b/tests/test_cell_hosts.py
@@ -9,7 +9,7 @@
 
 from cell.cluster import Cluster
 from cell.play import check_all_end, hand_in, play
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from cell.trouble import crashes, trouble
 from cell.world import World
 from galenastall.coordination.cell.availability import SETTLED_S
@@ -45,7 +45,7 @@
     )
 
 
-class HostRig(Rig):
+class HostRig(Harness):
     """A core whose executors each live on a host of the same name."""
 
     names = ("e1", "e2", "e3")
@@ -126,7 +126,7 @@
         rig = HostRig()
         rig.submit(make_job(make_step(3, cores=4000)))
         started = rig.step()
-        rig.run_all(started)
+        rig.confirm_starts(started)
         rig.keep_listing(started, percent=10)
         rig.begin(make_wave("e1"))
         assert rig.orders() == []
@@ -140,7 +140,7 @@
         rig = HostRig()
         rig.submit(make_job(make_step(1, cores=4000)))
         (order,) = rig.step()
-        rig.run_all([order])
+        rig.confirm_starts([order])
         rig.begin(make_wave(order.executor_id, duration_s=10.0))
         assert rig.stops() == []
         rig.now += 9.0
@@ -197,7 +197,7 @@
         )
         rig.submit(make_job(step))
         orders = rig.step()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         rig.keep_listing(orders, percent=50)
         rig.keep_listing(orders)
         rig.now += SETTLED_S
@@ -218,7 +218,7 @@
         (stop,) = rig.stops()
         stopped = next(order for order in orders if order.task == stop.task)
         rig.end(stopped, RunEnd.STOPPED)
-        rig.see(*(make_info(name, cores=8000) for name in rig.names))
+        rig.update_fleet(*(make_info(name, cores=8000) for name in rig.names))
         rig.keep_listing([order for order in orders if order is not stopped])
         assert rig.stops() == []
         # Two a host are allowed and there are three hosts: there is no other place for it.
@@ -243,7 +243,7 @@
     def wait_for_room(self, rig: HostRig) -> list[HostOrder]:
         rig.submit(make_job(make_step(4, cores=4000)))
         started = rig.step()
-        rig.run_all(started)
+        rig.confirm_starts(started)
         rig.now += GROW_AFTER_S
         rig.keep_listing(started, percent=10)
         return rig.orders()
@@ -260,7 +260,7 @@
 
     def test_a_host_that_is_too_small_stays(self) -> None:
         rig = self.rig()
-        rig.see(*(make_info(name, cores=8000) for name in rig.names))
+        rig.update_fleet(*(make_info(name, cores=8000) for name in rig.names))
         rig.submit(make_job(make_step(4, cores=8000)))
         started = rig.step()
         rig.now += GROW_AFTER_S
@@ -274,7 +274,7 @@
         self.show(rig, spare_pool="s")
         rig.core.cancel("0123456789abcdef", wall=rig.wall)
         infos = [make_info(name) for name in (*rig.names, "spare")]
-        rig.see(*infos)
+        rig.update_fleet(*infos)
         for _ in range(2):
             rig.now += SHRINK_AFTER_S
             for info in infos:
@@ -291,7 +291,7 @@
         assert not rig.answer(move, HostOutcome.DONE)
         self.show(rig, spare_pool="s")
         rig.core.hosts.set_waves([make_wave("spare")], wall=rig.wall)
-        rig.see(*(make_info(name) for name in (*rig.names, "spare")))
+        rig.update_fleet(*(make_info(name) for name in (*rig.names, "spare")))
         for name, executor in rig.core.executors_by_id.items():
             runs = executor.runs_by_task.items()
             rig.listing(name, tuple(ListedRun(task=t, run=r, percent=20) for t, r in runs))
--- a/tests/test_cell_kept_advice.py
+++ b/tests/test_cell_kept_advice.py
@@ -14,7 +14,7 @@
 import trio.testing
 from returns.result import Result, Success
 
-from cell.advised import ADVISED, FULL, TIMING, AdvisedRig
+from cell.advised import ADVISED, FULL, TIMING, AdvisedHarness
 from cell.rig import JOB, make_job, make_step
 from galenastall.bench.cell_load.play import Play, play
 from galenastall.bench.cell_load.workload import Workload, load_workload
@@ -73,7 +73,7 @@
     return GetAdvice(step=step, executor_ids=("e1", "e2"), timeout_s=2.0)
 
 
-class TestHostThatAsked:
+class TestHostThatCalled:
     async def test_an_answer_is_kept_with_the_time_that_its_tickets_have_left(
         self, autojump_clock: object
     ) -> None:
@@ -88,12 +88,14 @@
         found = await host.ask(RecoverAdvice(steps=(STEP,)))
         assert found.answers[0].good_for_s < 0.0
 
-    async def test_only_steps_that_the_leader_names_are_told(self, autojump_clock: object) -> None:
+    async def test_only_steps_that_the_leader_names_are_returned(
+        self, autojump_clock: object
+    ) -> None:
         host = make_host()
         await host.ask(get())
         assert await host.ask(RecoverAdvice(steps=(OTHER,))) == RecoveredAdvice()
 
-    async def test_a_call_under_way_is_told_and_can_be_waited_for(
+    async def test_a_pending_call_is_reported_and_can_be_awaited(
         self, autojump_clock: object
     ) -> None:
         host = make_host()
@@ -129,59 +131,61 @@
 
 
 class TestNewLeader:
-    def make(self) -> AdvisedRig:
+    def make(self) -> AdvisedHarness:
         """Return a leader to whom a gang of two has come that waits for advice."""
-        rig = AdvisedRig(executors=4, hosts=1)
-        rig.hand_in(make_step(2, cores=FULL, is_gang=True))
-        return rig
+        harness = AdvisedHarness(executors=4, hosts=1)
+        harness.hand_in(make_step(2, cores=FULL, is_gang=True))
+        return harness
 
-    def adopt(self, rig: AdvisedRig, approved: set[str], *, good_for_s: float) -> bool:
-        return rig.core.kept_advice.adopt(
+    def adopt(self, harness: AdvisedHarness, approved: set[str], *, good_for_s: float) -> bool:
+        return harness.core.inherited_advice.adopt(
             STEP,
             ("e000", "e001", "e002", "e003"),
             tuple(Approval(executor_id=e, ticket=f"t-{e}") for e in sorted(approved)),
-            good_until=rig.now + good_for_s,
+            good_until=harness.now + good_for_s,
         )
 
-    def test_good_tickets_start_a_gang_without_a_question(self) -> None:
-        rig = self.make()
-        assert rig.core.kept_advice.wanted_steps() == (STEP,)
-        assert self.adopt(rig, {"e001", "e002"}, good_for_s=1.0)
-        assert {(o.executor_id, o.ticket) for o in rig.step()} == {
+    def test_valid_tickets_start_a_gang_without_a_call(self) -> None:
+        harness = self.make()
+        assert harness.core.inherited_advice.wanted_steps() == (STEP,)
+        assert self.adopt(harness, {"e001", "e002"}, good_for_s=1.0)
+        assert {(o.executor_id, o.ticket) for o in harness.step()} == {
             ("e001", "t-e001"),
             ("e002", "t-e002"),
         }
-        assert rig.core.take_asks() == []
+        assert harness.core.take_advice_requests() == []
 
-    def test_expired_tickets_start_nothing_and_only_who_was_approved_is_asked_about(self) -> None:
-        rig = self.make()
-        assert self.adopt(rig, {"e001", "e002"}, good_for_s=-0.1)
-        assert rig.step() == []
-        (ask,) = rig.core.take_asks()
+    def test_expired_tickets_start_nothing_and_only_approved_executors_are_named(self) -> None:
+        harness = self.make()
+        assert self.adopt(harness, {"e001", "e002"}, good_for_s=-0.1)
+        assert harness.step() == []
+        (ask,) = harness.core.take_advice_requests()
         assert set(ask.executor_ids) == {"e001", "e002"}
 
     def test_an_older_answer_does_not_replace_a_newer_ticket(self) -> None:
-        rig = self.make()
-        assert self.adopt(rig, {"e001", "e002"}, good_for_s=1.0)
-        assert self.adopt(rig, {"e001", "e002", "e003"}, good_for_s=-1.0)
-        assert {order.executor_id for order in rig.step()} == {"e001", "e002"}
+        harness = self.make()
+        assert self.adopt(harness, {"e001", "e002"}, good_for_s=1.0)
+        assert self.adopt(harness, {"e001", "e002", "e003"}, good_for_s=-1.0)
+        assert {order.executor_id for order in harness.step()} == {"e001", "e002"}
 
     def test_a_call_under_way_is_not_made_again(self) -> None:
-        rig = self.make()
+        harness = self.make()
         ids = ("e000", "e001", "e002", "e003")
-        ask = rig.core.kept_advice.begin(STEP, ids, now=rig.now)
+        ask = harness.core.inherited_advice.begin(STEP, ids, now=harness.now)
         assert ask is not None
         assert (ask.queue_name, ask.timing) == (ADVISED.name, TIMING)
-        assert rig.asks() == []
-        rig.answer(ask, {"e001", "e003"})
-        assert {order.executor_id for order in rig.step()} == {"e001", "e003"}
+        assert harness.asks() == []
+        harness.answer(ask, {"e001", "e003"})
+        assert {order.executor_id for order in harness.step()} == {"e001", "e003"}
 
     def test_answers_about_steps_that_do_not_wait_are_left(self) -> None:
-        rig = self.make()
-        rig.submit(make_job(make_step(1), job_id="f" * 16))
+        harness = self.make()
+        harness.submit(make_job(make_step(1), job_id="f" * 16))
         for step in (StepKey("e" * 16, 0, 0), StepKey("f" * 16, 0, 0), StepKey(JOB, 0, 9)):
-            assert not rig.core.kept_advice.adopt(step, ("e1",), E1, good_until=rig.now + 1.0)
-            assert rig.core.kept_advice.begin(step, ("e1",), now=rig.now) is None
+            assert not harness.core.inherited_advice.adopt(
+                step, ("e1",), E1, good_until=harness.now + 1.0
+            )
+            assert harness.core.inherited_advice.begin(step, ("e1",), now=harness.now) is None
 
 
 GANGS = """
@@ -219,7 +223,7 @@
         return sum(fate.started_s or 60.0 for fate in played.fates)
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_they_start_sooner_and_the_advisor_is_asked_less(
+    def test_inherited_advice_gives_earlier_starts_and_fewer_calls(
         self, tmp_path: Path, seed: int
     ) -> None:
         workload = self.make(tmp_path)
--- a/tests/test_cell_leadership.py
+++ b/tests/test_cell_leadership.py
@@ -234,7 +234,7 @@
             back_at = trio.current_time()
             await cluster.start_all()
             assert await cluster.wait_for_leader() == first
-            assert trio.current_time() - back_at < TIMINGS.tip_silence_s
+            assert trio.current_time() - back_at < TIMINGS.log_end_stalled_s
 
         await play(scenario, seed=31)
 
@@ -266,7 +266,7 @@
             begun_at = trio.current_time()
             await cluster.live[first].host.standing.leave(1.0)
             await cluster.wait_for_other_leader(first)
-            assert trio.current_time() - begun_at < TIMINGS.beat_doubt_s
+            assert trio.current_time() - begun_at < TIMINGS.heartbeat_suspect_s
 
         await play(scenario, seed=32)
 
--- a/tests/test_cell_line.py
+++ b/tests/test_cell_line.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from cell.advised import ADVISED, FULL, AdvisedRig
-from cell.rig import QUEUE, Rig, make_info, make_job, make_step
-from galenastall.coordination.cell.commands import AskAdvice, StartOrder
+from cell.advised import ADVISED, FULL, AdvisedHarness
+from cell.rig import QUEUE, Harness, make_info, make_job, make_step
+from galenastall.coordination.cell.commands import AdviceRequest, StartOrder
 from galenastall.coordination.cell.listings import ListedEnd, ListedRun
-from galenastall.coordination.cell.turns import Turns
+from galenastall.coordination.cell.rotation import Rotation
 from galenastall.state.cell.jobs import Queue, Step, StepKey
 from galenastall.state.cell.phases import RunEnd
 
@@ -27,7 +27,7 @@
     return f"a{number:015x}"
 
 
-class LineRig(AdvisedRig):
+class QueueHarness(AdvisedHarness):
     """Plays on, with an advisor that takes its time and approves by job."""
 
     def __init__(self, *, executors: int) -> None:
@@ -36,28 +36,28 @@
         """Where a job may run; one that is not named may run anywhere."""
         self.started_jobs: set[str] = set()
         self.asked_jobs: list[str] = []
-        self._under_way: list[tuple[float, AskAdvice]] = []
+        self._under_way: list[tuple[float, AdviceRequest]] = []
 
     def approve(self, job: str, *numbers: int) -> None:
         self.approved_by_job[job] = {f"e{number:03}" for number in numbers}
 
-    def play(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Decide ten times a second; answers come after a call's time."""
         for _ in range(round(seconds / TICK_S)):
-            self.pass_time(TICK_S)
+            self.advance(TICK_S)
             self._answer_due()
             orders = self.step()
             self.started_jobs |= {order.task.job for order in orders}
-            self.run_all(orders)
-            asks = self.core.take_asks()
-            self.asked_jobs += [ask.step.job for ask in asks]
-            self._under_way += [(self.now + CALL_S, ask) for ask in asks]
+            self.confirm_starts(orders)
+            asks = self.core.take_advice_requests()
+            self.asked_jobs += [request.step.job for request in asks]
+            self._under_way += [(self.now + CALL_S, request) for request in asks]
 
     def _answer_due(self) -> None:
-        due = [ask for at, ask in self._under_way if at <= self.now]
-        self._under_way = [(at, ask) for at, ask in self._under_way if at > self.now]
-        for ask in due:
-            self.answer(ask, self.approved_by_job.get(ask.step.job))
+        due = [request for at, request in self._under_way if at <= self.now]
+        self._under_way = [(at, request) for at, request in self._under_way if at > self.now]
+        for request in due:
+            self.answer(request, self.approved_by_job.get(request.step.job))
 
     def occupy(self, *numbers: int, estimate_s: float, is_long_running: bool = False) -> None:
         """Fill some executors; each task starts where only it has the room."""
@@ -66,11 +66,11 @@
         )
         wanted = {f"e{number:03}" for number in numbers}
         infos = [i if i.executor_id in wanted else replace(i, labels=()) for i in self.infos]
-        self.see(*infos)
+        self.update_fleet(*infos)
         for number in numbers:
             self.submit(make_job(step, job_id=f"{number:016x}"))
-            self.run_all(self.step())
-        self.see(*self.infos)
+            self.confirm_starts(self.step())
+        self.update_fleet(*self.infos)
 
     def empty(self, *numbers: int) -> None:
         """End all runs on some executors."""
@@ -91,63 +91,63 @@
 
     AHEAD = 14
 
-    def play_behind(self, rig: LineRig) -> None:
+    def run_behind(self, harness: QueueHarness) -> None:
         """Hand in a gang behind the others; all of its tickets run out before there is room."""
-        rig.approve(LAST, 3, 4, 5)
+        harness.approve(LAST, 3, 4, 5)
         for number in range(self.AHEAD):
-            rig.hand_in(WIDE, job_id=job_id(number))
-        rig.hand_in(WIDE, job_id=LAST)
-        rig.play(6.0)
-        assert rig.started_jobs == set()
-        rig.empty(3, 4, 5)
-        rig.play(6.0)
+            harness.hand_in(WIDE, job_id=job_id(number))
+        harness.hand_in(WIDE, job_id=LAST)
+        harness.run_for(6.0)
+        assert harness.started_jobs == set()
+        harness.empty(3, 4, 5)
+        harness.run_for(6.0)
 
     def test_gangs_that_are_approved_on_too_few_executors(self) -> None:
-        rig = LineRig(executors=6)
-        rig.occupy(3, 4, 5, estimate_s=10.0)
+        harness = QueueHarness(executors=6)
+        harness.occupy(3, 4, 5, estimate_s=10.0)
         for number in range(self.AHEAD):
-            rig.approve(job_id(number), 0, 1)
-        self.play_behind(rig)
-        assert rig.started_jobs == {LAST}
+            harness.approve(job_id(number), 0, 1)
+        self.run_behind(harness)
+        assert harness.started_jobs == {LAST}
 
     def test_gangs_whose_room_is_taken_by_runs_without_an_end(self) -> None:
-        rig = LineRig(executors=6)
-        rig.occupy(0, 1, 2, estimate_s=0.0, is_long_running=True)
-        rig.occupy(3, 4, 5, estimate_s=10.0)
+        harness = QueueHarness(executors=6)
+        harness.occupy(0, 1, 2, estimate_s=0.0, is_long_running=True)
+        harness.occupy(3, 4, 5, estimate_s=10.0)
         for number in range(self.AHEAD):
-            rig.approve(job_id(number), 0, 1, 2)
-        self.play_behind(rig)
-        assert rig.started_jobs == {LAST}
+            harness.approve(job_id(number), 0, 1, 2)
+        self.run_behind(harness)
+        assert harness.started_jobs == {LAST}
 
     def test_gangs_whose_room_comes_free_much_later(self) -> None:
-        rig = LineRig(executors=6 + 3 * self.AHEAD)
-        rig.occupy(3, 4, 5, estimate_s=10.0)
+        harness = QueueHarness(executors=6 + 3 * self.AHEAD)
+        harness.occupy(3, 4, 5, estimate_s=10.0)
         for number in range(self.AHEAD):
             own = range(6 + 3 * number, 9 + 3 * number)
-            rig.occupy(*own, estimate_s=29.0)
-            rig.approve(job_id(number), *own)
-        self.play_behind(rig)
-        assert rig.started_jobs == {LAST}
+            harness.occupy(*own, estimate_s=29.0)
+            harness.approve(job_id(number), *own)
+        self.run_behind(harness)
+        assert harness.started_jobs == {LAST}
 
-    def test_one_that_fits_at_last_gets_its_place_back(self) -> None:
+    def test_a_gang_that_fits_at_last_is_planned_again(self) -> None:
         """Having found nothing for long does not keep a gang from room that comes."""
-        rig = LineRig(executors=6)
-        rig.occupy(0, 1, 2, estimate_s=0.0, is_long_running=True)
+        harness = QueueHarness(executors=6)
+        harness.occupy(0, 1, 2, estimate_s=0.0, is_long_running=True)
         for number in range(self.AHEAD):
-            rig.approve(job_id(number), 0, 1, 2)
-            rig.hand_in(WIDE, job_id=job_id(number))
-        rig.play(6.0)
-        rig.empty(0, 1, 2)
-        rig.play(4.0)
-        assert len(rig.started_jobs) == 1
-
-    def test_what_can_not_start_is_not_asked_about_again(self) -> None:
-        rig = LineRig(executors=6)
+            harness.approve(job_id(number), 0, 1, 2)
+            harness.hand_in(WIDE, job_id=job_id(number))
+        harness.run_for(6.0)
+        harness.empty(0, 1, 2)
+        harness.run_for(4.0)
+        assert len(harness.started_jobs) == 1
+
+    def test_advice_is_not_renewed_for_gangs_that_can_not_start(self) -> None:
+        harness = QueueHarness(executors=6)
         for number in range(self.AHEAD):
-            rig.approve(job_id(number), 0, 1)
-            rig.hand_in(WIDE, job_id=job_id(number))
-        rig.play(8.0)
-        assert sorted(rig.asked_jobs) == [job_id(number) for number in range(self.AHEAD)]
+            harness.approve(job_id(number), 0, 1)
+            harness.hand_in(WIDE, job_id=job_id(number))
+        harness.run_for(8.0)
+        assert sorted(harness.asked_jobs) == [job_id(number) for number in range(self.AHEAD)]
 
 
 class TestStepsAhead:
@@ -159,64 +159,64 @@
 
     AHEAD = 130
 
-    def play_behind(self, rig: LineRig, step: Step, queue: Queue = QUEUE) -> None:
+    def run_behind(self, harness: QueueHarness, step: Step, queue: Queue = QUEUE) -> None:
         for number in range(self.AHEAD):
-            rig.submit(make_job(step, job_id=job_id(number), queue=queue))
-        rig.submit(make_job(replace(SMALL, estimate_s=20.0), job_id=LAST))
-        rig.play(3.0)
+            harness.submit(make_job(step, job_id=job_id(number), queue=queue))
+        harness.submit(make_job(replace(SMALL, estimate_s=20.0), job_id=LAST))
+        harness.run_for(3.0)
 
-    def test_steps_with_a_label_that_nobody_has(self) -> None:
-        rig = LineRig(executors=2)
-        self.play_behind(rig, make_step(1, label="gone"))
-        assert rig.started_jobs == {LAST}
+    def test_steps_with_a_label_that_no_executor_has(self) -> None:
+        harness = QueueHarness(executors=2)
+        self.run_behind(harness, make_step(1, label="gone"))
+        assert harness.started_jobs == {LAST}
 
     def test_steps_of_a_service_without_executors(self) -> None:
-        rig = LineRig(executors=2)
+        harness = QueueHarness(executors=2)
         elsewhere = replace(QUEUE, name="elsewhere", service="gone")
-        rig.core.set_queues([QUEUE, elsewhere])
-        self.play_behind(rig, SMALL, elsewhere)
-        assert rig.started_jobs == {LAST}
+        harness.core.set_queues([QUEUE, elsewhere])
+        self.run_behind(harness, SMALL, elsewhere)
+        assert harness.started_jobs == {LAST}
 
     def test_steps_that_are_approved_nowhere(self) -> None:
-        rig = LineRig(executors=2)
+        harness = QueueHarness(executors=2)
         for number in range(self.AHEAD):
-            rig.approve(job_id(number))
-        self.play_behind(rig, SMALL, ADVISED)
-        assert rig.started_jobs == {LAST}
+            harness.approve(job_id(number))
+        self.run_behind(harness, SMALL, ADVISED)
+        assert harness.started_jobs == {LAST}
 
     def test_steps_larger_than_any_executor(self) -> None:
-        rig = LineRig(executors=2)
-        self.play_behind(rig, make_step(1, cores=9000))
-        assert rig.started_jobs == {LAST}
+        harness = QueueHarness(executors=2)
+        self.run_behind(harness, make_step(1, cores=9000))
+        assert harness.started_jobs == {LAST}
 
     def test_steps_that_wait_for_whole_executors(self) -> None:
         """Room is kept for them on some executors; what is behind them fits beside the others."""
-        rig = LineRig(executors=10)
-        rig.occupy(*range(10), estimate_s=0.0, is_long_running=True)
-        self.play_behind(rig, LARGE)
-        assert rig.started_jobs == {LAST}
+        harness = QueueHarness(executors=10)
+        harness.occupy(*range(10), estimate_s=0.0, is_long_running=True)
+        self.run_behind(harness, LARGE)
+        assert harness.started_jobs == {LAST}
 
-    def test_each_of_many_is_looked_at_in_its_turn(self) -> None:
+    def test_each_of_many_steps_is_considered_in_rotation(self) -> None:
         """Of 400 steps that wait for their advice, each is asked about."""
-        rig = LineRig(executors=2)
-        rig.core.set_advice_calls_at_once(1_000)
+        harness = QueueHarness(executors=2)
+        harness.core.set_advice_calls_at_once(1_000)
         for number in range(400):
-            rig.approve(job_id(number))
-            rig.hand_in(SMALL, job_id=job_id(number))
-        rig.play(4.0)
-        assert len(set(rig.asked_jobs)) == 400
+            harness.approve(job_id(number))
+            harness.hand_in(SMALL, job_id=job_id(number))
+        harness.run_for(4.0)
+        assert len(set(harness.asked_jobs)) == 400
 
-    def test_an_answer_is_used_before_its_tickets_run_out(self) -> None:
+    def test_an_answer_is_used_before_its_tickets_expire(self) -> None:
         """With 1,000 ahead a turn comes each 4.5 s, and tickets last for 2.5 s."""
-        rig = LineRig(executors=2)
-        rig.core.set_advice_calls_at_once(2_000)
+        harness = QueueHarness(executors=2)
+        harness.core.set_advice_calls_at_once(2_000)
         ahead, last = (replace(SMALL, estimate_s=seconds) for seconds in (20.0, 30.0))
         for number in range(1_000):
-            rig.approve(job_id(number))
-            rig.hand_in(ahead, job_id=job_id(number))
-        rig.submit(make_job(last, job_id=LAST, queue=ADVISED))
-        rig.play(12.0)
-        assert rig.started_jobs == {LAST}
+            harness.approve(job_id(number))
+            harness.hand_in(ahead, job_id=job_id(number))
+        harness.submit(make_job(last, job_id=LAST, queue=ADVISED))
+        harness.run_for(12.0)
+        assert harness.started_jobs == {LAST}
 
 
 class TestGangsWiderThanACall:
@@ -225,17 +225,17 @@
     The tickets of the others had run out, so that such a gang never started once it had waited.
     """
 
-    def test_the_others_are_asked_about_next(self) -> None:
-        rig = LineRig(executors=112)
-        rig.occupy(*range(112), estimate_s=10.0)
-        rig.hand_in(make_step(110, cores=4000, is_gang=True, estimate_s=20.0), job_id=LAST)
-        rig.play(6.0)
-        rig.empty(*range(112))
-        rig.play(6.0)
-        assert rig.started_jobs == {LAST}
+    def test_the_next_call_names_the_other_executors(self) -> None:
+        harness = QueueHarness(executors=112)
+        harness.occupy(*range(112), estimate_s=10.0)
+        harness.hand_in(make_step(110, cores=4000, is_gang=True, estimate_s=20.0), job_id=LAST)
+        harness.run_for(6.0)
+        harness.empty(*range(112))
+        harness.run_for(6.0)
+        assert harness.started_jobs == {LAST}
 
 
-class StreamRig(Rig):
+class StreamHarness(Harness):
     """Small tasks come in a steady stream and end after 1 to 3 s."""
 
     def __init__(self, *, executors: int, load: float) -> None:
@@ -247,7 +247,7 @@
         self._runs: list[tuple[float, StartOrder]] = []
         self._positions = Counter[str]()
 
-    def play(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             self._end_runs()
@@ -258,7 +258,7 @@
                 small = make_step(1, cores=1000, estimate_s=MEAN_RUN_S)
                 self.submit(make_job(small, job_id=job_id(self._came), submitted_at=self.wall))
             orders = self.step()
-            self.run_all(orders)
+            self.confirm_starts(orders)
             self.started_jobs |= {order.task.job for order in orders}
             self._runs += [(self.now + self._run_s(order), order) for order in orders]
 
@@ -288,40 +288,40 @@
     never enough for all of it at once: nothing in 110 s, however long the stream goes on.
     """
 
-    def late(self, rig: StreamRig, step: Step, job: str = LAST) -> None:
+    def late(self, harness: StreamHarness, step: Step, job: str = LAST) -> None:
         """Hand in a job that earns nothing any more."""
-        rig.submit(make_job(step, job_id=job, submitted_at=rig.wall - 60.0))
+        harness.submit(make_job(step, job_id=job, submitted_at=harness.wall - 60.0))
 
     @pytest.mark.parametrize("load", [0.8, 0.95])
-    def test_one_starts_beside_a_stream_of_small_tasks(self, load: float) -> None:
-        rig = StreamRig(executors=16, load=load)
-        rig.play(5.0)
-        self.late(rig, make_step(4, cores=4000, is_gang=True, estimate_s=1.0))
-        rig.play(10.0)
-        assert LAST in rig.started_jobs
-
-    def test_one_that_can_not_start_does_not_stand_before_another(self) -> None:
-        rig = StreamRig(executors=16, load=0.95)
-        rig.play(5.0)
-        self.late(rig, make_step(17, cores=4000, is_gang=True, estimate_s=1.0), "e" * 16)
-        self.late(rig, make_step(4, cores=4000, is_gang=True, estimate_s=1.0))
-        rig.play(10.0)
-        assert LAST in rig.started_jobs
-
-    def test_one_that_is_hardly_late_lets_all_others_go_first(self) -> None:
-        rig = StreamRig(executors=16, load=0.95)
-        rig.play(5.0)
+    def test_a_late_gang_starts_despite_a_stream_of_small_tasks(self, load: float) -> None:
+        harness = StreamHarness(executors=16, load=load)
+        harness.run_for(5.0)
+        self.late(harness, make_step(4, cores=4000, is_gang=True, estimate_s=1.0))
+        harness.run_for(10.0)
+        assert LAST in harness.started_jobs
+
+    def test_a_late_gang_that_can_not_start_does_not_block_another(self) -> None:
+        harness = StreamHarness(executors=16, load=0.95)
+        harness.run_for(5.0)
+        self.late(harness, make_step(17, cores=4000, is_gang=True, estimate_s=1.0), "e" * 16)
+        self.late(harness, make_step(4, cores=4000, is_gang=True, estimate_s=1.0))
+        harness.run_for(10.0)
+        assert LAST in harness.started_jobs
+
+    def test_a_gang_that_is_barely_worthless_goes_after_other_work(self) -> None:
+        harness = StreamHarness(executors=16, load=0.95)
+        harness.run_for(5.0)
         gang = make_step(4, cores=4000, is_gang=True, estimate_s=1.0)
         # Past three times its objective of 3 s by one second.
-        rig.submit(make_job(gang, job_id=LAST, submitted_at=rig.wall - 10.0))
-        rig.play(5.0)
-        assert LAST not in rig.started_jobs
+        harness.submit(make_job(gang, job_id=LAST, submitted_at=harness.wall - 10.0))
+        harness.run_for(5.0)
+        assert LAST not in harness.started_jobs
 
 
-class TestTurns:
-    def test_a_stream_of_newcomers_keeps_nobody_waiting(self) -> None:
+class TestRotation:
+    def test_a_stream_of_new_keys_does_not_starve_waiting_ones(self) -> None:
         """Each decision brings as many new ones as it picks, ahead of all others in the line."""
-        turns = Turns(at_once=4)
+        turns = Rotation(batch_size=4)
         waiting = [StepKey(job_id(number), 0, 0) for number in range(40)]
         picked: set[StepKey] = set()
         for number in range(10):
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -7,7 +7,7 @@
 
 from cell.cluster import Cluster
 from cell.play import changed_quotas_in_trouble, hand_in, play
-from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
+from cell.rig import JOB, TIMINGS, Harness, make_info, make_job, make_step
 from cell.weakenings import replaced
 from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
@@ -29,7 +29,7 @@
     return Workspace(name=name, limit=Resources(cores_milli=cores, memory_mb=memory_mb))
 
 
-class QuotaRig(Rig):
+class QuotaHarness(Harness):
     """A core with one workspace of this limit, and room for much more."""
 
     def __init__(self, *, cores: int, rows: dict[str, bytes] | None = None) -> None:
@@ -65,7 +65,7 @@
             (make_workspace(cores=9000, memory_mb=250), 0, 2),
         ],
     )
-    def test_room_is_what_each_limit_leaves(
+    def test_startable_tasks_are_what_each_limit_leaves(
         self, workspace: Workspace, used: int, count: int
     ) -> None:
         need = Resources(cores_milli=1000, memory_mb=100)
@@ -79,135 +79,137 @@
 
 class TestStarts:
     def test_no_more_starts_than_the_limit_allows(self) -> None:
-        rig = QuotaRig(cores=3000)
-        rig.hand_in(make_step(8))
-        assert len(rig.step()) == 3
-        assert rig.used == 3000
-        assert rig.step() == []
-        assert rig.reasons() == {WaitReason.QUOTA_USED: 1}
-
-    def test_an_end_makes_room(self) -> None:
-        rig = QuotaRig(cores=3000)
-        rig.hand_in(make_step(8))
-        orders = rig.step()
-        rig.run_all(orders)
-        rig.end(orders[0], RunEnd.DONE)
-        assert len(rig.step()) == 1
-        assert rig.used == 3000
-
-    def test_others_are_not_held_up(self) -> None:
-        rig = QuotaRig(cores=1000)
-        rig.hand_in(make_step(8))
-        rig.submit(make_job(make_step(2), job_id=OTHER))
-        assert {order.task.job for order in rig.step()} == {JOB, OTHER}
+        harness = QuotaHarness(cores=3000)
+        harness.hand_in(make_step(8))
+        assert len(harness.step()) == 3
+        assert harness.used == 3000
+        assert harness.step() == []
+        assert harness.reasons() == {WaitReason.QUOTA_USED: 1}
+
+    def test_an_ended_run_frees_its_share_of_the_limit(self) -> None:
+        harness = QuotaHarness(cores=3000)
+        harness.hand_in(make_step(8))
+        orders = harness.step()
+        harness.confirm_starts(orders)
+        harness.end(orders[0], RunEnd.DONE)
+        assert len(harness.step()) == 1
+        assert harness.used == 3000
+
+    def test_other_workspaces_are_not_delayed(self) -> None:
+        harness = QuotaHarness(cores=1000)
+        harness.hand_in(make_step(8))
+        harness.submit(make_job(make_step(2), job_id=OTHER))
+        assert {order.task.job for order in harness.step()} == {JOB, OTHER}
 
     def test_an_unknown_workspace_has_no_limit(self) -> None:
-        rig = QuotaRig(cores=1000)
-        rig.submit(make_job(make_step(8), workspace="b"))
-        assert len(rig.step()) == 8
+        harness = QuotaHarness(cores=1000)
+        harness.submit(make_job(make_step(8), workspace="b"))
+        assert len(harness.step()) == 8
 
     def test_nothing_of_a_workspace_starts_before_its_limit_is_known(self) -> None:
         """A host that has just started may lead before it has read the configuration."""
-        rig = Rig(make_info("e0"))
-        rig.submit(make_job(make_step(2), workspace="a"))
-        rig.submit(make_job(make_step(1), job_id=OTHER))
-        assert [order.task.job for order in rig.step()] == [OTHER]
-        rig.core.set_workspaces([])
-        assert len(rig.step()) == 2
+        harness = Harness(make_info("e0"))
+        harness.submit(make_job(make_step(2), workspace="a"))
+        harness.submit(make_job(make_step(1), job_id=OTHER))
+        assert [order.task.job for order in harness.step()] == [OTHER]
+        harness.core.set_workspaces([])
+        assert len(harness.step()) == 2
 
     def test_a_removed_workspace_keeps_its_last_limit(self) -> None:
-        rig = QuotaRig(cores=2000)
-        rig.hand_in(make_step(8))
-        rig.core.set_workspaces([])
-        assert len(rig.step()) == 2
+        harness = QuotaHarness(cores=2000)
+        harness.hand_in(make_step(8))
+        harness.core.set_workspaces([])
+        assert len(harness.step()) == 2
 
 
 class TestGangs:
-    def test_a_gang_goes_in_whole_or_not_at_all(self) -> None:
-        rig = QuotaRig(cores=5000)
-        rig.hand_in(make_step(2))
-        first = rig.step()
-        rig.run_all(first)
-        rig.hand_in(make_step(4, is_gang=True), job_id=OTHER)
-        assert rig.step() == []
-        assert rig.reasons() == {WaitReason.QUOTA_USED: 1}
-        rig.end(first[0], RunEnd.DONE)
-        assert len(rig.step()) == 4
-
-    def test_small_tasks_behind_it_do_not_take_its_room(self) -> None:
-        rig = QuotaRig(cores=4000)
-        rig.hand_in(make_step(4))
-        first = rig.step()
-        rig.run_all(first)
-        rig.hand_in(make_step(4, is_gang=True, estimate_s=0.5), job_id=OTHER)
-        rig.hand_in(make_step(9, estimate_s=3.0), job_id=THIRD)
-        rig.end(first[0], RunEnd.DONE)
-        assert rig.step() == []
+    def test_a_gang_starts_within_the_limit_completely_or_not_at_all(self) -> None:
+        harness = QuotaHarness(cores=5000)
+        harness.hand_in(make_step(2))
+        first = harness.step()
+        harness.confirm_starts(first)
+        harness.hand_in(make_step(4, is_gang=True), job_id=OTHER)
+        assert harness.step() == []
+        assert harness.reasons() == {WaitReason.QUOTA_USED: 1}
+        harness.end(first[0], RunEnd.DONE)
+        assert len(harness.step()) == 4
+
+    def test_small_tasks_behind_a_gang_do_not_take_its_share(self) -> None:
+        harness = QuotaHarness(cores=4000)
+        harness.hand_in(make_step(4))
+        first = harness.step()
+        harness.confirm_starts(first)
+        harness.hand_in(make_step(4, is_gang=True, estimate_s=0.5), job_id=OTHER)
+        harness.hand_in(make_step(9, estimate_s=3.0), job_id=THIRD)
+        harness.end(first[0], RunEnd.DONE)
+        assert harness.step() == []
         for order in first[1:]:
-            rig.end(order, RunEnd.DONE, position=2)
-        assert {order.task.job for order in rig.step()} == {OTHER}
+            harness.end(order, RunEnd.DONE, position=2)
+        assert {order.task.job for order in harness.step()} == {OTHER}
 
-    def test_one_that_never_fits_is_told_apart_and_holds_nothing_up(self) -> None:
-        rig = QuotaRig(cores=3000)
-        rig.hand_in(make_step(4, is_gang=True, estimate_s=0.5))
-        rig.hand_in(make_step(3, estimate_s=3.0), job_id=OTHER)
-        assert len(rig.step()) == 3
-        assert rig.reasons() == {WaitReason.OVER_QUOTA: 1}
-        rig.limit(9000)
-        assert len(rig.step()) == 4
+    def test_a_gang_over_its_quota_is_reported_and_blocks_nothing(self) -> None:
+        harness = QuotaHarness(cores=3000)
+        harness.hand_in(make_step(4, is_gang=True, estimate_s=0.5))
+        harness.hand_in(make_step(3, estimate_s=3.0), job_id=OTHER)
+        assert len(harness.step()) == 3
+        assert harness.reasons() == {WaitReason.OVER_QUOTA: 1}
+        harness.limit(9000)
+        assert len(harness.step()) == 4
 
 
-class TestLimitsThatFall:
+class TestLoweredLimits:
     def test_nothing_more_starts_and_what_runs_goes_on(self) -> None:
-        rig = QuotaRig(cores=4000)
-        rig.hand_in(make_step(8))
-        orders = rig.step()
-        rig.run_all(orders)
-        rig.limit(1000)
-        assert rig.stops() == []
-        rig.end(orders[0], RunEnd.DONE)
-        assert rig.step() == []
+        harness = QuotaHarness(cores=4000)
+        harness.hand_in(make_step(8))
+        orders = harness.step()
+        harness.confirm_starts(orders)
+        harness.limit(1000)
+        assert harness.stops() == []
+        harness.end(orders[0], RunEnd.DONE)
+        assert harness.step() == []
 
     def test_starts_that_are_being_made_durable_are_withheld(self) -> None:
-        rig = QuotaRig(cores=4000)
-        rig.hand_in(make_step(8))
-        rig.core.decide(now=rig.now, wall=rig.wall)
-        rig.limit(1000)
-        assert len(rig.commit()) == 1
-        assert rig.used == 1000
+        harness = QuotaHarness(cores=4000)
+        harness.hand_in(make_step(8))
+        harness.core.decide(now=harness.now, wall=harness.wall)
+        harness.limit(1000)
+        assert len(harness.commit()) == 1
+        assert harness.used == 1000
 
     def test_a_start_without_an_answer_is_not_sent_again(self) -> None:
-        rig = QuotaRig(cores=4000)
-        rig.hand_in(make_step(8))
-        orders = rig.step()
+        harness = QuotaHarness(cores=4000)
+        harness.hand_in(make_step(8))
+        orders = harness.step()
         unsure = orders[0]
-        assert self.leave_open(rig, unsure)
-        rig.limit(1000)
-        assert [stop.task for stop in rig.stops()] == [unsure.task]
-        assert not self.leave_open(rig, orders[1])
+        assert self.leave_open(harness, unsure)
+        harness.limit(1000)
+        assert [stop.task for stop in harness.stops()] == [unsure.task]
+        assert not self.leave_open(harness, orders[1])
 
-    def leave_open(self, rig: Rig, order: StartOrder) -> bool:
-        return rig.core.on_start(order, StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
+    def leave_open(self, harness: Harness, order: StartOrder) -> bool:
+        return harness.core.on_start(
+            order, StartOutcome.UNKNOWN, now=harness.now, wall=harness.wall
+        )
 
 
 class TestTakeovers:
     def test_runs_are_counted_once_by_the_next_leader(self) -> None:
-        rig = QuotaRig(cores=3000)
-        rig.hand_in(make_step(8))
-        rig.run_all(rig.step())
-        later = CellScheduler(timings=TIMINGS, fenced_at=rig.now)
-        later.restore(decode_rows(rig.rows), wall=rig.wall)
+        harness = QuotaHarness(cores=3000)
+        harness.hand_in(make_step(8))
+        harness.confirm_starts(harness.step())
+        later = CellScheduler(timings=TIMINGS, fenced_at=harness.now)
+        later.restore(decode_rows(harness.rows), wall=harness.wall)
         assert later.used_by_workspace["a"].cores_milli == 3000
 
     def test_an_ended_job_keeps_its_owner(self) -> None:
-        rig = QuotaRig(cores=0)
-        rig.hand_in(make_step(1))
-        orders = rig.step()
-        rig.run_all(orders)
-        rig.end(orders[0], RunEnd.DONE)
-        rig.step()
-        assert rig.shown() is JobPhase.COMPLETED
-        later = QuotaRig(cores=0, rows=rig.rows)
+        harness = QuotaHarness(cores=0)
+        harness.hand_in(make_step(1))
+        orders = harness.step()
+        harness.confirm_starts(orders)
+        harness.end(orders[0], RunEnd.DONE)
+        harness.step()
+        assert harness.shown() is JobPhase.COMPLETED
+        later = QuotaHarness(cores=0, rows=harness.rows)
         assert later.core.jobs_by_id[JOB].job.workspace == "a"
         assert later.used == 0
 
@@ -216,9 +218,11 @@
 SEEDS = (*range(8), 11, 40, 41, 42)
 
 
-class TestRandomTrouble:
+class TestRandomFaults:
     @pytest.mark.parametrize("seed", SEEDS)
-    async def test_limits_hold_through_all_of_it(self, autojump_clock: object, seed: int) -> None:
+    async def test_limits_hold_through_random_faults(
+        self, autojump_clock: object, seed: int
+    ) -> None:
         await play(changed_quotas_in_trouble, seed=seed)
 
     @pytest.mark.parametrize("seed", SEEDS_OF_RESTARTS)
@@ -227,7 +231,7 @@
     ) -> None:
         await play(changed_quotas_in_trouble, seed=seed, keeps_ids=True)
 
-    async def test_a_leader_that_counts_no_runs_is_noticed(self, autojump_clock: object) -> None:
+    async def test_a_leader_that_counts_no_runs_is_detected(self, autojump_clock: object) -> None:
         with replaced(WorkspaceUse, "add", lambda self, task, **_: None):
             await play(busy_workspace, seed=0)
 
--- a/tests/test_cell_refusals.py
+++ b/tests/test_cell_refusals.py
@@ -6,7 +6,7 @@
 same way for as long as that executor refused, beside others that would have taken it.
 """
 
-from cell.rig import JOB, Rig, make_info, make_job, make_step
+from cell.rig import JOB, Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.state.cell.phases import RunEnd
@@ -15,7 +15,7 @@
 RUNS = 6
 
 
-def answer(rig: Rig, orders: list[StartOrder], *, refusing: set[str], position: int) -> None:
+def answer(rig: Harness, orders: list[StartOrder], *, refusing: set[str], position: int) -> None:
     """Refuse starts on some executors, and end the others' runs, as stopped or on their own."""
     for order in orders:
         refuses = order.executor_id in refusing
@@ -28,7 +28,7 @@
 
 class TestRefusedStarts:
     def test_a_gang_s_next_run_avoids_the_executor_that_refused(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(3)))
+        rig = Harness(*(make_info(f"e{number}") for number in range(3)))
         rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         first = rig.step()
         answer(rig, first, refusing={"e0"}, position=1)
@@ -38,7 +38,7 @@
         assert {order.executor_id for order in rig.step()} == {"e1", "e2"}
 
     def test_it_is_used_again_where_there_is_no_other(self) -> None:
-        rig = Rig(make_info("e0"), make_info("e1"))
+        rig = Harness(make_info("e0"), make_info("e1"))
         rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         answer(rig, rig.step(), refusing={"e0"}, position=1)
         rig.now += AGAIN_S
@@ -47,7 +47,7 @@
         assert {order.executor_id for order in rig.step()} == {"e0", "e1"}
 
     def test_an_executor_that_refuses_start_after_start_is_left_alone_for_longer(self) -> None:
-        rig = Rig(make_info("e0"))
+        rig = Harness(make_info("e0"))
         pauses: list[float] = []
         rig.submit(make_job(make_step(1)))
         for _ in range(RUNS):
@@ -61,7 +61,7 @@
         assert 10.0 < pauses[-1] <= 30.0
 
     def test_one_start_that_it_takes_ends_that(self) -> None:
-        rig = Rig(make_info("e0"))
+        rig = Harness(make_info("e0"))
         rig.submit(make_job(make_step(1)))
         pauses: list[float] = []
         for refusing in (True, True, False, True):
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -7,9 +7,9 @@
 import pytest
 from returns.result import Failure
 
-from cell.advised import ADVISED, AdvisedRig
-from cell.rig import JOB, QUEUE, WALL, Rig, make_info, make_job, make_step
-from galenastall.coordination.cell.commands import AskAdvice, StartOrder
+from cell.advised import ADVISED, AdvisedHarness
+from cell.rig import JOB, QUEUE, WALL, Harness, make_info, make_job, make_step
+from galenastall.coordination.cell.commands import AdviceRequest, StartOrder
 from galenastall.coordination.cell.host_orders import HostOutcome
 from galenastall.coordination.cell.job_runs import JobRun
 from galenastall.coordination.cell.listings import ListedRun
@@ -20,18 +20,18 @@
 from galenastall.state.cell.phases import RunEnd, TaskPhase
 from galenastall.state.cell.rows import encode_progress
 from test_cell_hosts import CAPACITY, HostRig, make_hosts
-from test_cell_line import LAST, TICK_S, LineRig, StreamRig, job_id
+from test_cell_line import LAST, TICK_S, QueueHarness, StreamHarness, job_id
 
 RECORD_BYTES = 262_144
 OTHER = "fedcba9876543210"
 LISTED_EVERY_S = 0.5
 
 
-def paused(rig: Rig) -> set[str]:
+def paused(rig: Harness) -> set[str]:
     return {i for i, e in rig.core.executors_by_id.items() if e.paused_until > rig.now}
 
 
-def show(rig: Rig, percent_by_order: dict[StartOrder, int]) -> None:
+def show(rig: Harness, percent_by_order: dict[StartOrder, int]) -> None:
     """List what runs on each executor, all runs of one executor together."""
     for info in rig.infos:
         own = {o: p for o, p in percent_by_order.items() if o.executor_id == info.executor_id}
@@ -39,7 +39,7 @@
         rig.listing(info.executor_id, running)
 
 
-def refuse(rig: Rig, order: StartOrder, outcome: StartOutcome) -> None:
+def refuse(rig: Harness, order: StartOrder, outcome: StartOutcome) -> None:
     rig.core.on_start(order, outcome, now=rig.now, wall=rig.wall)
 
 
@@ -47,7 +47,7 @@
     """Starts that leave together are refused together: that is one refusal, not one a start."""
 
     def test_starts_that_left_together_do_not_double_the_pause_of_each_other(self) -> None:
-        rig = Rig(make_info("e0"))
+        rig = Harness(make_info("e0"))
         rig.submit(make_job(make_step(6, cores=500)))
         orders = rig.step()
         assert len(orders) == 6
@@ -57,10 +57,10 @@
 
     @pytest.mark.parametrize("outcome", [StartOutcome.UNHEALTHY, StartOutcome.NOT_STARTED])
     def test_a_refusal_does_not_shorten_a_longer_pause(self, outcome: StartOutcome) -> None:
-        rig = Rig(make_info("e0"))
+        rig = Harness(make_info("e0"))
         rig.submit(make_job(make_step(2, cores=500)))
         still, sent = rig.step()
-        rig.run_all([still])
+        rig.confirm_starts([still])
         for _ in range(8):
             rig.now += LISTED_EVERY_S
             show(rig, {still: 40})
@@ -74,7 +74,7 @@
 class TestRefusedInAnotherWay:
     def test_a_gang_avoids_an_executor_that_did_not_start_it_for_another_reason(self) -> None:
         """As too late for its clock, say: it comes to the same as a refusal for want of health."""
-        rig = Rig(*(make_info(f"e{number}") for number in range(3)))
+        rig = Harness(*(make_info(f"e{number}") for number in range(3)))
         rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         for order in rig.step():
             is_refused = order.executor_id == "e0"
@@ -90,9 +90,9 @@
 class TestOneRack:
     """A rack that fits is taken before it is asked which executors are avoided."""
 
-    def start(self) -> tuple[Rig, list[StartOrder]]:
+    def start(self) -> tuple[Harness, list[StartOrder]]:
         racks = {"e0": "r1", "e1": "r1", "e2": "r2", "e3": "r2"}
-        rig = Rig(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
+        rig = Harness(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
         rig.submit(make_job(make_step(2, cores=4000, is_gang=True, wants_one_rack=True)))
         return rig, rig.step()
 
@@ -100,7 +100,7 @@
         rig, orders = self.start()
         assert {order.executor_id for order in orders} == {"e0", "e1"}
         refuse(rig, orders[0], StartOutcome.UNHEALTHY)
-        rig.run_all(orders[1:])
+        rig.confirm_starts(orders[1:])
         rig.end(orders[1], RunEnd.STOPPED)
         rig.now += 1.0
         show(rig, {})
@@ -109,7 +109,7 @@
     def test_a_gang_that_stood_still_goes_to_the_other_rack(self) -> None:
         """Nobody is paused, so it came back to the executor that hangs, for twice as long each."""
         rig, orders = self.start()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         for _ in range(8):
             rig.now += LISTED_EVERY_S
             show(rig, dict.fromkeys(orders, 40))
@@ -123,13 +123,13 @@
 
 class TestWorkThatStandsStillByNature:
     def test_it_does_not_close_executors_on_which_other_runs_go_on(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
+        rig = Harness(*(make_info(f"e{number}") for number in range(4)))
         each = make_step(4, cores=1000, most_per_executor=1)
         rig.submit(make_job(each))
         still = rig.step()
         rig.submit(make_job(replace(each, estimate_s=20.0), job_id=OTHER))
         sound = rig.step()
-        rig.run_all([*still, *sound])
+        rig.confirm_starts([*still, *sound])
         for turn in range(8):
             rig.now += LISTED_EVERY_S
             show(rig, dict.fromkeys(still, 40) | dict.fromkeys(sound, 5 * turn))
@@ -142,7 +142,7 @@
     """Each start of one job is refused, as malformed say; all others would be taken."""
 
     def test_it_does_not_close_all_executors(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
+        rig = Harness(*(make_info(f"e{number}") for number in range(4)))
         rig.submit(make_job(make_step(1, cores=500)))
         for _ in range(600):
             rig.now += 0.1
@@ -164,15 +164,15 @@
 class TestServiceThatFailsAtOnce:
     """A task that goes on until cancelled is started again however often it fails."""
 
-    def play(self, seconds: float) -> tuple[Rig, int]:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
+    def play(self, seconds: float) -> tuple[Harness, int]:
+        rig = Harness(*(make_info(f"e{number}") for number in range(4)))
         rig.submit(make_job(make_step(1, cores=500, is_long_running=True)))
         starts = 0
         for position in range(1, round(seconds / 0.1)):
             rig.now += 0.1
             show(rig, {})
             orders = rig.step()
-            rig.run_all(orders)
+            rig.confirm_starts(orders)
             starts += len(orders)
             for order in orders:
                 rig.end(order, RunEnd.FAILED, position=position)
@@ -189,7 +189,7 @@
         assert OTHER in started, f"paused: {sorted(paused(rig))}"
 
 
-class PacedRig(Rig):
+class PacedRig(Harness):
     """A task that serves on e0 beside fillers on all executors."""
 
     def __init__(self, *, fillers: int) -> None:
@@ -202,7 +202,7 @@
         serves = make_step(1, is_long_running=True, tail_target_ms=100)
         self.submit(make_job(serves, job_id=OTHER))
         self.serving = self.step()
-        self.run_all([*self.fillers, *self.serving])
+        self.confirm_starts([*self.fillers, *self.serving])
         self.host = self.serving[0].executor_id
 
     def play(self, seconds: float) -> None:
@@ -214,8 +214,8 @@
                 self.percents[order] = self.percents.get(order, 0.0) + 10 * pace * LISTED_EVERY_S
             for info in self.infos:
                 self.listing(info.executor_id, self._running(info.executor_id))
-            for pace_order in self.core.take_paces():
-                self.core.on_paced(pace_order)
+            for pace_order in self.core.take_throttle_orders():
+                self.core.on_throttle_confirmed(pace_order)
 
     def _running(self, executor_id: str) -> tuple[ListedRun, ...]:
         running = [
@@ -262,16 +262,16 @@
 class TestOverdueGangs:
     def test_many_of_them_do_not_keep_work_that_earns_something_waiting(self) -> None:
         """One at a time, but one after the other: each takes the whole cell."""
-        rig = StreamRig(executors=8, load=0.5)
-        rig.play(5.0)
+        rig = StreamHarness(executors=8, load=0.5)
+        rig.run_for(5.0)
         for number in range(10):
             gang = make_step(8, cores=4000, is_gang=True, estimate_s=1.0)
             late = make_job(gang, job_id=f"e{number:015x}", submitted_at=rig.wall - 60.0)
             rig.submit(late)
         came_before = rig._came
-        rig.play(3.0)
+        rig.run_for(3.0)
         timely = {job_id(number) for number in range(came_before + 1, rig._came + 1)}
-        rig.play(5.0)
+        rig.run_for(5.0)
         waiting = timely - rig.started_jobs
         assert not waiting, f"{len(waiting)} of {len(timely)} missed their objective of 5 s"
 
@@ -281,19 +281,19 @@
         rig.approve(LAST, 0, 1, 2)
         gang = make_step(3, cores=4000, is_gang=True)
         rig.submit(make_job(gang, job_id=LAST, queue=ADVISED, submitted_at=rig.wall - 60.0))
-        rig.play(4.0)
+        rig.run_for(4.0)
         rig.is_away = True
-        rig.play(4.0)
+        rig.run_for(4.0)
         rig.empty(0, 1, 2)
         timely = {job_id(number) for number in range(4)}
         for each in sorted(timely):
             large = make_step(1, cores=4000, estimate_s=20.0)
             rig.submit(make_job(large, job_id=each, submitted_at=rig.wall))
-        rig.play(30.0)
+        rig.run_for(30.0)
         assert timely <= rig.started_jobs
 
 
-class AwayRig(LineRig):
+class AwayRig(QueueHarness):
     """The advisor answers nothing from some moment on."""
 
     is_away = False
@@ -306,10 +306,10 @@
 class TestGangThatIsDone:
     def test_a_member_that_does_not_end_gives_its_room_back(self) -> None:
         """The first member that is done makes the gang's step done; the rest was never stopped."""
-        rig = Rig(make_info("e0"), make_info("e1"))
+        rig = Harness(make_info("e0"), make_info("e1"))
         rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         done, left = rig.step()
-        rig.run_all([done, left])
+        rig.confirm_starts([done, left])
         show(rig, {done: 90, left: 90})
         rig.end(done, RunEnd.DONE)
         rig.step()
@@ -353,12 +353,12 @@
 
 class TestPatienceWithAGang:
     def test_it_doubles_whichever_member_was_given_up(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
+        rig = Harness(*(make_info(f"e{number}") for number in range(4)))
         rig.submit(make_job(make_step(3, cores=4000, is_gang=True)))
         waits: list[float] = []
         for still in range(3):
             orders = rig.step()
-            rig.run_all(orders)
+            rig.confirm_starts(orders)
             began_at = rig.now
             for turn in range(60):
                 show(rig, {o: 40 if n == still else 40 + turn // 2 for n, o in enumerate(orders)})
@@ -376,14 +376,14 @@
 class TestUrgentQuestions:
     def test_calls_that_wait_for_a_host_are_not_made_again_without_end(self) -> None:
         """Hosts are asked through one call at a time; here they make two a second."""
-        rig = AdvisedRig(executors=4, hosts=3)
+        rig = AdvisedHarness(executors=4, hosts=3)
         urgent = replace(ADVISED, name="urgent", priority=0)
         rig.core.set_queues([QUEUE, ADVISED, urgent])
         for number in range(100):
             rig.submit(make_job(make_step(1), job_id=job_id(number), queue=urgent))
-        calls: deque[AskAdvice] = deque()
+        calls: deque[AdviceRequest] = deque()
         for tick in range(300):
-            rig.pass_time(TICK_S)
+            rig.advance(TICK_S)
             calls.extend(rig.asks())
             if tick % 5 == 0 and calls:
                 rig.answer(calls.popleft(), set())
@@ -392,15 +392,15 @@
 
 class TestStandstillWhileDraining:
     def test_a_run_that_hangs_on_a_draining_executor_is_given_up(self) -> None:
-        rig = Rig(make_info("e0"), make_info("e1"))
+        rig = Harness(make_info("e0"), make_info("e1"))
         rig.submit(make_job(make_step(1)))
         (order,) = rig.step()
-        rig.run_all([order])
+        rig.confirm_starts([order])
         for percent in (0, 20, 40):
             rig.now += LISTED_EVERY_S
             show(rig, {order: percent})
         draining = [replace(i, is_draining=True, leaves_in_s=300.0) for i in rig.infos[:1]]
-        rig.see(*draining, *rig.infos[1:])
+        rig.update_fleet(*draining, *rig.infos[1:])
         stops = []
         for _ in range(240):
             rig.now += LISTED_EVERY_S
@@ -413,18 +413,18 @@
     """Gangs that are late are brought forward; a single task is not, and keeps no room either."""
 
     def test_one_starts_beside_a_stream_of_small_tasks(self) -> None:
-        rig = StreamRig(executors=16, load=0.95)
-        rig.play(5.0)
+        rig = StreamHarness(executors=16, load=0.95)
+        rig.run_for(5.0)
         large = make_step(1, cores=4000, estimate_s=1.0)
         rig.submit(make_job(large, job_id=LAST, submitted_at=rig.wall - 60.0))
-        rig.play(90.0)
+        rig.run_for(90.0)
         assert LAST in rig.started_jobs
 
 
 class TestTicketsThatAreRefused:
     def test_a_gang_avoids_an_executor_that_refused_its_ticket(self) -> None:
         """Its ticket is asked for again, and it is placed there again."""
-        rig = AdvisedRig(executors=3, hosts=6)
+        rig = AdvisedHarness(executors=3, hosts=6)
         rig.hand_in(make_step(2, cores=4000, is_gang=True))
         for ask in rig.asks():
             rig.answer(ask)
@@ -454,7 +454,7 @@
         spare = PoolHost(host="spare", pool=self.pool, state=HostState.UP, capacity=CAPACITY)
         self.core.hosts.set_hosts((*make_hosts(self.names), spare), wall=self.wall)
         spares = [replace(make_info("spare"), labels=("b",))] if self.pool == "s" else []
-        self.see(*(make_info(name) for name in self.names), *spares)
+        self.update_fleet(*(make_info(name) for name in self.names), *spares)
 
     def play(self, seconds: float) -> set[str]:
         """Let runs go on without an end; return the jobs that were started."""
@@ -470,7 +470,7 @@
                     name, tuple(ListedRun(task=t, run=r, percent=percent) for t, r in runs)
                 )
             orders = self.step()
-            self.run_all(orders)
+            self.confirm_starts(orders)
             started |= {order.task.job for order in orders}
             for order in self.core.hosts.take_ready():
                 self.moves.append(order.pool)
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -9,10 +9,10 @@
 import trio
 from typer.testing import CliRunner
 
-from cell.rig import JOB, QUEUE, Rig, make_info, make_job, make_step
+from cell.rig import JOB, QUEUE, Harness, make_info, make_job, make_step
 from galenastall.cli.app import app
 from galenastall.coordination.cell.advice import Approval
-from galenastall.coordination.cell.commands import AskAdvice, Note, StartOrder
+from galenastall.coordination.cell.commands import AdviceRequest, Note, StartOrder
 from galenastall.coordination.cell.executors import Closed, Cordon, Executor
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.explain_reasons import reasons_by_queue, tell_reasons
@@ -22,14 +22,14 @@
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.coordination.cell.placer import TICKETED_SOON_S
-from galenastall.coordination.cell.room_plan import PlannedStart
-from galenastall.coordination.cell.standstill import STILL_S
-from galenastall.coordination.cell.stop_rules import JobStops, StopRule
-from galenastall.coordination.cell.turns import (
-    FRUITLESS_PLANS,
-    PLANNED_GANGS,
+from galenastall.coordination.cell.reservation_plan import PlannedStart
+from galenastall.coordination.cell.rotation import (
+    MAX_FAILED_PLANS,
+    MAX_PLANNED_GANGS,
     STEPS_PER_DECISION,
 )
+from galenastall.coordination.cell.standstill import STILL_S
+from galenastall.coordination.cell.stop_rules import JobStops, StopRule
 from galenastall.coordination.cell.wait_reasons import SOON_S, WaitReason, why_not_gang
 from galenastall.coordination.cell.waiting_report import (
     LINES_AT_ONCE,
@@ -50,14 +50,14 @@
 """Thousandths of a core that an executor has."""
 
 
-class SightRig(Rig):
+class SightRig(Harness):
     """A core of some executors, and what it tells."""
 
     def __init__(self, *, executors: int = 2, hosts: int = 6) -> None:
         super().__init__(*(make_info(f"e{number:03}") for number in range(executors)))
         self.core.set_queues([QUEUE, ADVISED])
         self.core.set_advice_calls_at_once(hosts)
-        self.asks: list[AskAdvice] = []
+        self.asks: list[AdviceRequest] = []
         self.percent = 0
 
     def hand_in(self, step: Step, job_id: str = JOB) -> None:
@@ -68,11 +68,11 @@
         for number in range(executors):
             step = make_step(1, cores=cores, estimate_s=estimate_s)
             self.submit(make_job(step, job_id=f"{number:016x}"))
-            self.run_all(self.step())
+            self.confirm_starts(self.step())
 
     def decide(self, *, may_place: bool = True) -> list[StartOrder]:
         self.core.decide(now=self.now, wall=self.wall, may_place=may_place)
-        self.asks += self.core.take_asks()
+        self.asks += self.core.take_advice_requests()
         return self.commit()
 
     def why(self, job_id: str = JOB) -> WaitReason:
@@ -81,7 +81,7 @@
         return self.reason(job_id)
 
     def reason(self, job_id: str = JOB) -> WaitReason:
-        return self.core._placer.sight.reason_of(StepKey(job_id, 0, 0))
+        return self.core._placer.observations.reason_of(StepKey(job_id, 0, 0))
 
     def answer(self, *approved: str) -> None:
         """Answer all calls under way."""
@@ -226,7 +226,7 @@
     def test_gangs_beyond_the_plan(self) -> None:
         rig = SightRig(executors=2, hosts=99)
         rig.fill(2)
-        ids = [f"a{number:015x}" for number in range(PLANNED_GANGS + 1)]
+        ids = [f"a{number:015x}" for number in range(MAX_PLANNED_GANGS + 1)]
         for job_id in ids:
             rig.hand_in(make_step(2, cores=FULL, is_gang=True), job_id)
         rig.decide()
@@ -235,11 +235,11 @@
         reasons = [rig.reason(job_id) for job_id in ids]
         assert reasons.count(WaitReason.ROOM_LATER) == 1
         # One is planned; of the others a decision looks at so many in vain.
-        assert reasons.count(WaitReason.NO_ROOM_AHEAD) == FRUITLESS_PLANS
-        assert reasons.count(WaitReason.NOT_PLANNED) == PLANNED_GANGS - FRUITLESS_PLANS
+        assert reasons.count(WaitReason.NO_ROOM_AHEAD) == MAX_FAILED_PLANS
+        assert reasons.count(WaitReason.NOT_PLANNED) == MAX_PLANNED_GANGS - MAX_FAILED_PLANS
         # Later decisions look at all of them: who is left out has its turn.
         (counts,) = told(rig.wait(1), "cell.waiting")
-        assert counts["advised:planned_for_others"] == str(PLANNED_GANGS)
+        assert counts["advised:planned_for_others"] == str(MAX_PLANNED_GANGS)
 
     def test_single_tasks_on_full_executors(self) -> None:
         rig = SightRig(executors=2)
@@ -253,7 +253,7 @@
         rig = SightRig(executors=2)
         rig.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
         orders = rig.step()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         rig.end(orders[0], RunEnd.FAILED)
         assert rig.why() is WaitReason.LAST_RUN_ENDING
 
@@ -271,10 +271,10 @@
         rig = self.gang()
         rig.decide()
         rig.answer("e000", "e001")
-        (waiting,) = rig.core._placer._line.in_order(now=rig.now, wall=rig.wall)
+        (waiting,) = rig.core._placer._queue.in_order(now=rig.now, wall=rig.wall)
         planned = PlannedStart(at=rig.now, slots=()) if is_planned else None
         usable, plan = rig.core.executors_by_id, rig.core.plan
-        why = why_not_gang(waiting, usable, plan, planned, may_plan=may_plan, can_ask=True)
+        why = why_not_gang(waiting, usable, plan, planned, may_plan=may_plan, can_request=True)
         assert why is reason
 
     def test_room_is_near_for_as_long_as_the_placer_says(self) -> None:
@@ -368,7 +368,7 @@
         rig.submit(make_job(make_step(3, cores=3000)))
         rig.wait(int(LONG_WAIT_S) - 1)
         if comes_another:
-            rig.see(make_info("e000"), make_info("e001"))
+            rig.update_fleet(make_info("e000"), make_info("e001"))
         assert len(told(rig.wait(int(LONG_WAIT_S) - 1), "job.waiting")) == lines
 
     def test_counts_are_bounded(self) -> None:
@@ -456,7 +456,7 @@
         """Run a gang of two whose members both stand still at 40 percent."""
         rig = SightRig(executors=2)
         rig.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
-        rig.run_all(rig.step())
+        rig.confirm_starts(rig.step())
         rig.answer_listings(40)
         for _ in range(int(STILL_S) + 1):
             rig.now += 1.0
--- a/tests/test_cell_standstill.py
+++ b/tests/test_cell_standstill.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from cell.rig import JOB, Rig, make_info, make_job, make_step
+from cell.rig import JOB, Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.coordination.cell.orders import StartOutcome
@@ -22,19 +22,19 @@
 LISTED_TIMES = 8
 
 
-def paused(rig: Rig) -> set[str]:
+def paused(rig: Harness) -> set[str]:
     """Return the executors that get nothing new for now."""
     return {i for i, e in rig.core.executors_by_id.items() if e.paused_until > rig.now}
 
 
-def show(rig: Rig, percent_by_order: dict[StartOrder, int]) -> None:
+def show(rig: Harness, percent_by_order: dict[StartOrder, int]) -> None:
     """List runs with their progress."""
     for order, percent in percent_by_order.items():
         run = ListedRun(task=order.task, run=order.run, percent=percent)
         rig.listing(order.executor_id, (run,))
 
 
-def watch(rig: Rig, percents_by_order: dict[StartOrder, tuple[int, int]]) -> None:
+def watch(rig: Harness, percents_by_order: dict[StartOrder, tuple[int, int]]) -> None:
     """List runs for some seconds; each has a progress and what it gains by a listing."""
     for turn in range(LISTED_TIMES):
         rig.now += LISTED_EVERY_S
@@ -43,34 +43,34 @@
 
 
 class TestStandstillOfAGang:
-    def start(self, *, members: int = 3) -> tuple[Rig, list[StartOrder]]:
-        rig = Rig(*(make_info(f"e{number}") for number in range(members + 1)))
+    def start(self, *, members: int = 3) -> tuple[Harness, list[StartOrder]]:
+        rig = Harness(*(make_info(f"e{number}") for number in range(members + 1)))
         rig.submit(make_job(make_step(members, cores=4000, is_gang=True)))
         return rig, rig.step()
 
     def test_members_that_wait_for_a_missing_one_are_not_blamed(self) -> None:
         rig, orders = self.start()
-        rig.run_all(orders[:2])
+        rig.confirm_starts(orders[:2])
         rig.core.on_start(orders[2], StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
         watch(rig, dict.fromkeys(orders[:2], (0, 0)))
         assert paused(rig) == set()
 
     def test_members_that_all_stand_still_are_not_blamed(self) -> None:
         rig, orders = self.start()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         watch(rig, dict.fromkeys(orders, (40, 0)))
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
         assert paused(rig) == set()
 
     def test_a_member_that_stands_still_while_the_others_go_on_is_blamed(self) -> None:
         rig, orders = self.start()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         watch(rig, {orders[0]: (40, 0), orders[1]: (40, 1), orders[2]: (45, 1)})
         assert paused(rig) == {orders[0].executor_id}
 
     def test_a_member_that_the_others_have_waited_for_at_their_end_is_blamed(self) -> None:
         rig, orders = self.start()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         watch(rig, {orders[0]: (40, 0), orders[1]: (100, 0), orders[2]: (100, 0)})
         assert paused(rig) == {orders[0].executor_id}
 
@@ -78,7 +78,7 @@
         self,
     ) -> None:
         rig, orders = self.start()
-        rig.run_all(orders)
+        rig.confirm_starts(orders)
         watch(rig, dict.fromkeys(orders, (100, 0)))
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
 
@@ -86,7 +86,9 @@
 class TestStandstillRunAfterRun:
     """A task that shows no progress for longer than others, on sound executors."""
 
-    def stopped_after(self, rig: Rig, order: StartOrder, *, most_s: float = 200.0) -> float | None:
+    def stopped_after(
+        self, rig: Harness, order: StartOrder, *, most_s: float = 200.0
+    ) -> float | None:
         """Show a run at 40% until it is stopped; return the seconds, None if it is not."""
         began_at = rig.now
         while rig.now - began_at < most_s:
@@ -97,12 +99,12 @@
         return None
 
     def test_each_stop_makes_the_leader_wait_longer_for_the_next(self) -> None:
-        rig = Rig(make_info("e1"))
+        rig = Harness(make_info("e1"))
         rig.submit(make_job(make_step(1)))
         waits: list[float] = []
         for number in range(1, 5):
             order = rig.step()[0]
-            rig.run_all([order])
+            rig.confirm_starts([order])
             waited_s = self.stopped_after(rig, order)
             assert waited_s is not None
             waits.append(waited_s)
@@ -112,10 +114,10 @@
         assert waits == [pytest.approx(3.0 * 2.0**n, abs=LISTED_EVERY_S) for n in range(4)]
 
     def test_a_long_run_is_given_the_time_that_a_percent_of_it_takes(self) -> None:
-        rig = Rig(make_info("e1"))
+        rig = Harness(make_info("e1"))
         rig.submit(make_job(make_step(1, estimate_s=1800.0)))
         order = rig.step()[0]
-        rig.run_all([order])
+        rig.confirm_starts([order])
         for percent in range(4):
             for _ in range(36):
                 rig.now += LISTED_EVERY_S
@@ -123,10 +125,10 @@
                 assert rig.stops() == []
 
     def test_a_run_whose_pace_has_shown_is_given_the_time_of_its_next_percents(self) -> None:
-        rig = Rig(make_info("e1"))
+        rig = Harness(make_info("e1"))
         rig.submit(make_job(make_step(1, estimate_s=1.0)))
         order = rig.step()[0]
-        rig.run_all([order])
+        rig.confirm_starts([order])
         for seconds, percent in ((0.5, 0), (2.5, 1), (2.5, 2), (4.0, 2)):
             rig.now += seconds
             show(rig, {order: percent})
--- a/tests/test_entries_of_others.py
+++ b/tests/test_entries_of_others.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.platform.calls import PlatformCalls
 from galenastall.platform.config import TOPIC as OPERATOR_TOPIC
@@ -218,23 +218,23 @@
 class TestCore:
     def test_an_unusable_executor_keeps_its_runs_and_gets_no_others(self) -> None:
         info = make_info("e1")
-        rig = Rig(info)
+        rig = Harness(info)
         rig.submit(make_job(make_step(2, cores=3000)))
         orders = rig.step()
         assert len(orders) == 1
-        rig.run_all(orders)
-        rig.see(replace(info, is_usable=False))
+        rig.confirm_starts(orders)
+        rig.update_fleet(replace(info, is_usable=False))
         assert rig.runs_on("e1") == {orders[0].task}
         assert not rig.core.executors_by_id["e1"].is_open(
             now=rig.now, reach_s=10.0, delisted_grace_s=10.0
         )
 
     def test_executors_of_services_that_are_not_named_are_not_in_the_table(self) -> None:
-        rig = Rig()
+        rig = Harness()
         strange = replace(make_info("e2"), service="strange")
         rig.core.set_services(frozenset({"s"}))
-        rig.see(make_info("e1"), strange)
-        rig.see(make_info("e1"), strange)
+        rig.update_fleet(make_info("e1"), strange)
+        rig.update_fleet(make_info("e1"), strange)
         assert set(rig.core.executors_by_id) == {"e1"}
         notes = [n for n in rig.core.take_notes() if n.step == "executor.unnamed_service"]
         assert [note.subjects for note in notes] == [("e2",)]
