--- a/src/galenastall/demo/platform_path.py
+++ b/src/galenastall/demo/platform_path.py
@@ -142,8 +142,11 @@
     say(f"{new.host.name} leads now; what its log, and that of the one before, say of the gang:")
     for line in _lines_about(GANG_ID, [leader, new]):
         say(f"  {line}")
-    say(f"starts: {standin.world.starts}; rules broken: {standin.world.violations or 'none'}")
-    return states == ["completed", "completed"] and not standin.world.violations
+    say(
+        f"starts: {standin.simulation.starts}; "
+        f"rules broken: {standin.simulation.violations or 'none'}"
+    )
+    return states == ["completed", "completed"] and not standin.simulation.violations
 
 
 async def _wait_ended(caller: StandinCaller, host: StandinHost, route: str, job_id: str) -> str:
--- a/src/galenastall/platform/advisor.py
+++ b/src/galenastall/platform/advisor.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result
 
 from galenastall.coordination.cell.advice import Approval
-from galenastall.platform.calls import Address, PlatformCalls, decode_answer, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, decode_answer, to_failure
 from galenastall.platform.names import step_name
 from galenastall.protocol.cell.messages import AdviceAnswer
 from galenastall.state.cell.executor_ids import executor_name
@@ -39,7 +39,7 @@
 class PlatformAdvisor:
     """AdvisorPort over HTTP."""
 
-    def __init__(self, *, calls: PlatformCalls, address: Address) -> None:
+    def __init__(self, *, calls: PlatformCalls, address: AddressProvider) -> None:
         """Ask the service at `address`."""
         self._calls = calls
         self._address = address
@@ -60,8 +60,8 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status != _OK:
-            return refused(whole, step=_STEP, peer=self._address())
-        advice = decode_answer(whole, WireAdvice, step=_STEP, peer=self._address())
+        response = answer.unwrap()
+        if response.status != _OK:
+            return to_failure(response, step=_STEP, peer=self._address())
+        advice = decode_answer(response, WireAdvice, step=_STEP, peer=self._address())
         return advice.map(lambda found: found.to_answer(executor_ids))
--- a/src/galenastall/platform/calls.py
+++ b/src/galenastall/platform/calls.py
@@ -10,7 +10,7 @@
 from galenastall.transport.http_client import HttpClient, WholeAnswer, error_of_answer
 
 T = TypeVar("T")
-Address = Callable[[], str]
+AddressProvider = Callable[[], str]
 """Returns the `IP:port` of a service now: the settings may change while the process runs."""
 _JSON_HEADERS = {"content-type": "application/json"}
 
@@ -83,6 +83,6 @@
         return Failure(StepError(step=step, peer=peer, reason=Reason.CUT, detail=detail))
 
 
-def refused(answer: WholeAnswer, *, step: str, peer: str) -> Failure[StepError]:
+def to_failure(answer: WholeAnswer, *, step: str, peer: str) -> Failure[StepError]:
     """Return what an answer with an error status means."""
     return Failure(error_of_answer(answer, step=step, peer=peer))
--- a/src/galenastall/platform/config.py
+++ b/src/galenastall/platform/config.py
@@ -8,7 +8,7 @@
 
 from galenastall.platform.access import digest_of
 from galenastall.platform.amounts import WireAmount
-from galenastall.platform.calls import Address, PlatformCalls
+from galenastall.platform.calls import AddressProvider, PlatformCalls
 from galenastall.platform.entries import decode_entry
 from galenastall.platform.keyed_follower import KeyedFollower
 from galenastall.protocol.cell.config import CellConfig, Credential, QueueRoute
@@ -146,7 +146,7 @@
     return ""
 
 
-def _checked(wire: WireConfig) -> Result[CellConfig, str]:
+def _validate(wire: WireConfig) -> Result[CellConfig, str]:
     problem = wire.problem()
     return Failure(problem) if problem else Success(wire.to_config())
 
@@ -154,7 +154,9 @@
 class PlatformConfig:
     """ConfigPort over the store."""
 
-    def __init__(self, *, calls: PlatformCalls, address: Address, recorder: Recorder) -> None:
+    def __init__(
+        self, *, calls: PlatformCalls, address: AddressProvider, recorder: Recorder
+    ) -> None:
         """Read from the store at `address`."""
         self._address = address
         self._follower = KeyedFollower(calls=calls, address=address, topic=TOPIC, recorder=recorder)
@@ -178,7 +180,7 @@
         value = self._follower.values_by_key.get(KEY)
         if value is None or not answer.unwrap():
             return Success(None)
-        return decode_entry(value, WireConfig).bind(_checked).alt(self._unreadable)
+        return decode_entry(value, WireConfig).bind(_validate).alt(self._unreadable)
 
     def _unreadable(self, detail: str) -> StepError:
         return StepError(
--- a/src/galenastall/platform/executors.py
+++ b/src/galenastall/platform/executors.py
@@ -29,8 +29,8 @@
 _CONFLICT: Final = 409
 _OTHER_EXECUTOR: Final = 421
 _UNHEALTHY: Final = frozenset({429, 503})
-_FIGURE_AT: Final = 4
-_NAME_HEADER: Final = "Expected-Instance"
+_FIGURE_INDEX: Final = 4
+_EXPECTED_EXECUTOR_HEADER: Final = "Expected-Instance"
 """Names the executor that an order is meant for, in any of its incarnations."""
 _VERDICT_BY_REASON: Final = {
     "fence": StartVerdict.FENCED,
@@ -42,17 +42,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Call:
+class _Endpoint:
     """One of an executor's calls."""
 
     step: str
     path: str
 
 
-_START: Final = _Call("executor.start", "/run-start")
-_STOP: Final = _Call("executor.stop", "/run-stop")
-_PACE: Final = _Call("executor.pace", "/pace")
-_RENEW: Final = _Call("executor.renew", "/hold")
+_START: Final = _Endpoint("executor.start", "/run-start")
+_STOP: Final = _Endpoint("executor.stop", "/run-stop")
+_PACE: Final = _Endpoint("executor.pace", "/pace")
+_RENEW: Final = _Endpoint("executor.renew", "/hold")
 Message = dict[str, Any]
 
 
@@ -92,7 +92,7 @@
         run=int(row[1]),
         saved=str(row[2]),
         percent=int(row[3]),
-        figure=int(row[4]) if len(row) > _FIGURE_AT else 0,
+        figure=int(row[4]) if len(row) > _FIGURE_INDEX else 0,
     )
 
 
@@ -171,66 +171,76 @@
         answer = await self._call(_RENEW, address, executor_id, message, timeout_s)
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status == _OK:
-            listing = decode_answer(whole, WireListing, step=_RENEW.step, peer=address)
+        response = answer.unwrap()
+        if response.status == _OK:
+            listing = decode_answer(response, WireListing, step=_RENEW.step, peer=address)
             return listing.map(
                 lambda found: ListingAnswer(
                     verdict=StartVerdict.STARTED,
-                    executor_id=_answerer(executor_id, found.born),
+                    executor_id=_responding_id(executor_id, found.born),
                     listing=found.to_listing(),
                 )
             )
-        return _verdict(whole, step=_RENEW.step, peer=address).map(
+        return _verdict(response, step=_RENEW.step, peer=address).map(
             lambda found: ListingAnswer(
                 verdict=found.verdict, executor_id=executor_id, listing=None
             )
         )
 
     async def _order(
-        self, call: _Call, address: str, executor_id: str, message: Message, timeout_s: float
+        self,
+        endpoint: _Endpoint,
+        address: str,
+        executor_id: str,
+        message: Message,
+        timeout_s: float,
     ) -> Result[OrderAnswer, StepError]:
-        answer = await self._call(call, address, executor_id, message, timeout_s)
+        answer = await self._call(endpoint, address, executor_id, message, timeout_s)
         if isinstance(answer, Failure):
             return answer
-        return _verdict(answer.unwrap(), step=call.step, peer=address)
+        return _verdict(answer.unwrap(), step=endpoint.step, peer=address)
 
     async def _call(
-        self, call: _Call, address: str, executor_id: str, message: Message, timeout_s: float
+        self,
+        endpoint: _Endpoint,
+        address: str,
+        executor_id: str,
+        message: Message,
+        timeout_s: float,
     ) -> Result[WholeAnswer, StepError]:
         return await self._calls.post_json(
-            step=call.step,
+            step=endpoint.step,
             address=address,
-            path=call.path,
+            path=endpoint.path,
             message=message,
             timeout_s=timeout_s,
-            headers={_NAME_HEADER: executor_name(executor_id)},
+            headers={_EXPECTED_EXECUTOR_HEADER: executor_name(executor_id)},
         )
 
 
-def _answerer(executor_id: str, born_ms: int | None) -> str:
+def _responding_id(executor_id: str, born_ms: int | None) -> str:
     """Return the id of the incarnation that answered; the one called where births are not told."""
     if born_ms is None or born_ms_of(executor_id) is None:
         return executor_id
     return make_executor_id(executor_name(executor_id), born_ms)
 
 
-def _verdict(whole: WholeAnswer, *, step: str, peer: str) -> Result[OrderAnswer, StepError]:
+def _verdict(response: WholeAnswer, *, step: str, peer: str) -> Result[OrderAnswer, StepError]:
     """Return what an answer says; CUT where its meaning is not known."""
-    if whole.status == _OTHER_EXECUTOR:
+    if response.status == _OTHER_EXECUTOR:
         return Success(OrderAnswer(verdict=StartVerdict.OTHER_EXECUTOR, clock_ms=None))
-    if whole.status in _UNHEALTHY:
+    if response.status in _UNHEALTHY:
         return Success(OrderAnswer(verdict=StartVerdict.UNHEALTHY, clock_ms=None))
-    if whole.status == _BAD_REQUEST:
+    if response.status == _BAD_REQUEST:
         return Success(OrderAnswer(verdict=StartVerdict.MALFORMED, clock_ms=None))
-    if whole.status not in {_OK, _CONFLICT}:
-        detail = f"unexpected status {whole.status}"
+    if response.status not in {_OK, _CONFLICT}:
+        detail = f"unexpected status {response.status}"
         return Failure(StepError(step=step, peer=peer, reason=Reason.CUT, detail=detail))
-    body = decode_answer(whole, WireAnswer, step=step, peer=peer)
+    body = decode_answer(response, WireAnswer, step=step, peer=peer)
     if isinstance(body, Failure):
         return body
     found = body.unwrap()
-    if whole.status == _OK:
+    if response.status == _OK:
         return Success(OrderAnswer(verdict=StartVerdict.STARTED, clock_ms=found.clock_ms))
     verdict = _VERDICT_BY_REASON.get(found.reason, StartVerdict.UNHEALTHY)
     return Success(OrderAnswer(verdict=verdict, clock_ms=found.clock_ms))
--- a/src/galenastall/platform/fleet.py
+++ b/src/galenastall/platform/fleet.py
@@ -9,7 +9,7 @@
 
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.platform.amounts import WireAmount
-from galenastall.platform.calls import Address, PlatformCalls
+from galenastall.platform.calls import AddressProvider, PlatformCalls
 from galenastall.platform.entries import decode_entry
 from galenastall.platform.keyed_follower import KeyedFollower
 from galenastall.state.cell.executor_ids import make_executor_id
@@ -75,7 +75,9 @@
 class PlatformFleet:
     """FleetPort over the store."""
 
-    def __init__(self, *, calls: PlatformCalls, address: Address, recorder: Recorder) -> None:
+    def __init__(
+        self, *, calls: PlatformCalls, address: AddressProvider, recorder: Recorder
+    ) -> None:
         """Read from the store at `address`."""
         self._follower = KeyedFollower(calls=calls, address=address, topic=TOPIC, recorder=recorder)
         self._recorder = recorder
@@ -96,10 +98,10 @@
             del self._infos_by_name[gone]
         for name, value in values_by_name.items():
             if self._values_by_name.get(name) is not value:
-                self._take(name, value)
+                self._apply_entry(name, value)
         self._values_by_name = dict(values_by_name)
 
-    def _take(self, name: str, value: bytes) -> None:
+    def _apply_entry(self, name: str, value: bytes) -> None:
         entry = decode_executor(value)
         if isinstance(entry, Success):
             self._infos_by_name[name] = entry.unwrap().to_info(name)
@@ -115,10 +117,10 @@
 
 def decode_executor(value: bytes) -> Result[WireEntry, str]:
     """Return an executor's entry, or what is wrong with it."""
-    return decode_entry(value, WireEntry).bind(_checked)
+    return decode_entry(value, WireEntry).bind(_validate)
 
 
-def _checked(entry: WireEntry) -> Result[WireEntry, str]:
+def _validate(entry: WireEntry) -> Result[WireEntry, str]:
     problem = entry.problem()
     return Failure(problem) if problem else Success(entry)
 
--- a/src/galenastall/platform/hosts.py
+++ b/src/galenastall/platform/hosts.py
@@ -8,7 +8,7 @@
 
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
 from galenastall.platform.amounts import WireAmount
-from galenastall.platform.calls import Address, PlatformCalls, decode_answer, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, decode_answer, to_failure
 from galenastall.platform.entries import decode_entry
 from galenastall.platform.log_wire import keyed_record
 from galenastall.platform.store import PRODUCER
@@ -17,7 +17,7 @@
 from galenastall.transport.http_client import WholeAnswer
 from galenastall.transport.logs import Level, Recorder
 
-WAVE_KEY: Final = "wave/"
+WAVE_KEY_PREFIX: Final = "wave/"
 """Begin of the operator's keys of waves, and of those that it reads their states from."""
 STATUS_TOPIC: Final = "keyed.status"
 CALL_TIMEOUT_S: Final = 1.0
@@ -100,8 +100,8 @@
         self,
         *,
         calls: PlatformCalls,
-        address: Address,
-        store: Address,
+        address: AddressProvider,
+        store: AddressProvider,
         operator_values: Callable[[], Mapping[str, bytes]],
         recorder: Recorder,
     ) -> None:
@@ -118,7 +118,7 @@
         found = [
             self._decode_wave(key, value)
             for key, value in self._operator_values().items()
-            if key.startswith(WAVE_KEY)
+            if key.startswith(WAVE_KEY_PREFIX)
         ]
         return tuple(wave for wave in found if wave is not None)
 
@@ -143,10 +143,10 @@
             )
             if isinstance(answer, Failure):
                 return answer
-            whole = answer.unwrap()
-            if whole.status != _OK:
-                return refused(whole, step=step, peer=self._address())
-            page = decode_answer(whole, WireMachines, step=step, peer=self._address())
+            response = answer.unwrap()
+            if response.status != _OK:
+                return to_failure(response, step=step, peer=self._address())
+            page = decode_answer(response, WireMachines, step=step, peer=self._address())
             if isinstance(page, Failure):
                 return page
             found = page.unwrap()
@@ -175,14 +175,14 @@
             return answer
         return self._outcome(answer.unwrap(), step)
 
-    def _outcome(self, whole: WholeAnswer, step: str) -> Result[HostOutcome, StepError]:
-        if whole.status == _OK:
+    def _outcome(self, response: WholeAnswer, step: str) -> Result[HostOutcome, StepError]:
+        if response.status == _OK:
             return Success(HostOutcome.DONE)
-        if whole.status == _BAD_REQUEST:
+        if response.status == _BAD_REQUEST:
             return Success(HostOutcome.NOT_POSSIBLE)
-        if whole.status != _CONFLICT:
-            return refused(whole, step=step, peer=self._address())
-        body = decode_answer(whole, WireRefusal, step=step, peer=self._address())
+        if response.status != _CONFLICT:
+            return to_failure(response, step=step, peer=self._address())
+        body = decode_answer(response, WireRefusal, step=step, peer=self._address())
         reason = body.value_or(WireRefusal()).reason
         if reason == _FENCED:
             detail = "a newer leader has given an order to this host"
@@ -202,17 +202,17 @@
             step=step,
             address=self._store(),
             path=f"/log-append?topic={STATUS_TOPIC}&part=0&{fence}",
-            body=keyed_record(f"{WAVE_KEY}{number}", msgspec.json.encode({"state": state})),
+            body=keyed_record(f"{WAVE_KEY_PREFIX}{number}", msgspec.json.encode({"state": state})),
             timeout_s=CALL_TIMEOUT_S,
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status == _OK:
+        response = answer.unwrap()
+        if response.status == _OK:
             return Success(None)
-        if whole.status == _CONFLICT:
+        if response.status == _CONFLICT:
             detail = "a newer leader has told the operator"
             return Failure(
                 StepError(step=step, peer=self._store(), reason=Reason.CONFLICT, detail=detail)
             )
-        return refused(whole, step=step, peer=self._store())
+        return to_failure(response, step=step, peer=self._store())
--- a/src/galenastall/platform/jobs_face.py
+++ b/src/galenastall/platform/job_routes.py
@@ -22,13 +22,13 @@
 from galenastall.transport.logs import Recorder
 from galenastall.transport.metrics import Histogram
 
-PATIENCE_HEADER: Final = "deadline-remaining"
+DEADLINE_HEADER: Final = "deadline-remaining"
 """Milliseconds for which the caller waits for an answer."""
-DEFAULT_PATIENCE_S: Final = 2.5
+DEFAULT_TIMEOUT_S: Final = 2.5
 """For callers that do not say how long they wait."""
 BODY_LIMIT_BYTES: Final = 262_144
 UNAUTHORIZED: Final = 401
-ADMISSIONS: Final = 3
+MAX_ADMISSION_ATTEMPTS: Final = 3
 """Times that a caller is let in by a newer configuration within one request."""
 _JOB_ID: Final = re.compile(r"[0-9a-fA-F]{16}")
 
@@ -43,13 +43,13 @@
         """Look for a newer one."""
 
 
-class JobsFace:
+class JobRoutes:
     """Serves submissions, states, cancels and counts on any path."""
 
     def __init__(
         self,
         *,
-        desk: CallerDesk,
+        handler: CallerDesk,
         config: ConfigSource,
         clock: Clock,
         recorder: Recorder,
@@ -57,7 +57,7 @@
     ) -> None:
         """Pass operations to `desk`, by the routes and keys of `config`."""
         self._submit_seconds = submit_seconds
-        self._desk = desk
+        self._handler = handler
         self._config = config
         self._keys = KeyCheck()
         self._clock = clock
@@ -86,36 +86,38 @@
         if isinstance(job, Failure):
             return error_response(job.failure())
         began_at = self._clock.now()
-        submitted = await self._hand_in(request, admission, job.unwrap())
+        submitted = await self._submit(request, admission, job.unwrap())
         if isinstance(submitted, HttpResponse):
             return submitted
         self._submit_seconds.record(self._clock.now() - began_at, submitted.verdict.value)
-        return self._answer(request, job_id, submitted)
+        return self._submit_response(request, job_id, submitted)
 
-    async def _hand_in(
+    async def _submit(
         self, request: HttpRequest, admission: Admission, job: CellJob
     ) -> Submitted | HttpResponse:
         """Hand a job in; where the leader's configuration is newer, the caller is let in anew."""
         may_be_stored = False
         submitted = Submitted(verdict=SubmitVerdict.UNKNOWN)
-        for _ in range(ADMISSIONS):
-            submitted = await self._desk.submit(
+        for _ in range(MAX_ADMISSION_ATTEMPTS):
+            submitted = await self._handler.submit(
                 job,
-                patience_s=_patience_s(request),
+                patience_s=_remaining_time_s(request),
                 config_version=admission.config_version,
                 may_be_stored=may_be_stored,
             )
             if not submitted.is_outdated:
                 return submitted
             may_be_stored = submitted.may_be_stored
-            admitted = await self._admit_anew(request)
+            admitted = await self._refresh_and_admit(request)
             if isinstance(admitted, HttpResponse):
                 return admitted
             admission = admitted
             job = replace(job, queue=admission.route.queue, workspace=admission.workspace)
         return submitted
 
-    def _answer(self, request: HttpRequest, job_id: str, submitted: Submitted) -> HttpResponse:
+    def _submit_response(
+        self, request: HttpRequest, job_id: str, submitted: Submitted
+    ) -> HttpResponse:
         if submitted.verdict is SubmitVerdict.ACCEPTED:
             return json_response(200, {})
         self._recorder.record(
@@ -146,15 +148,15 @@
     async def _show(self, request: HttpRequest, admission: Admission) -> Result[Any, StepError]:
         job_id = _job_id(request, admission)
         if job_id:
-            return await self._desk.phase(
+            return await self._handler.phase(
                 job_id,
-                patience_s=_patience_s(request),
+                patience_s=_remaining_time_s(request),
                 workspace=admission.workspace,
                 config_version=admission.config_version,
             )
-        return await self._desk.pending(
+        return await self._handler.pending(
             admission.route.queue.name,
-            patience_s=_patience_s(request),
+            patience_s=_remaining_time_s(request),
             config_version=admission.config_version,
         )
 
@@ -164,9 +166,9 @@
         return await self._serve(request, self._cancel)
 
     async def _cancel(self, request: HttpRequest, admission: Admission) -> Result[Any, StepError]:
-        return await self._desk.cancel(
+        return await self._handler.cancel(
             _job_id(request, admission),
-            patience_s=_patience_s(request),
+            patience_s=_remaining_time_s(request),
             workspace=admission.workspace,
             config_version=admission.config_version,
         )
@@ -174,36 +176,36 @@
     async def _serve(
         self,
         request: HttpRequest,
-        ask: Callable[[HttpRequest, Admission], Awaitable[Result[Any, StepError]]],
+        query: Callable[[HttpRequest, Admission], Awaitable[Result[Any, StepError]]],
     ) -> HttpResponse:
         """Answer a question; a caller is let in anew where the leader's configuration is newer."""
         admission = await self._admit(request)
         cause = ""
-        for _ in range(ADMISSIONS):
+        for _ in range(MAX_ADMISSION_ATTEMPTS):
             if isinstance(admission, HttpResponse):
                 return admission
-            answer = await ask(request, admission)
+            answer = await query(request, admission)
             if not isinstance(answer, Failure):
-                return _shown(_job_id(request, admission), answer.unwrap())
+                return _status_response(_job_id(request, admission), answer.unwrap())
             cause = str(answer.failure())
             if answer.failure().reason is not Reason.CONFLICT:
                 break
-            admission = await self._admit_anew(request)
+            admission = await self._refresh_and_admit(request)
         return _unavailable(cause, RETRY_AFTER_S)
 
-    async def _admit_anew(self, request: HttpRequest) -> Admission | HttpResponse:
+    async def _refresh_and_admit(self, request: HttpRequest) -> Admission | HttpResponse:
         """Look for a newer configuration, and let a caller in by it."""
         await self._config.look()
-        return self._admit_now(request)
+        return self._admit_with_current_config(request)
 
     async def _admit(self, request: HttpRequest) -> Admission | HttpResponse:
         """Let a caller in; look for a newer configuration before it is refused."""
-        admission = self._admit_now(request)
+        admission = self._admit_with_current_config(request)
         if isinstance(admission, Admission):
             return admission
-        return await self._admit_anew(request)
+        return await self._refresh_and_admit(request)
 
-    def _admit_now(self, request: HttpRequest) -> Admission | HttpResponse:
+    def _admit_with_current_config(self, request: HttpRequest) -> Admission | HttpResponse:
         """Let a caller in, or refuse it, before anything of its body is read."""
         config = self._config.current()
         if config is None:
@@ -224,10 +226,10 @@
     return request.path[len(admission.route.path_prefix) :]
 
 
-def _shown(job_id: str, found: JobPhase | int | None) -> HttpResponse:
+def _status_response(job_id: str, found: JobPhase | int | None) -> HttpResponse:
     """Return what is said of a job, or of a queue's count."""
     if found is None:
-        return _gone(job_id)
+        return _job_not_found(job_id)
     if isinstance(found, JobPhase):
         return json_response(200, {"state": found.value})
     return json_response(200, {"pending": found})
@@ -240,12 +242,12 @@
     return error_response(error, status=status)
 
 
-def _patience_s(request: HttpRequest) -> float:
-    text = request.headers.get(PATIENCE_HEADER, "")
+def _remaining_time_s(request: HttpRequest) -> float:
+    text = request.headers.get(DEADLINE_HEADER, "")
     try:
         left_s = float(text) / 1000.0
     except ValueError:
-        return DEFAULT_PATIENCE_S
+        return DEFAULT_TIMEOUT_S
     return max(left_s, 0.0)
 
 
@@ -267,7 +269,7 @@
     )
 
 
-def _gone(job_id: str) -> HttpResponse:
+def _job_not_found(job_id: str) -> HttpResponse:
     error = StepError(
         step="job.show", peer="", reason=Reason.NOT_FOUND, detail=f"no job {job_id[:40]!r}"
     )
--- a/src/galenastall/platform/keyed_follower.py
+++ b/src/galenastall/platform/keyed_follower.py
@@ -5,9 +5,9 @@
 
 from returns.result import Failure, Result, Success
 
-from galenastall.platform.calls import Address, PlatformCalls, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, to_failure
 from galenastall.platform.log_wire import WireError, decode_read, split_keyed
-from galenastall.platform.newest import NewestReader
+from galenastall.platform.newest_records import NewestReader
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.logs import Level, Recorder
 
@@ -22,7 +22,7 @@
     """Values of a topic that others write."""
 
     def __init__(
-        self, *, calls: PlatformCalls, address: Address, topic: str, recorder: Recorder
+        self, *, calls: PlatformCalls, address: AddressProvider, topic: str, recorder: Recorder
     ) -> None:
         """Follow partition 0 of `topic`; what can't be read goes to `recorder`, and is left out."""
         self._calls = calls
@@ -30,7 +30,7 @@
         self._topic = topic
         self._newest = NewestReader(calls=calls, address=address)
         self._recorder = recorder
-        self._told_problems: frozenset[str] = frozenset()
+        self._reported_problems: frozenset[str] = frozenset()
         """Problems of the last read of all keys, which the next one mostly meets again."""
         self._offset: int | None = None
         self.values_by_key: dict[str, bytes] = {}
@@ -39,7 +39,7 @@
         """Read what is new, waiting up to `wait_s` for it; True if any value has changed."""
         if self._offset is None:
             return await self._read_newest()
-        return await self._read_on(self._offset, wait_s)
+        return await self._read_from(self._offset, wait_s)
 
     async def _read_newest(self) -> Result[bool, StepError]:
         answer = await self._newest.all(self._topic)
@@ -47,16 +47,16 @@
             return answer
         page = answer.unwrap()
         problems = frozenset(page.problems)
-        for problem in sorted(problems - self._told_problems):
-            self._tell(problem)
-        self._told_problems = problems
+        for problem in sorted(problems - self._reported_problems):
+            self._report(problem)
+        self._reported_problems = problems
         values_by_key = page.values_by_key
         has_changed = values_by_key != self.values_by_key
         self.values_by_key = values_by_key
         self._offset = page.end_offset
         return Success(has_changed)
 
-    async def _read_on(self, offset: int, wait_s: float) -> Result[bool, StepError]:
+    async def _read_from(self, offset: int, wait_s: float) -> Result[bool, StepError]:
         step = "store.read"
         path = f"/log-read?topic={self._topic}&part=0&from={offset}&waitMs={int(wait_s * 1000)}"
         answer = await self._calls.get(
@@ -64,15 +64,15 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status in {_GONE, _NOT_FOUND}:
+        response = answer.unwrap()
+        if response.status in {_GONE, _NOT_FOUND}:
             # History is gone: only the newest record of each key is left.
             self._offset = None
             return await self._read_newest()
-        if whole.status != _OK:
-            return refused(whole, step=step, peer=self._address())
+        if response.status != _OK:
+            return to_failure(response, step=step, peer=self._address())
         try:
-            page = decode_read(whole.body)
+            page = decode_read(response.body)
         except WireError as error:
             self._offset = None
             return Failure(
@@ -96,14 +96,14 @@
         try:
             key, value = split_keyed(record)
         except WireError as error:
-            self._tell(str(error))
+            self._report(str(error))
             return
         if value:
             self.values_by_key[key] = value
         else:
             self.values_by_key.pop(key, None)
 
-    def _tell(self, problem: str) -> None:
+    def _report(self, problem: str) -> None:
         self._recorder.record(
             "store.unreadable", subjects=(self._topic,), cause=problem, level=Level.WARNING
         )
--- a/src/galenastall/platform/live_settings.py
+++ b/src/galenastall/platform/live_settings.py
@@ -14,9 +14,9 @@
 )
 from galenastall.transport.logs import Level, Recorder
 
-LOOK_EVERY_S: Final = 1.0
+POLL_INTERVAL_S: Final = 1.0
 """Between two looks at the file; what changes in it has 2 s to be in force."""
-TAKEN_WHILE_RUNNING: Final = frozenset({"store", "advisor_address", "hosts_address"})
+RELOADABLE_FIELDS: Final = frozenset({"store", "advisor_address", "hosts_address"})
 """Fields whose new value is used at once; others take a restart, which the platform does."""
 
 
@@ -47,34 +47,34 @@
     async def run(self) -> None:
         """Look for changes until cancelled."""
         while True:
-            await trio.sleep(LOOK_EVERY_S)
-            self.reload(asked=False)
+            await trio.sleep(POLL_INTERVAL_S)
+            self.reload(is_requested=False)
 
-    def reload(self, *, asked: bool) -> None:
+    def reload(self, *, is_requested: bool) -> None:
         """Read the file; a bad one is named in the log and changes nothing."""
         try:
             text = read_settings(self._path)
-            if text == self._text and not asked:
+            if text == self._text and not is_requested:
                 return
             self._text = text
             settings = parse_settings(self._path, text)
         except SettingsError as error:
-            if asked or str(error) != self._last_error:
+            if is_requested or str(error) != self._last_error:
                 self._recorder.record("host.reload_failed", cause=str(error), level=Level.WARNING)
             self._last_error = str(error)
             return
         self._last_error = ""
         changed = _changed(self.settings, settings)
         self.settings = settings
-        if changed or asked:
-            cause = "a signal asked for it" if asked else "the file has changed"
+        if changed or is_requested:
+            cause = "a signal asked for it" if is_requested else "the file has changed"
             self._recorder.record("host.reloaded", cause=cause, fields=changed)
 
 
 def _changed(old: PlatformSettings, new: PlatformSettings) -> dict[str, str]:
     """Return the fields that differ, with what becomes of them."""
     return {
-        field.name: "in force" if field.name in TAKEN_WHILE_RUNNING else "from the next start on"
+        field.name: "in force" if field.name in RELOADABLE_FIELDS else "from the next start on"
         for field in fields(PlatformSettings)
         if getattr(old, field.name) != getattr(new, field.name)
     }
--- a/src/galenastall/platform/metrics_face.py
+++ b/src/galenastall/platform/metrics_routes.py
@@ -5,7 +5,7 @@
 from galenastall.transport.metrics import CONTENT_TYPE, Metrics
 
 
-class MetricsFace:
+class MetricsRoutes:
     """Serves the metrics as text."""
 
     def __init__(self, *, metrics: Metrics) -> None:
--- a/src/galenastall/platform/newest.py
+++ b/src/galenastall/platform/newest_records.py
@@ -7,7 +7,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from galenastall.platform.calls import Address, PlatformCalls, decode_answer, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, decode_answer, to_failure
 from galenastall.platform.log_wire import NewestItem, NewestPage, WireError
 from galenastall.state.errors import Reason, StepError
 
@@ -48,7 +48,7 @@
 class NewestReader:
     """Reads partition 0 of keyed topics."""
 
-    def __init__(self, *, calls: PlatformCalls, address: Address) -> None:
+    def __init__(self, *, calls: PlatformCalls, address: AddressProvider) -> None:
         """Read from the store at `address`."""
         self._calls = calls
         self._address = address
@@ -65,12 +65,12 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status == _NOT_FOUND:
+        response = answer.unwrap()
+        if response.status == _NOT_FOUND:
             return Success(NewestRecords())
-        if whole.status != _OK:
-            return refused(whole, step=_STEP, peer=self._address())
-        page = decode_answer(whole, NewestPage, step=_STEP, peer=self._address())
+        if response.status != _OK:
+            return to_failure(response, step=_STEP, peer=self._address())
+        page = decode_answer(response, NewestPage, step=_STEP, peer=self._address())
         return page.map(decode_page)
 
     async def all(
--- a/src/galenastall/platform/process.py
+++ b/src/galenastall/platform/process.py
@@ -22,10 +22,10 @@
 from galenastall.platform.executors import PlatformExecutors
 from galenastall.platform.fleet import PlatformFleet
 from galenastall.platform.hosts import PlatformHosts
-from galenastall.platform.jobs_face import JobsFace
+from galenastall.platform.job_routes import JobRoutes
 from galenastall.platform.live_settings import LiveSettings
-from galenastall.platform.metrics_face import MetricsFace
-from galenastall.platform.readiness import ReadinessFace
+from galenastall.platform.metrics_routes import MetricsRoutes
+from galenastall.platform.readiness import ReadinessRoutes
 from galenastall.platform.settings import (
     PlatformSettings,
     SettingsError,
@@ -57,7 +57,7 @@
 """To the store: an append, a look, a list and a long poll at once, and room for repeats."""
 EXECUTOR_CONNECTIONS: Final = 3
 """To an executor: the long poll and two for orders, which take 3 ms each; each one is priced."""
-LOG_EVERY_S: Final = 1.0
+LOG_FLUSH_INTERVAL_S: Final = 1.0
 GC_THRESHOLDS: Final = (5_000, 50, 1_000)
 RING_EVENTS: Final = 2_000
 """Events kept in memory for the time line; some 2 MB."""
@@ -91,7 +91,7 @@
 async def _wait_for_stop(signals: AsyncIterator[int], process: "EntryProcess") -> None:
     async for number in signals:
         if number == signal.SIGHUP:
-            process.live.reload(asked=True)
+            process.live.reload(is_requested=True)
             continue
         process.recorder.record("host.stopping", cause=signal.Signals(number).name)
         return
@@ -131,18 +131,18 @@
             "Log writes that no reader took in time.",
             lambda: float(self._log.dropped),
         )
-        jobs = JobsFace(
-            desk=self.host.desk,
+        jobs = JobRoutes(
+            handler=self.host.desk,
             config=self.host.config,
             clock=self._clock,
             recorder=self.recorder,
             submit_seconds=cell_metrics.submit_seconds,
         )
         self._callers = self._server(settings.callers_bind, jobs, linger_s=LINGER_S)
-        readiness = ReadinessFace(is_ready=self._is_ready)
+        readiness = ReadinessRoutes(is_ready=self._is_ready)
         self._readiness = self._server(settings.readiness_bind, readiness)
         self._metrics_server = self._server(
-            settings.metrics_bind, MetricsFace(metrics=self._metrics)
+            settings.metrics_bind, MetricsRoutes(metrics=self._metrics)
         )
 
     def _make_host(self, incarnation: Incarnation) -> CellHost:
@@ -151,7 +151,7 @@
             settings=CellHostSettings(
                 host_id=HostId(settings.host_id),
                 peer_address=settings.peer_bind,
-                weight=settings.leading_weight,
+                weight=settings.leadership_weight,
                 claim_delay_s=settings.claim_delay_s(random.random()),
                 may_start=settings.may_start,
             ),
@@ -201,9 +201,9 @@
             advisor=PlatformAdvisor(calls=calls, address=self.live.advisor_address),
         )
 
-    def _server(self, bind: str, face: object, *, linger_s: float = 0.0) -> HttpServer:
+    def _server(self, bind: str, routes: object, *, linger_s: float = 0.0) -> HttpServer:
         return HttpServer(
-            handlers=[face],
+            handlers=[routes],
             clock=self._clock,
             bind=bind,
             linger_s=linger_s,
@@ -220,21 +220,21 @@
         await nursery.start(self._metrics_server.run)
         await nursery.start(self.host.run)
         nursery.start_soon(self.live.run)
-        nursery.start_soon(self._keep_log)
+        nursery.start_soon(self._flush_log)
 
-    async def _keep_log(self) -> None:
+    async def _flush_log(self) -> None:
         """Write what a slow reader left, and tell once a second what was left out."""
-        told = 0
+        reported = 0
         while True:
-            await trio.sleep(LOG_EVERY_S)
+            await trio.sleep(LOG_FLUSH_INTERVAL_S)
             self._log.flush()
-            dropped, told = self._log.dropped - told, self._log.dropped
+            dropped, reported = self._log.dropped - reported, self._log.dropped
             self.recorder.tell_left_out(dropped)
 
     async def stop(self) -> None:
         """Hand over, finish what callers wait for, and end."""
         self._is_stopping = True
-        until = trio.current_time() + self._settings.stop_grace_s - STOP_MARGIN_S
+        deadline = trio.current_time() + self._settings.stop_grace_s - STOP_MARGIN_S
         await self.host.leave(max(self._settings.stop_grace_s - HANDOVER_MARGIN_S, 0.0))
-        cut_off = await self._callers.drain(max(until - trio.current_time(), 0.0))
+        cut_off = await self._callers.drain(max(deadline - trio.current_time(), 0.0))
         self.recorder.record("host.stopped", fields={"cut_off": str(cut_off)})
--- a/src/galenastall/platform/readiness.py
+++ b/src/galenastall/platform/readiness.py
@@ -6,7 +6,7 @@
 from galenastall.transport.http_routes import route
 
 
-class ReadinessFace:
+class ReadinessRoutes:
     """Answers by what the host can serve now."""
 
     def __init__(self, *, is_ready: Callable[[], bool]) -> None:
--- a/src/galenastall/platform/settings.py
+++ b/src/galenastall/platform/settings.py
@@ -17,7 +17,7 @@
 """Named in the deploy file too, which takes no placeholder there."""
 FIRST_CLAIM_STEP_S: Final = 0.02
 """Between the first claims of the hosts that the settings name as seeds, at the first start."""
-LINK_MBPS_A_CORE: Final = 20.0
+LINK_MBPS_PER_CORE: Final = 20.0
 """Megabits a second that a leader moves for each core that it uses: a link that carries less makes
 up for no core. Reading 2 MB of state then takes a second at most."""
 T = TypeVar("T")
@@ -73,9 +73,9 @@
     """How long a host is down for maintenance."""
 
     @property
-    def leading_weight(self) -> float:
+    def leadership_weight(self) -> float:
         """Cores that the host can use for leading: no more than its link can keep busy."""
-        return min(self.cores, self.link_mbps / LINK_MBPS_A_CORE)
+        return min(self.cores, self.link_mbps / LINK_MBPS_PER_CORE)
 
     def claim_delay_s(self, jitter: float) -> float:
         """Return this host's delay before a claim; seeds go first, `jitter` (0 to 1) decides."""
--- a/src/galenastall/platform/standin/callers.py
+++ b/src/galenastall/platform/standin/callers.py
@@ -9,7 +9,7 @@
 from galenastall.platform.standin.hosts import StandinHost
 from galenastall.standin.cell.live_world import JobPayload
 
-PATIENCE_S: Final = 3.0
+TIMEOUT_S: Final = 3.0
 """How long a caller waits for an answer."""
 POLL_S: Final = 0.05
 OK: Final = 200
@@ -24,13 +24,13 @@
         self._host_name = host_name
         self.key = key
 
-    async def ask(
+    async def request(
         self, host: StandinHost, method: str, path: str, body: bytes = b""
     ) -> tuple[int, Any]:
         """Return status and decoded body; status 0 if there was no answer."""
         headers = [
             ("host", self._host_name),
-            ("deadline-remaining", str(int(PATIENCE_S * 1000))),
+            ("deadline-remaining", str(int(TIMEOUT_S * 1000))),
             ("content-type", "application/json"),
         ]
         if self.key:
@@ -45,7 +45,7 @@
         self, method: str, url: str, headers: list[tuple[str, str]], body: bytes
     ) -> httpcore.Response | None:
         """Return an answer, or None if the connection broke or time ran out."""
-        timeout = dict.fromkeys(("connect", "read", "write", "pool"), PATIENCE_S)
+        timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
         try:
             return await self._pool.request(
                 method, url, headers=headers, content=body, extensions={"timeout": timeout}
@@ -69,11 +69,11 @@
             for step in payload.steps
         ]
         message = {"specification": msgspec.json.encode(payload).decode(), "steps": steps}
-        return await self.ask(host, "POST", f"/{route}/{job_id}", msgspec.json.encode(message))
+        return await self.request(host, "POST", f"/{route}/{job_id}", msgspec.json.encode(message))
 
     async def state(self, host: StandinHost, route: str, job_id: str) -> str:
         """Return a job's state, or the status of another answer as text."""
-        status, body = await self.ask(host, "GET", f"/{route}/{job_id}")
+        status, body = await self.request(host, "GET", f"/{route}/{job_id}")
         return str(body["state"]) if status == OK else str(status)
 
     async def wait_ready(self, host: StandinHost) -> None:
--- a/src/galenastall/platform/standin/executor_face.py
+++ b/src/galenastall/platform/standin/executor_routes.py
@@ -17,7 +17,7 @@
 BODY_BYTES: Final = 100_000
 OTHER_EXECUTOR: Final = 421
 UNHEALTHY: Final = 503
-SWEEP_S: Final = 0.02
+SWEEP_INTERVAL_S: Final = 0.02
 """Between two looks at whether runs have ended, while a caller waits for an end."""
 _REASON_BY_VERDICT: Final = {
     StartVerdict.FENCED: "fence",
@@ -27,19 +27,19 @@
 }
 
 
-class ExecutorFace:
+class ExecutorRoutes:
     """Answers for whichever incarnation of an executor is up now."""
 
-    def __init__(self, *, world: ExecutorWorld, executor_id: str) -> None:
+    def __init__(self, *, simulation: ExecutorWorld, executor_id: str) -> None:
         """Serve the executor that `world` knows as `executor_id`."""
-        self.world = world
+        self.simulation = simulation
         self.executor_id = executor_id
 
     @property
     def _executor(self) -> Executor:
-        return self.world.executors[self.executor_id]
+        return self.simulation.executors[self.executor_id]
 
-    def _is_meant(self, request: HttpRequest) -> bool:
+    def _is_addressed(self, request: HttpRequest) -> bool:
         return request.headers.get("expected-instance") == executor_name(self.executor_id)
 
     @route("POST", "/run-start")
@@ -49,7 +49,7 @@
         task = parse_task(message["task"])
         if task is None:
             return HttpResponse(status=400)
-        if not self._is_meant(request):
+        if not self._is_addressed(request):
             return HttpResponse(status=OTHER_EXECUTOR)
         order = StartOrder(
             task=task,
@@ -68,7 +68,7 @@
         task = parse_task(message["task"])
         if task is None:
             return HttpResponse(status=400)
-        if not self._is_meant(request):
+        if not self._is_addressed(request):
             return HttpResponse(status=OTHER_EXECUTOR)
         order = StopOrder(task=task, run=message["run"], executor_id=self.executor_id)
         return self._answer(self._executor.stop(order, message["fencingToken"]))
@@ -77,7 +77,7 @@
     async def hold(self, request: HttpRequest) -> HttpResponse:
         """Renew the lease and list what runs and has ended."""
         message = await _read(request)
-        if not self._is_meant(request):
+        if not self._is_addressed(request):
             return HttpResponse(status=OTHER_EXECUTOR)
         executor = self._executor
         verdict = executor.hold(
@@ -87,8 +87,8 @@
             return self._answer(verdict)
         with trio.move_on_after(message.get("waitMs", 0) / 1000.0):
             while not executor.ended and executor.is_up:
-                await trio.sleep(SWEEP_S)
-                self.world.sweep()
+                await trio.sleep(SWEEP_INTERVAL_S)
+                self.simulation.sweep()
         if not executor.is_up:
             # It has started again meanwhile: what it knew is gone.
             return HttpResponse(status=UNHEALTHY)
@@ -115,7 +115,7 @@
         return json_response(409, {"clockMs": clock_ms, "reason": _REASON_BY_VERDICT[verdict]})
 
 
-class AdvisorFace:
+class AdvisorRoutes:
     """Approves of the executors that it is told to, all of them at first."""
 
     def __init__(self, *, validity_ms: int = 1500) -> None:
--- a/src/galenastall/platform/standin/hosts.py
+++ b/src/galenastall/platform/standin/hosts.py
@@ -8,9 +8,9 @@
 from galenastall.platform.standin.server import PlatformStandin
 
 GRACE_S: Final = 6
-NETWORKS_A_BYTE: Final = 250
+NETWORKS_PER_BYTE: Final = 250
 """Values of each byte that tells the networks of processes apart."""
-PORTS_OF_A_HOST: Final = 3
+PORTS_PER_HOST: Final = 3
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -85,12 +85,12 @@
 
     Hosts serve metrics on one port, so two processes that start hosts at once need two networks.
     """
-    high, low = divmod(os.getpid() % NETWORKS_A_BYTE**2, NETWORKS_A_BYTE)
+    high, low = divmod(os.getpid() % NETWORKS_PER_BYTE**2, NETWORKS_PER_BYTE)
     return f"127.{high + 1}.{low + 1}"
 
 
 def _free_ports(ip: str) -> tuple[int, int, int]:
-    sockets = [socket.socket() for _ in range(PORTS_OF_A_HOST)]
+    sockets = [socket.socket() for _ in range(PORTS_PER_HOST)]
     for each in sockets:
         each.bind((ip, 0))
     callers, readiness, peer = (int(each.getsockname()[1]) for each in sockets)
--- a/src/galenastall/platform/standin/log_face.py
+++ b/src/galenastall/platform/standin/log_store.py
@@ -13,11 +13,11 @@
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
 
-KEYED: Final = "keyed."
-REMEMBERED_APPENDS: Final = 5
+KEYED_PREFIX: Final = "keyed."
+CACHED_APPENDS: Final = 5
 """Appends of a producer whose answers are given again."""
 REQUEST_BYTES: Final = 2_097_152
-TOPICS_OF_OTHERS: Final = frozenset({"keyed.op", "keyed.servers"})
+READ_ONLY_TOPICS: Final = frozenset({"keyed.op", "keyed.servers"})
 """Topics that entry hosts may only read."""
 
 
@@ -28,16 +28,16 @@
     epoch: int = 0
     answers_by_sequence: OrderedDict[int, dict[str, int]] = field(default_factory=OrderedDict)
 
-    def begin(self, epoch: int) -> None:
+    def start_epoch(self, epoch: int) -> None:
         """Take a higher epoch, which may start at any sequence number."""
         if epoch > self.epoch:
             self.epoch = epoch
             self.answers_by_sequence.clear()
 
-    def remember(self, sequence: int, answer: dict[str, int]) -> None:
+    def cache_answer(self, sequence: int, answer: dict[str, int]) -> None:
         """Keep an answer for repeats."""
         self.answers_by_sequence[sequence] = answer
-        while len(self.answers_by_sequence) > REMEMBERED_APPENDS:
+        while len(self.answers_by_sequence) > CACHED_APPENDS:
             self.answers_by_sequence.popitem(last=False)
 
 
@@ -66,25 +66,25 @@
                 self.newest[key] = (self.end, value)
         self.records.append(content)
 
-    def tell(self) -> None:
+    def notify_readers(self) -> None:
         """Wake readers that wait."""
         event, self.changed = self.changed, trio.Event()
         event.set()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop all records but the newest of each key."""
         self.first = self.end
         self.records.clear()
-        self.tell()
+        self.notify_readers()
 
 
-class StoreFace:
+class StandinStore:
     """The log: appends with epochs and sequence numbers, reads, newest records."""
 
     def __init__(self, *, page_keys: int = 500) -> None:
         """`page_keys` is how many keys one page of newest records has."""
         self.topics: defaultdict[str, Topic] = defaultdict(Topic)
-        self.is_refusing = False
+        self.is_unavailable = False
         self._page_keys = page_keys
 
     def put(self, topic: str, key: str, value: Any) -> None:
@@ -93,13 +93,13 @@
         name = key.encode()
         found = self.topics[topic]
         found.add(bytes([len(name)]) + name + encoded, is_keyed=True)
-        found.tell()
+        found.notify_readers()
 
     def put_record(self, topic: str, record: bytes) -> None:
         """Write bytes of any kind as one record, which no key's newest value shows."""
         found = self.topics[topic]
         found.add(record, is_keyed=False)
-        found.tell()
+        found.notify_readers()
 
     def value(self, topic: str, key: str) -> Any:
         """Return a key's newest value, or None."""
@@ -110,22 +110,22 @@
     async def append(self, request: HttpRequest) -> HttpResponse:
         """Append all records of the body, or none."""
         body = (await request.read_body(REQUEST_BYTES)).unwrap()
-        if self.is_refusing:
+        if self.is_unavailable:
             return HttpResponse(status=503)
         name = request.query["topic"]
-        if name in TOPICS_OF_OTHERS:
+        if name in READ_ONLY_TOPICS:
             return HttpResponse(status=403)
         topic = self.topics[name]
         if int(request.query.get("at", topic.end)) != topic.end:
             return json_response(412, {"endOffset": topic.end})
-        refusal = _refuse(topic, request.query, has_body=bool(body))
+        refusal = _check_fencing(topic, request.query, has_body=bool(body))
         if refusal is not None:
             return refusal
         try:
             records = split_records(body)
         except WireError as error:
             return json_response(400, {"reason": str(error)})
-        return self._add(topic, records, request.query, is_keyed=name.startswith(KEYED))
+        return self._add(topic, records, request.query, is_keyed=name.startswith(KEYED_PREFIX))
 
     def _add(
         self, topic: Topic, records: list[bytes], query: Any, *, is_keyed: bool
@@ -135,14 +135,14 @@
             topic.add(record, is_keyed=is_keyed)
         answer = {"offset": offset, "endOffset": topic.end}
         if "producer" in query and records:
-            topic.producers[query["producer"]].remember(int(query["sequence"]), answer)
-        topic.tell()
+            topic.producers[query["producer"]].cache_answer(int(query["sequence"]), answer)
+        topic.notify_readers()
         return json_response(200, answer)
 
     @route("GET", "/log-newest")
     async def show_newest(self, request: HttpRequest) -> HttpResponse:
         """Give a page of the newest records."""
-        if self.is_refusing:
+        if self.is_unavailable:
             return HttpResponse(status=503)
         topic = self.topics[request.query["topic"]]
         after = request.query.get("after", "")
@@ -157,7 +157,7 @@
     @route("GET", "/log-read")
     async def read(self, request: HttpRequest) -> HttpResponse:
         """Give records from an offset on, as soon as there are some."""
-        if self.is_refusing:
+        if self.is_unavailable:
             return HttpResponse(status=503)
         topic = self.topics[request.query["topic"]]
         begin = int(request.query["from"])
@@ -171,7 +171,7 @@
         return HttpResponse(body=head + b"".join(records))
 
 
-def _refuse(topic: Topic, query: Any, *, has_body: bool) -> HttpResponse | None:
+def _check_fencing(topic: Topic, query: Any, *, has_body: bool) -> HttpResponse | None:
     """Return the answer to an append that is fenced, out of turn or a repeat, else None."""
     if "producer" not in query:
         return None
@@ -179,7 +179,7 @@
     epoch, sequence = int(query["epoch"]), int(query["sequence"])
     if epoch < producer.epoch:
         return json_response(409, {"reason": "fenced"})
-    producer.begin(epoch)
+    producer.start_epoch(epoch)
     answers = producer.answers_by_sequence
     if not has_body:
         return json_response(200, {"offset": topic.end, "endOffset": topic.end})
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -7,8 +7,8 @@
 import trio
 
 from galenastall.coordination.cell.executors import ExecutorInfo
-from galenastall.platform.standin.executor_face import AdvisorFace, ExecutorFace
-from galenastall.platform.standin.log_face import StoreFace
+from galenastall.platform.standin.executor_routes import AdvisorRoutes, ExecutorRoutes
+from galenastall.platform.standin.log_store import StandinStore
 from galenastall.protocol.clock import Clock
 from galenastall.standin.cell.executors import Executor
 from galenastall.standin.cell.live_world import LiveWorld
@@ -70,14 +70,14 @@
 
     def __init__(self, *, plan: StandinPlan, clock: Clock) -> None:
         """Build the faces of `plan`; `run` serves them."""
-        self.store = StoreFace()
-        self.world = LiveWorld()
-        self.advisor = AdvisorFace()
+        self.store = StandinStore()
+        self.simulation = LiveWorld()
+        self.advisor = AdvisorRoutes()
         self.store_address = ""
         self.advisor_address = ""
         self._plan = plan
         self._clock = clock
-        self._started = 0
+        self._executors_added = 0
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve; reports started once all executors are listed."""
@@ -89,48 +89,48 @@
                     await self._add_executor(nursery, data_centre)
             task_status.started()
 
-    async def _serve(self, nursery: trio.Nursery, face: object) -> str:
-        server = HttpServer(handlers=[face], clock=self._clock, bind=LOOPBACK)
+    async def _serve(self, nursery: trio.Nursery, routes: object) -> str:
+        server = HttpServer(handlers=[routes], clock=self._clock, bind=LOOPBACK)
         await nursery.start(server.run)
         return server.address
 
     async def _add_executor(self, nursery: trio.Nursery, data_centre: str) -> None:
-        self._started += 1
-        name = f"executor-{self._started}"
-        face = ExecutorFace(world=self.world, executor_id=name)
+        self._executors_added += 1
+        name = f"executor-{self._executors_added}"
+        routes = ExecutorRoutes(simulation=self.simulation, executor_id=name)
         info = ExecutorInfo(
             executor_id=self._new_id(name),
-            host=f"host-{self._started}",
-            address=await self._serve(nursery, face),
+            host=f"host-{self._executors_added}",
+            address=await self._serve(nursery, routes),
             data_centre=data_centre,
             service=self._plan.service,
             capacity=self._plan.capacity,
             labels=("a", f"{data_centre}-rack"),
         )
-        self._begin(name, info)
-        nursery.start_soon(self._beat, name)
+        self._start_executor(name, info)
+        nursery.start_soon(self._run_heartbeats, name)
 
     def restart(self, name: str) -> None:
         """Have an executor start again under its name; it knows nothing of before."""
-        earlier = self.world.executors[name]
-        self.world.crash(earlier)
-        self.world.earlier.append(earlier)
-        self._begin(name, replace(earlier.info, executor_id=self._new_id(name)))
+        earlier = self.simulation.executors[name]
+        self.simulation.crash(earlier)
+        self.simulation.earlier.append(earlier)
+        self._start_executor(name, replace(earlier.info, executor_id=self._new_id(name)))
 
     def _new_id(self, name: str) -> str:
         return make_executor_id(name, int(self._clock.wall() * 1000))
 
-    def _begin(self, name: str, info: ExecutorInfo) -> None:
-        executor = Executor(world=self.world, info=info)
-        self.world.executors[name] = executor
+    def _start_executor(self, name: str, info: ExecutorInfo) -> None:
+        executor = Executor(world=self.simulation, info=info)
+        self.simulation.executors[name] = executor
         self._register(executor, 0)
 
-    async def _beat(self, name: str) -> None:
+    async def _run_heartbeats(self, name: str) -> None:
         sequence = 0
         while True:
             await trio.sleep(HEARTBEAT_S)
             sequence += 1
-            self._register(self.world.executors[name], sequence)
+            self._register(self.simulation.executors[name], sequence)
 
     def _register(self, executor: Executor, sequence: int) -> None:
         info = executor.info
@@ -163,7 +163,7 @@
         if tenants is not None:
             listed = list(tenants)
             value["tenants"] = [tenant.to_wire() for tenant in listed]
-            self.world.quotas.set_workspaces(tenant.to_workspace() for tenant in listed)
+            self.simulation.quotas.set_workspaces(tenant.to_workspace() for tenant in listed)
         self.store.put("keyed.op", "config", value)
 
     def make_route(self, name: str, *, priority: int = 1, attempts: int = 2) -> dict[str, Any]:
--- a/src/galenastall/platform/store.py
+++ b/src/galenastall/platform/store.py
@@ -5,14 +5,14 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from galenastall.platform.calls import Address, PlatformCalls, decode_answer, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, decode_answer, to_failure
 from galenastall.platform.entries import decode_entry
 from galenastall.platform.log_wire import (
     AppendAnswer,
     AppendRefusal,
     keyed_record,
 )
-from galenastall.platform.newest import NewestReader
+from galenastall.platform.newest_records import NewestReader
 from galenastall.protocol.cell.ports import LeaderRecord, StoreView
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.http_client import WholeAnswer
@@ -37,7 +37,7 @@
 _OK: Final = 200
 _CONFLICT: Final = 409
 _NOT_AT_END: Final = 412
-_BEHIND_ROWS: Final = "~"
+_AFTER_STATE_KEYS: Final = "~"
 """Sorts behind the keys of all rows, and before that of the claim."""
 
 
@@ -51,7 +51,7 @@
     """StatePort over the platform's log."""
 
     def __init__(
-        self, *, calls: PlatformCalls, address: Address, request_bytes: int = REQUEST_BYTES
+        self, *, calls: PlatformCalls, address: AddressProvider, request_bytes: int = REQUEST_BYTES
     ) -> None:
         """Use the store at `address`, which takes requests of `request_bytes` at most."""
         self.append_bytes = int(request_bytes * VALUES_SHARE)
@@ -111,7 +111,7 @@
 
     async def look(self) -> Result[StoreView, StepError]:
         """Read the newest claim and the state's end, in one page."""
-        answer = await self._newest.page(STATE_TOPIC, _BEHIND_ROWS)
+        answer = await self._newest.page(STATE_TOPIC, _AFTER_STATE_KEYS)
         if isinstance(answer, Failure):
             return answer
         page = answer.unwrap()
@@ -139,18 +139,18 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status == _NOT_AT_END:
+        response = answer.unwrap()
+        if response.status == _NOT_AT_END:
             return Failure(self._error(step, Reason.CONFLICT, "another record came first"))
-        if whole.status == _CONFLICT:
-            return self._conflict(whole, step)
-        if whole.status != _OK:
-            return refused(whole, step=step, peer=self._address())
-        return decode_answer(whole, AppendAnswer, step=step, peer=self._address())
+        if response.status == _CONFLICT:
+            return self._conflict(response, step)
+        if response.status != _OK:
+            return to_failure(response, step=step, peer=self._address())
+        return decode_answer(response, AppendAnswer, step=step, peer=self._address())
 
-    def _conflict(self, whole: WholeAnswer, step: str) -> Result[AppendAnswer, StepError]:
+    def _conflict(self, response: WholeAnswer, step: str) -> Result[AppendAnswer, StepError]:
         """Return CONFLICT: a newer epoch stands, or another writer used ours."""
-        refusal = decode_answer(whole, AppendRefusal, step=step, peer=self._address())
+        refusal = decode_answer(response, AppendRefusal, step=step, peer=self._address())
         detail = f"{refusal.value_or(AppendRefusal(reason='unreadable'))}"
         return Failure(self._error(step, Reason.CONFLICT, detail))
 
--- a/src/galenastall/platform/submissions.py
+++ b/src/galenastall/platform/submissions.py
@@ -13,10 +13,10 @@
 
 PAYLOAD_LIMIT_BYTES: Final = 4_000
 """Longest specification, as the platform states it."""
-TASKS_AT_MOST: Final = 4_000
+MAX_TASKS: Final = 4_000
 """Tasks of one job; far above what callers send. Its progress is one row of up to 63 bytes a task,
 and the store takes records of 256 KiB."""
-REPETITIONS_AT_MOST: Final = 1_000_000
+MAX_REPETITIONS: Final = 1_000_000
 """Times that a job runs: one each second for eleven days."""
 _STEP: Final = "job.decode"
 
@@ -128,8 +128,8 @@
         return f"specification: at most {PAYLOAD_LIMIT_BYTES} bytes, got {size}"
     if not wire.steps:
         return "steps: expected at least one, got []"
-    if wire.repetitions > REPETITIONS_AT_MOST:
-        return f"repetitions: at most {REPETITIONS_AT_MOST}, got {wire.repetitions}"
+    if wire.repetitions > MAX_REPETITIONS:
+        return f"repetitions: at most {MAX_REPETITIONS}, got {wire.repetitions}"
     if wire.repetitions > 0 and wire.interval_ms < 0:
         return f"intervalMs: expected 0 or more, got {wire.interval_ms}"
     for index, step in enumerate(wire.steps):
@@ -137,14 +137,14 @@
         if problem:
             return f"steps[{index}].{problem}"
     tasks = sum(step.count for step in wire.steps)
-    if tasks > TASKS_AT_MOST:
-        return f"steps: at most {TASKS_AT_MOST} tasks together, got {tasks}"
+    if tasks > MAX_TASKS:
+        return f"steps: at most {MAX_TASKS} tasks together, got {tasks}"
     return ""
 
 
 def _problem_of_step(step: WireStep, index: int) -> str:
-    if not 1 <= step.count <= TASKS_AT_MOST:
-        return f"count: expected 1 to {TASKS_AT_MOST}, got {step.count}"
+    if not 1 <= step.count <= MAX_TASKS:
+        return f"count: expected 1 to {MAX_TASKS}, got {step.count}"
     for name, value in (
         ("cpu", step.cpu),
         ("memoryRequestMb", step.memory_request_mb),
--- a/tests/test_entries_of_others.py
+++ b/tests/test_entries_of_others.py
@@ -20,8 +20,8 @@
 from galenastall.platform.fleet import PlatformFleet, decode_executor
 from galenastall.platform.hosts import PlatformHosts, WireWave
 from galenastall.platform.log_wire import NewestPage, WireError, split_keyed
-from galenastall.platform.newest import decode_page
-from galenastall.platform.standin.log_face import StoreFace
+from galenastall.platform.newest_records import decode_page
+from galenastall.platform.standin.log_store import StandinStore
 from galenastall.state.timeline_ring import TimelineRing
 from galenastall.transport.clock import TrioClock
 from galenastall.transport.http_client import HttpClient
@@ -37,7 +37,7 @@
     "labels": ["a", "r1"],
 }
 ROUTE: dict[str, Any] = {"name": "q", "host": "h", "service": "service"}
-NOT_TEXT = b"\x02\xff\xfe" + msgspec.json.encode(GOOD)
+NOT_UTF8 = b"\x02\xff\xfe" + msgspec.json.encode(GOOD)
 """A keyed record whose key is not UTF-8."""
 
 json_values = st.recursive(
@@ -59,15 +59,15 @@
     return Recorder(process="p", clock=TrioClock(), ring=TimelineRing(capacity=1_000))
 
 
-def told(recorder: Recorder, step: str) -> int:
+def count_events(recorder: Recorder, step: str) -> int:
     return sum(1 for event in recorder.ring if event.step == step)
 
 
-class OthersRig:
+class StoreHarness:
     """A store over loopback, and the readers of what others write there."""
 
-    def __init__(self, *, face: StoreFace, address: str) -> None:
-        self.face = face
+    def __init__(self, *, store: StandinStore, address: str) -> None:
+        self.store = store
         self.recorder = make_recorder()
         calls = PlatformCalls(client=HttpClient(clock=TrioClock()))
         self.fleet = PlatformFleet(calls=calls, address=lambda: address, recorder=self.recorder)
@@ -85,11 +85,11 @@
         return {info.executor_id: info for info in read}
 
 
-async def open_store(nursery: trio.Nursery) -> OthersRig:
-    face = StoreFace()
-    server = HttpServer(handlers=[face], clock=TrioClock())
+async def open_store(nursery: trio.Nursery) -> StoreHarness:
+    store = StandinStore()
+    server = HttpServer(handlers=[store], clock=TrioClock())
     await nursery.start(server.run)
-    return OthersRig(face=face, address=server.address)
+    return StoreHarness(store=store, address=server.address)
 
 
 class TestDecoding:
@@ -107,7 +107,7 @@
             assert info.capacity.cores_milli >= 0
             assert info.leaves_in_s >= 0
 
-    def test_nesting_without_end_is_an_error(self) -> None:
+    def test_unbounded_nesting_is_an_error(self) -> None:
         value = b'{"x":' + b"[" * 100_000
         assert isinstance(decode_executor(value), Failure)
 
@@ -130,9 +130,7 @@
             (changed(drainRemainingMs=-5), "drainRemainingMs"),
         ],
     )
-    def test_what_names_no_executor_is_refused_by_field(
-        self, entry: dict[str, Any], named: str
-    ) -> None:
+    def test_an_invalid_entry_is_rejected_by_field(self, entry: dict[str, Any], named: str) -> None:
         assert named in decode_executor(msgspec.json.encode(entry)).failure()
 
     @given(st.binary(max_size=40))
@@ -162,79 +160,79 @@
 
 
 class TestFleet:
-    async def test_a_strange_entry_leaves_the_others(self) -> None:
+    async def test_an_invalid_entry_does_not_affect_others(self) -> None:
         async with trio.open_nursery() as nursery:
-            rig = await open_store(nursery)
-            rig.face.put(FLEET_TOPIC, "i-1", GOOD)
-            rig.face.put(FLEET_TOPIC, "i-2", changed(state="resting"))
-            assert set(await rig.infos()) == {"i-1"}
-            rig.face.put_record(FLEET_TOPIC, NOT_TEXT)
-            rig.face.put(FLEET_TOPIC, "i-3", GOOD)
-            assert set(await rig.infos()) == {"i-1", "i-3"}
-            assert set(await rig.infos()) == {"i-1", "i-3"}
-            assert told(rig.recorder, "fleet.unreadable") == 1
-            assert told(rig.recorder, "store.unreadable") == 1
+            harness = await open_store(nursery)
+            harness.store.put(FLEET_TOPIC, "i-1", GOOD)
+            harness.store.put(FLEET_TOPIC, "i-2", changed(state="resting"))
+            assert set(await harness.infos()) == {"i-1"}
+            harness.store.put_record(FLEET_TOPIC, NOT_UTF8)
+            harness.store.put(FLEET_TOPIC, "i-3", GOOD)
+            assert set(await harness.infos()) == {"i-1", "i-3"}
+            assert set(await harness.infos()) == {"i-1", "i-3"}
+            assert count_events(harness.recorder, "fleet.unreadable") == 1
+            assert count_events(harness.recorder, "store.unreadable") == 1
             nursery.cancel_scope.cancel()
 
-    async def test_an_entry_that_is_replaced_by_a_strange_one_gets_nothing_new(self) -> None:
+    async def test_an_executor_whose_entry_becomes_invalid_gets_no_new_tasks(self) -> None:
         async with trio.open_nursery() as nursery:
-            rig = await open_store(nursery)
-            rig.face.put(FLEET_TOPIC, "i-1", GOOD)
-            assert (await rig.infos())["i-1"].is_usable
-            rig.face.put(FLEET_TOPIC, "i-1", changed(state=None))
-            info = (await rig.infos())["i-1"]
+            harness = await open_store(nursery)
+            harness.store.put(FLEET_TOPIC, "i-1", GOOD)
+            assert (await harness.infos())["i-1"].is_usable
+            harness.store.put(FLEET_TOPIC, "i-1", changed(state=None))
+            info = (await harness.infos())["i-1"]
             assert not info.is_usable
             assert info.address == GOOD["address"]
-            rig.face.put(FLEET_TOPIC, "i-1", GOOD)
-            assert (await rig.infos())["i-1"].is_usable
+            harness.store.put(FLEET_TOPIC, "i-1", GOOD)
+            assert (await harness.infos())["i-1"].is_usable
             nursery.cancel_scope.cancel()
 
 
-class TestOperatorsEntries:
+class TestOperatorEntries:
     async def test_an_unreadable_configuration_is_a_failure_and_the_next_one_is_read(self) -> None:
         async with trio.open_nursery() as nursery:
-            rig = await open_store(nursery)
-            rig.face.put(OPERATOR_TOPIC, "config", {"version": "new", "routes": 3})
-            assert isinstance(await rig.config.wait(), Failure)
-            rig.face.put_record(OPERATOR_TOPIC, NOT_TEXT)
-            rig.face.put(OPERATOR_TOPIC, "config", {"version": 2, "routes": [ROUTE]})
-            config = (await rig.config.wait()).unwrap()
+            harness = await open_store(nursery)
+            harness.store.put(OPERATOR_TOPIC, "config", {"version": "new", "routes": 3})
+            assert isinstance(await harness.config.wait(), Failure)
+            harness.store.put_record(OPERATOR_TOPIC, NOT_UTF8)
+            harness.store.put(OPERATOR_TOPIC, "config", {"version": 2, "routes": [ROUTE]})
+            config = (await harness.config.wait()).unwrap()
             assert config is not None
             assert config.named_services == {"service"}
             nursery.cancel_scope.cancel()
 
-    async def test_an_unreadable_wave_is_told_once(self) -> None:
+    async def test_an_unreadable_wave_is_reported_once(self) -> None:
         async with trio.open_nursery() as nursery:
-            rig = await open_store(nursery)
-            rig.face.put(OPERATOR_TOPIC, "wave/1", {"wave": "first"})
-            rig.face.put(OPERATOR_TOPIC, "wave/2", {"wave": 2, "machines": ["m"]})
-            await rig.config.wait()
+            harness = await open_store(nursery)
+            harness.store.put(OPERATOR_TOPIC, "wave/1", {"wave": "first"})
+            harness.store.put(OPERATOR_TOPIC, "wave/2", {"wave": 2, "machines": ["m"]})
+            await harness.config.wait()
             for _ in range(2):
-                assert [wave.number for wave in rig.hosts.waves()] == [2]
-            assert told(rig.recorder, "wave.unreadable") == 1
+                assert [wave.number for wave in harness.hosts.waves()] == [2]
+            assert count_events(harness.recorder, "wave.unreadable") == 1
             nursery.cancel_scope.cancel()
 
 
 class TestCore:
     def test_an_unusable_executor_keeps_its_runs_and_gets_no_others(self) -> None:
         info = make_info("e1")
-        rig = Rig(info)
-        rig.submit(make_job(make_step(2, cores=3000)))
-        orders = rig.step()
+        harness = Rig(info)
+        harness.submit(make_job(make_step(2, cores=3000)))
+        orders = harness.step()
         assert len(orders) == 1
-        rig.run_all(orders)
-        rig.see(replace(info, is_usable=False))
-        assert rig.runs_on("e1") == {orders[0].task}
-        assert not rig.core.executors_by_id["e1"].is_open(
-            now=rig.now, reach_s=10.0, delisted_grace_s=10.0
+        harness.run_all(orders)
+        harness.see(replace(info, is_usable=False))
+        assert harness.runs_on("e1") == {orders[0].task}
+        assert not harness.core.executors_by_id["e1"].is_open(
+            now=harness.now, reach_s=10.0, delisted_grace_s=10.0
         )
 
     def test_executors_of_services_that_are_not_named_are_not_in_the_table(self) -> None:
-        rig = Rig()
-        strange = replace(make_info("e2"), service="strange")
-        rig.core.set_services(frozenset({"s"}))
-        rig.see(make_info("e1"), strange)
-        rig.see(make_info("e1"), strange)
-        assert set(rig.core.executors_by_id) == {"e1"}
-        notes = [n for n in rig.core.take_notes() if n.step == "executor.unnamed_service"]
+        harness = Rig()
+        unnamed = replace(make_info("e2"), service="strange")
+        harness.core.set_services(frozenset({"s"}))
+        harness.see(make_info("e1"), unnamed)
+        harness.see(make_info("e1"), unnamed)
+        assert set(harness.core.executors_by_id) == {"e1"}
+        notes = [n for n in harness.core.take_notes() if n.step == "executor.unnamed_service"]
         assert [note.subjects for note in notes] == [("e2",)]
--- a/tests/test_platform_access.py
+++ b/tests/test_platform_access.py
@@ -12,7 +12,7 @@
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.platform.access import KeyCheck, digest_of
 from galenastall.platform.config import WireConfig
-from galenastall.platform.jobs_face import JobsFace
+from galenastall.platform.job_routes import JobRoutes
 from galenastall.protocol.cell.config import CellConfig
 from galenastall.protocol.cell.messages import SubmitVerdict
 from galenastall.state.cell.jobs import CellJob
@@ -56,12 +56,12 @@
         assert config.requires_keys
         assert config.find(host="q.example", path="/open/x").is_public  # type: ignore[union-attr]
 
-    def test_no_key_is_kept(self) -> None:
+    def test_keys_are_stored_as_digests(self) -> None:
         config = decode(make_table(make_tenant("a", KEY))).to_config()
         assert KEY not in repr(config)
         assert config.credentials[0].digest == digest_of(KEY)
 
-    def test_a_deployment_without_tenants_asks_for_no_key(self) -> None:
+    def test_a_deployment_without_tenants_requires_no_key(self) -> None:
         table = make_table()
         del table["tenants"]
         assert not decode(table).to_config().requires_keys
@@ -111,7 +111,7 @@
     def test_a_key_decides_the_workspace(self, path: str, key: str, workspace: str | None) -> None:
         assert self.check(path, key) == workspace
 
-    def test_a_newer_version_counts(self) -> None:
+    def test_a_newer_configuration_replaces_the_keys(self) -> None:
         check = KeyCheck()
         for key in (KEY, NEW_KEY):
             config = decode(make_table(make_tenant("a", key))).to_config()
@@ -120,23 +120,23 @@
         assert check.workspace_of(config, route, KEY) is None
 
 
-class Source:
+class FakeConfigSource:
     """A configuration that a look replaces by a newer one."""
 
     def __init__(self, config: CellConfig, newer: CellConfig | None = None) -> None:
         self.config = config
         self.newer = newer
-        self.looks = 0
+        self.look_count = 0
 
     def current(self) -> CellConfig:
         return self.config
 
     async def look(self) -> None:
-        self.looks += 1
+        self.look_count += 1
         self.config = self.newer or self.config
 
 
-class Desk:
+class FakeHandler:
     """A desk that takes jobs, from callers let in by `least_version` or later."""
 
     def __init__(self, *, least_version: int = 0) -> None:
@@ -152,9 +152,9 @@
         return Submitted(verdict=SubmitVerdict.ACCEPTED)
 
 
-async def ask(
-    source: Source,
-    desk: Desk,
+async def send_request(
+    source: FakeConfigSource,
+    handler: FakeHandler,
     *,
     key: str = "",
     path: str = f"/q/{JOB}",
@@ -164,14 +164,14 @@
     """Call a face of its own; returns status and body."""
     clock = TrioClock()
     own_ring = TimelineRing(capacity=10) if ring is None else ring
-    face = JobsFace(
-        desk=desk,  # type: ignore[arg-type]
+    routes = JobRoutes(
+        handler=handler,  # type: ignore[arg-type]
         config=source,
         clock=clock,
         recorder=Recorder(process="t", clock=clock, ring=own_ring),
         submit_seconds=CellMetrics(metrics=Metrics()).submit_seconds,
     )
-    server = HttpServer(handlers=[face], clock=clock, bind="127.0.0.1:0")
+    server = HttpServer(handlers=[routes], clock=clock, bind="127.0.0.1:0")
     headers = [("Host", "q.example"), ("Deadline-Remaining", "3000")]
     headers += [("X-Api-Key", key)] if key else []
     async with trio.open_nursery() as nursery:
@@ -187,41 +187,45 @@
     old = decode(make_table(make_tenant("a", KEY))).to_config()
     new = decode(make_table(make_tenant("a", NEW_KEY), version=2)).to_config()
 
-    async def test_a_key_hands_in_for_its_workspace(self) -> None:
-        desk = Desk()
-        assert (await ask(Source(self.old), desk, key=KEY))[0] == 200
-        assert [job.workspace for job in desk.jobs] == ["a"]
+    async def test_a_key_submits_for_its_workspace(self) -> None:
+        handler = FakeHandler()
+        assert (await send_request(FakeConfigSource(self.old), handler, key=KEY))[0] == 200
+        assert [job.workspace for job in handler.jobs] == ["a"]
 
     @pytest.mark.parametrize("method", ["POST", "GET", "DELETE"])
     @pytest.mark.parametrize("key", ["", "made-up-key"])
     async def test_a_call_without_a_known_key_is_refused(self, method: str, key: str) -> None:
-        desk = Desk()
-        status, body = await ask(Source(self.old), desk, key=key, method=method)
+        handler = FakeHandler()
+        status, body = await send_request(
+            FakeConfigSource(self.old), handler, key=key, method=method
+        )
         assert status == 401
-        assert desk.jobs == []
+        assert handler.jobs == []
         assert re.search(b"x-api-key: no workspace of version 1 has this key", body)
         assert not key or key.encode() not in body
 
-    async def test_a_public_queue_asks_for_no_key(self) -> None:
-        desk = Desk()
-        assert (await ask(Source(self.old), desk, path=f"/open/{JOB}"))[0] == 200
-        assert [job.workspace for job in desk.jobs] == [""]
-
-    async def test_a_key_of_a_newer_version_is_looked_for(self) -> None:
-        source = Source(self.old, newer=self.new)
-        assert (await ask(source, Desk(), key=NEW_KEY))[0] == 200
-        assert source.looks == 1
-
-    async def test_a_key_that_the_leader_knows_to_be_gone_is_refused(self) -> None:
-        source = Source(self.old, newer=self.new)
-        desk = Desk(least_version=2)
-        assert (await ask(source, desk, key=KEY))[0] == 401
-        assert desk.jobs == []
-
-    async def test_a_host_that_stays_behind_can_not_say_what_became_of_a_job(self) -> None:
-        desk = Desk(least_version=2)
+    async def test_a_public_queue_requires_no_key(self) -> None:
+        handler = FakeHandler()
+        assert (await send_request(FakeConfigSource(self.old), handler, path=f"/open/{JOB}"))[
+            0
+        ] == 200
+        assert [job.workspace for job in handler.jobs] == [""]
+
+    async def test_an_unknown_key_triggers_a_configuration_read(self) -> None:
+        source = FakeConfigSource(self.old, newer=self.new)
+        assert (await send_request(source, FakeHandler(), key=NEW_KEY))[0] == 200
+        assert source.look_count == 1
+
+    async def test_a_key_revoked_at_the_leader_is_refused(self) -> None:
+        source = FakeConfigSource(self.old, newer=self.new)
+        handler = FakeHandler(least_version=2)
+        assert (await send_request(source, handler, key=KEY))[0] == 401
+        assert handler.jobs == []
+
+    async def test_an_outdated_host_reports_an_unknown_outcome(self) -> None:
+        handler = FakeHandler(least_version=2)
         ring = TimelineRing(capacity=10)
-        status, body = await ask(Source(self.old), desk, key=KEY, ring=ring)
+        status, body = await send_request(FakeConfigSource(self.old), handler, key=KEY, ring=ring)
         assert status == 504
         events = list(ring)
         assert [event.step for event in events] == ["job.refused"]
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -20,12 +20,12 @@
 from galenastall.node.cell.caller_desk import Submitted
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.platform.advisor import PlatformAdvisor
-from galenastall.platform.calls import Address, PlatformCalls
+from galenastall.platform.calls import AddressProvider, PlatformCalls
 from galenastall.platform.config import WireConfig
 from galenastall.platform.executors import PlatformExecutors, WireListing
 from galenastall.platform.fleet import WireEntry, decode_executor
 from galenastall.platform.hosts import PlatformHosts
-from galenastall.platform.jobs_face import JobsFace
+from galenastall.platform.job_routes import JobRoutes
 from galenastall.platform.keyed_follower import KeyedFollower
 from galenastall.platform.live_settings import LiveSettings
 from galenastall.platform.log_wire import (
@@ -43,8 +43,8 @@
     load_settings,
     settings_path,
 )
-from galenastall.platform.standin.executor_face import AdvisorFace, ExecutorFace
-from galenastall.platform.standin.log_face import StoreFace
+from galenastall.platform.standin.executor_routes import AdvisorRoutes, ExecutorRoutes
+from galenastall.platform.standin.log_store import StandinStore
 from galenastall.platform.store import PlatformStore
 from galenastall.platform.submissions import decode_job
 from galenastall.protocol.cell.config import CellConfig, QueueRoute
@@ -84,7 +84,7 @@
 
 
 class TestSettings:
-    def test_what_is_needed_is_decoded_and_the_rest_ignored(self) -> None:
+    def test_known_fields_are_decoded_and_others_ignored(self) -> None:
         settings = decode_settings(TABLE)
         assert settings.host_id == "front-1"
         assert settings.peer_bind == "127.0.0.1:7000"
@@ -123,11 +123,11 @@
         ("cores", "link_mbps", "weight"),
         [(2.0, 1000.0, 2.0), (0.5, 20.0, 0.5), (0.5, 5.0, 0.25), (2.0, 10.0, 0.5)],
     )
-    def test_a_host_weighs_what_its_cores_and_its_link_can_carry(
+    def test_leadership_weight_is_bounded_by_cores_and_link(
         self, cores: float, link_mbps: float, weight: float
     ) -> None:
         limits = {"cpuShare": cores, "cpuCores": 1, "linkMbps": link_mbps}
-        assert decode_settings({**TABLE, "limits": limits}).leading_weight == weight
+        assert decode_settings({**TABLE, "limits": limits}).leadership_weight == weight
 
     def test_seeds_claim_first(self) -> None:
         settings = decode_settings(TABLE)
@@ -137,18 +137,18 @@
 
 class TestLogWire:
     @pytest.mark.parametrize("value", [b"", b"x", b"\x00" * 300])
-    def test_keyed_records_come_back(self, value: bytes) -> None:
+    def test_keyed_records_round_trip(self, value: bytes) -> None:
         framed = keyed_record("run/ab", value)
         assert int.from_bytes(framed[:4], "big") == len(framed) - 4
         assert split_keyed(framed[4:]) == ("run/ab", value)
 
-    def test_a_page_comes_back(self) -> None:
+    def test_a_page_is_decoded(self) -> None:
         head = (9).to_bytes(8, "big") + (2).to_bytes(8, "big")
         page = decode_read(head + frame_record(b"one") + frame_record(b""))
         assert (page.end, page.first, page.records) == (9, 2, (b"one", b""))
 
     @pytest.mark.parametrize("body", [b"short", b"\0" * 16 + b"\0\0", b"\0" * 16 + b"\0\0\0\x09ab"])
-    def test_cut_pages_are_errors(self, body: bytes) -> None:
+    def test_truncated_pages_are_errors(self, body: bytes) -> None:
         with pytest.raises(WireError):
             decode_read(body)
 
@@ -171,7 +171,7 @@
         assert executor_name(again.to_info("i-1").executor_id) == "i-1"
 
     @pytest.mark.parametrize("born", [b"-1", b"1.5", b'"x"'])
-    def test_an_entry_whose_birth_is_no_whole_number_is_told(self, born: bytes) -> None:
+    def test_an_entry_with_an_invalid_start_time_is_rejected(self, born: bytes) -> None:
         text = b'{"service":"s","address":"10.0.0.9:1","state":"ready","born":' + born + b"}"
         assert "born" in decode_executor(text).failure()
 
@@ -206,7 +206,7 @@
         assert found.queue.name == "long"
         assert config.find(host="c.example", path="/l/") is None
 
-    def test_a_listing_is_decoded_and_strange_rows_are_left_out(self) -> None:
+    def test_a_listing_is_decoded_and_unknown_rows_are_skipped(self) -> None:
         text = b"""{"clockMs":5,"running":[["5c0e.0.1.17",2,"saved",41,3],["odd",1,"",0,0]],
         "finished":[[58,"5c0e.0.1.9",1,"done",""],[59,"5c0e.0.1.8",1,"unheard",""]]}"""
         listing = msgspec.json.decode(text, type=WireListing).to_listing()
@@ -220,13 +220,13 @@
     async def renew(self, born_ms: int | None, called_id: str) -> tuple[ListingAnswer, str]:
         """Return the answer to a call for the listing of `called_id`, and who is there."""
         async with trio.open_nursery() as nursery:
-            world = World(rng=Random(1), nursery=nursery, executors=1)
-            executor = world.executors["executor-1"]
-            there_id = make_executor_id("executor-1", born_ms)
-            executor.info = replace(executor.info, executor_id=there_id)
-            face = ExecutorFace(world=world, executor_id="executor-1")
+            simulation = World(rng=Random(1), nursery=nursery, executors=1)
+            executor = simulation.executors["executor-1"]
+            current_id = make_executor_id("executor-1", born_ms)
+            executor.info = replace(executor.info, executor_id=current_id)
+            routes = ExecutorRoutes(simulation=simulation, executor_id="executor-1")
             answer = await PlatformExecutors(calls=make_calls()).renew(
-                address=await serve(nursery, face),
+                address=await serve(nursery, routes),
                 executor_id=called_id,
                 deadline_ms=None,
                 noted=0,
@@ -235,14 +235,14 @@
                 timeout_s=5.0,
             )
             nursery.cancel_scope.cancel()
-        return answer.unwrap(), there_id
+        return answer.unwrap(), current_id
 
-    async def test_a_listing_tells_which_incarnation_answers(self) -> None:
-        answer, there_id = await self.renew(2_000, make_executor_id("executor-1", 1_000))
-        assert answer.executor_id == there_id
+    async def test_a_listing_identifies_the_responding_incarnation(self) -> None:
+        answer, current_id = await self.renew(2_000, make_executor_id("executor-1", 1_000))
+        assert answer.executor_id == current_id
 
     @pytest.mark.parametrize("born_ms", [None, 2_000])
-    async def test_where_births_are_not_told_the_one_called_answers(
+    async def test_without_a_start_time_the_called_id_is_returned(
         self, born_ms: int | None
     ) -> None:
         called_id = make_executor_id("executor-1", 1_000 if born_ms is None else None)
@@ -253,13 +253,13 @@
         answer, _ = await self.renew(2_000, make_executor_id("executor-2", 2_000))
         assert answer.verdict is StartVerdict.OTHER_EXECUTOR
 
-    async def test_the_advisor_is_asked_by_name_and_its_answer_holds_for_one_incarnation(
+    async def test_the_advisor_is_queried_by_name_and_approves_one_incarnation(
         self,
     ) -> None:
         async with trio.open_nursery() as nursery:
-            face = AdvisorFace()
-            address = await serve(nursery, face)
-            face.refused.add("f")
+            routes = AdvisorRoutes()
+            address = await serve(nursery, routes)
+            routes.refused.add("f")
             advisor = PlatformAdvisor(calls=make_calls(), address=lambda: address)
             ids = tuple(make_executor_id(name, 1_000) for name in "ef")
             answer = await advisor.advise(step=StepKey(JOB, 0, 0), executor_ids=ids, timeout_s=5.0)
@@ -344,8 +344,8 @@
     return server.address
 
 
-async def at(nursery: trio.Nursery, face: object) -> Address:
-    address = await serve(nursery, face)
+async def serve_address(nursery: trio.Nursery, routes: object) -> AddressProvider:
+    address = await serve(nursery, routes)
     return lambda: address
 
 
@@ -354,10 +354,10 @@
 
 
 class TestStore:
-    async def test_tokens_rise_and_a_fence_stops_older_writers(self) -> None:
+    async def test_tokens_increase_and_a_fence_stops_older_writers(self) -> None:
         async with trio.open_nursery() as nursery:
             store = PlatformStore(
-                calls=make_calls(), address=await at(nursery, StoreFace(page_keys=3))
+                calls=make_calls(), address=await serve_address(nursery, StandinStore(page_keys=3))
             )
             first = (await store.claim(host_id="a", address="a:1", weight=1.0, tip=0)).unwrap()
             tip = (await store.look()).unwrap().tip
@@ -378,8 +378,8 @@
 
     async def test_a_repeated_append_is_written_once_and_all_pages_are_read(self) -> None:
         async with trio.open_nursery() as nursery:
-            face = StoreFace()
-            store = PlatformStore(calls=make_calls(), address=await at(nursery, face))
+            standin = StandinStore()
+            store = PlatformStore(calls=make_calls(), address=await serve_address(nursery, standin))
             values = {f"run/{number}": bytes([number]) for number in range(8)}
             for _ in range(2):
                 answer = await store.append(
@@ -390,35 +390,35 @@
             assert (await store.look()).unwrap().tip == 8
             nursery.cancel_scope.cancel()
 
-    async def test_a_page_that_fails_is_read_again_and_those_before_it_are_not(self) -> None:
-        class Failing(StoreFace):
+    async def test_a_failed_page_is_retried_without_rereading_earlier_pages(self) -> None:
+        class Failing(StandinStore):
             """Refuses every second question."""
 
             def __init__(self) -> None:
                 super().__init__(page_keys=3)
-                self.asked_after: list[str] = []
+                self.page_starts: list[str] = []
 
             @route("GET", "/log-newest")
             async def show_newest(self, request: HttpRequest) -> HttpResponse:
-                self.asked_after.append(request.query.get("after", ""))
-                if len(self.asked_after) % 2:
+                self.page_starts.append(request.query.get("after", ""))
+                if len(self.page_starts) % 2:
                     return HttpResponse(status=503)
                 return await super().show_newest(request)
 
         async with trio.open_nursery() as nursery:
-            face = Failing()
-            store = PlatformStore(calls=make_calls(), address=await at(nursery, face))
+            standin = Failing()
+            store = PlatformStore(calls=make_calls(), address=await serve_address(nursery, standin))
             values = {f"run/{number}": bytes([1 + number]) for number in range(8)}
             await store.append(token=3, sequence=1, values_by_key=values, timeout_s=1.0)
             assert (await store.load()).unwrap() == values
-            assert face.asked_after == ["", "", "run/2", "run/2", "run/5", "run/5"]
+            assert standin.page_starts == ["", "", "run/2", "run/2", "run/5", "run/5"]
             nursery.cancel_scope.cancel()
 
-    async def test_a_refusal_says_that_nothing_was_done(self) -> None:
+    async def test_a_refusal_means_that_nothing_was_written(self) -> None:
         async with trio.open_nursery() as nursery:
-            face = StoreFace()
-            store = PlatformStore(calls=make_calls(), address=await at(nursery, face))
-            face.is_refusing = True
+            standin = StandinStore()
+            store = PlatformStore(calls=make_calls(), address=await serve_address(nursery, standin))
+            standin.is_unavailable = True
             answer = await store.append(token=1, sequence=1, values_by_key={}, timeout_s=1.0)
             assert not answer.failure().may_have_taken_effect
             nursery.cancel_scope.cancel()
@@ -436,25 +436,25 @@
             answer = await pool.request("POST", url, content=body)
         return answer.status, msgspec.json.decode(answer.content or b"null")
 
-    async def test_topics_of_others_are_read_only(self) -> None:
+    async def test_topics_of_other_writers_are_read_only(self) -> None:
         async with trio.open_nursery() as nursery:
-            address = await serve(nursery, StoreFace())
+            address = await serve(nursery, StandinStore())
             for topic in ("keyed.op", "keyed.servers"):
                 status, _ = await self.append(address, "", b"v", topic=topic)
                 assert status == 403
             nursery.cancel_scope.cancel()
 
-    async def test_an_append_at_another_place_than_the_end_is_refused(self) -> None:
+    async def test_an_append_not_at_the_end_is_refused(self) -> None:
         async with trio.open_nursery() as nursery:
-            address = await serve(nursery, StoreFace())
+            address = await serve(nursery, StandinStore())
             assert await self.append(address, "at=0", b"a") == (200, {"offset": 0, "endOffset": 1})
             assert await self.append(address, "at=0", b"b") == (412, {"endOffset": 1})
             nursery.cancel_scope.cancel()
 
-    async def test_the_last_five_appends_are_answered_again_and_none_other(self) -> None:
+    async def test_only_the_last_five_appends_may_be_repeated(self) -> None:
         async with trio.open_nursery() as nursery:
-            face = StoreFace()
-            address = await serve(nursery, face)
+            standin = StandinStore()
+            address = await serve(nursery, standin)
             for number in range(1, 8):
                 await self.append(address, f"producer=p&epoch=4&sequence={number}", b"v")
             repeated = await self.append(address, "producer=p&epoch=4&sequence=3", b"v")
@@ -462,12 +462,12 @@
             for sequence in (2, 9):
                 answer = await self.append(address, f"producer=p&epoch=4&sequence={sequence}", b"v")
                 assert answer == (409, {"reason": "seq", "sequence": 8})
-            assert face.topics["keyed.t"].end == 7
+            assert standin.topics["keyed.t"].end == 7
             nursery.cancel_scope.cancel()
 
-    async def test_an_older_epoch_is_fenced_and_a_higher_one_starts_anywhere(self) -> None:
+    async def test_an_older_epoch_is_fenced_and_a_higher_one_starts_at_any_sequence(self) -> None:
         async with trio.open_nursery() as nursery:
-            address = await serve(nursery, StoreFace())
+            address = await serve(nursery, StandinStore())
             assert (await self.append(address, "producer=p&epoch=4&sequence=1", b"v"))[0] == 200
             assert (await self.append(address, "producer=p&epoch=5&sequence=30", b"v"))[0] == 200
             late = await self.append(address, "producer=p&epoch=4&sequence=2", b"v")
@@ -488,28 +488,28 @@
         """There is no newer one."""
 
 
-class SlowDesk:
+class UnknownOutcomeHandler:
     """A desk that does not learn whether a job was stored."""
 
     async def submit(self, job: CellJob, **_: object) -> Submitted:
         return Submitted(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
 
 
-class TestJobsFace:
-    async def test_an_unknown_fate_is_told_with_when_to_come_back(self) -> None:
+class TestJobRoutes:
+    async def test_an_unknown_outcome_is_reported_with_retry_after(self) -> None:
         clock = TrioClock()
         config = CellConfig(
             version=1, routes=(QueueRoute(queue=QUEUE, host="q.example", path_prefix="/q/"),)
         )
-        face = JobsFace(
-            desk=SlowDesk(),  # type: ignore[arg-type]
+        routes = JobRoutes(
+            handler=UnknownOutcomeHandler(),  # type: ignore[arg-type]
             config=FixedConfig(config),
             clock=clock,
             recorder=Recorder(process="t", clock=clock, ring=TimelineRing(capacity=10)),
             submit_seconds=CellMetrics(metrics=Metrics()).submit_seconds,
         )
         async with trio.open_nursery() as nursery:
-            address = await serve(nursery, face)
+            address = await serve(nursery, routes)
             async with httpcore.AsyncConnectionPool() as pool:
                 answer = await pool.request(
                     "POST",
@@ -523,7 +523,7 @@
             nursery.cancel_scope.cancel()
 
 
-class HostsFace:
+class HostRoutes:
     """The platform's list of machines and its orders; one page a machine."""
 
     def __init__(self, *machines: dict[str, Any]) -> None:
@@ -554,13 +554,13 @@
 
 
 async def make_hosts_port(
-    nursery: trio.Nursery, face: HostsFace, values: dict[str, bytes] | None = None
-) -> tuple[PlatformHosts, StoreFace]:
-    store = StoreFace()
+    nursery: trio.Nursery, routes: HostRoutes, values: dict[str, bytes] | None = None
+) -> tuple[PlatformHosts, StandinStore]:
+    store = StandinStore()
     port = PlatformHosts(
         calls=make_calls(),
-        address=await at(nursery, face),
-        store=await at(nursery, store),
+        address=await serve_address(nursery, routes),
+        store=await serve_address(nursery, store),
         operator_values=lambda: values or {},
         recorder=Recorder(process="t", clock=TrioClock(), ring=TimelineRing(capacity=10)),
     )
@@ -573,7 +573,7 @@
     async def test_waves_are_decoded_and_unreadable_ones_left_out(self) -> None:
         async with trio.open_nursery() as nursery:
             values = {"wave/3": self.WAVE, "wave/4": b"{}", "config": b"{}"}
-            port, _ = await make_hosts_port(nursery, HostsFace(), values)
+            port, _ = await make_hosts_port(nursery, HostRoutes(), values)
             (wave,) = port.waves()
             assert (wave.number, wave.hosts, wave.most_down) == (3, ("m-1", "m-2"), 2)
             assert wave.duration_s == 20.0
@@ -586,7 +586,7 @@
             {"machine": "m-3", "pool": "off", "state": "strange", "id": None},
         ]
         async with trio.open_nursery() as nursery:
-            port, _ = await make_hosts_port(nursery, HostsFace(*machines))
+            port, _ = await make_hosts_port(nursery, HostRoutes(*machines))
             hosts = (await port.list_hosts()).unwrap()
             assert [(host.host, host.pool, host.executor_id) for host in hosts] == [
                 ("m-1", "s", "i-1"),
@@ -600,12 +600,12 @@
 
     async def test_orders_carry_holder_and_token(self) -> None:
         async with trio.open_nursery() as nursery:
-            face = HostsFace()
-            port, _ = await make_hosts_port(nursery, face)
+            routes = HostRoutes()
+            port, _ = await make_hosts_port(nursery, routes)
             for order in (HostOrder(host="m-1", wave=3), HostOrder(host="m-1", pool="s")):
                 answer = await port.order(order, holder="front-1", token=9)
                 assert answer.unwrap() is HostOutcome.DONE
-            assert face.orders == [
+            assert routes.orders == [
                 ("upkeep", {"machine": "m-1", "wave": 3}, "front-1", "9"),
                 ("move", {"machine": "m-1", "pool": "s"}, "front-1", "9"),
             ]
@@ -619,13 +619,13 @@
             (400, {}, HostOutcome.NOT_POSSIBLE),
         ],
     )
-    async def test_refusals_tell_what_became_of_an_order(
+    async def test_refusals_map_to_order_outcomes(
         self, status: int, body: Any, outcome: HostOutcome
     ) -> None:
         async with trio.open_nursery() as nursery:
-            face = HostsFace()
-            face.answers.append(json_response(status, body))
-            port, _ = await make_hosts_port(nursery, face)
+            routes = HostRoutes()
+            routes.answers.append(json_response(status, body))
+            port, _ = await make_hosts_port(nursery, routes)
             answer = await port.order(HostOrder(host="m-1", wave=3), holder="a", token=1)
             assert answer.unwrap() is outcome
             nursery.cancel_scope.cancel()
@@ -638,19 +638,19 @@
         self, status: int, body: Any, reason: Reason
     ) -> None:
         async with trio.open_nursery() as nursery:
-            face = HostsFace()
-            face.answers.append(json_response(status, body))
-            port, _ = await make_hosts_port(nursery, face)
+            routes = HostRoutes()
+            routes.answers.append(json_response(status, body))
+            port, _ = await make_hosts_port(nursery, routes)
             answer = await port.order(HostOrder(host="m-1", wave=3), holder="a", token=1)
             assert answer.failure().reason is reason
             nursery.cancel_scope.cancel()
 
-    async def test_the_operator_is_told_once_by_the_newest_leader_only(self) -> None:
+    async def test_wave_status_is_written_once_and_by_the_newest_leader_only(self) -> None:
         async with trio.open_nursery() as nursery:
-            port, store = await make_hosts_port(nursery, HostsFace())
+            port, store = await make_hosts_port(nursery, HostRoutes())
             for _ in range(2):
-                told = await port.tell_wave(3, is_completed=False, token=5, sequence=1)
-                assert not isinstance(told, Failure)
+                reported = await port.tell_wave(3, is_completed=False, token=5, sequence=1)
+                assert not isinstance(reported, Failure)
             assert store.value("keyed.status", "wave/3") == {"state": "running"}
             assert store.topics["keyed.status"].end == 1
             late = await port.tell_wave(3, is_completed=True, token=4, sequence=1)
@@ -662,26 +662,26 @@
     return Recorder(process="p", clock=TrioClock(), ring=TimelineRing(capacity=1_000))
 
 
-def make_follower(address: Address, topic: str) -> KeyedFollower:
+def make_follower(address: AddressProvider, topic: str) -> KeyedFollower:
     return KeyedFollower(calls=make_calls(), address=address, topic=topic, recorder=make_recorder())
 
 
 class TestKeyedFollower:
-    async def test_changes_drops_and_lost_history(self) -> None:
+    async def test_changes_deletions_and_lost_history(self) -> None:
         async with trio.open_nursery() as nursery:
-            face = StoreFace()
-            address = await at(nursery, face)
+            standin = StandinStore()
+            address = await serve_address(nursery, standin)
             follower = make_follower(address, "keyed.op")
             for number in range(5):
-                face.put("keyed.op", f"k{number}", number)
+                standin.put("keyed.op", f"k{number}", number)
             assert (await follower.refresh(wait_s=0.0)).unwrap()
             assert len(follower.values_by_key) == 5
             assert not (await follower.refresh(wait_s=0.0)).unwrap()
-            face.put("keyed.op", "k0", None)
+            standin.put("keyed.op", "k0", None)
             assert (await follower.refresh(wait_s=1.0)).unwrap()
             assert "k0" not in follower.values_by_key
-            face.put("keyed.op", "k9", 9)
-            face.topics["keyed.op"].forget_history()
+            standin.put("keyed.op", "k9", 9)
+            standin.topics["keyed.op"].compact()
             assert (await follower.refresh(wait_s=0.0)).unwrap()
             assert follower.values_by_key["k9"] == b"9"
             nursery.cancel_scope.cancel()
@@ -720,7 +720,7 @@
         self.url = f"http://{address}"
         self.pool = httpcore.AsyncConnectionPool()
 
-    async def ask(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    async def request(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         headers = [("Host", "q.example"), ("Deadline-Remaining", "3000")]
         content = msgspec.json.encode(body) if body is not None else None
         answer = await self.pool.request(method, self.url + path, headers=headers, content=content)
@@ -741,7 +741,7 @@
     async def wait_state(self, job: str, wanted: str) -> str:
         state = ""
         for _ in range(400):
-            status, answer = await self.ask("GET", f"/q/{job}")
+            status, answer = await self.request("GET", f"/q/{job}")
             state = answer["state"] if status == 200 else str(status)
             if state == wanted:
                 return state
@@ -749,21 +749,21 @@
         return state
 
 
-class TestWholePath:
+class TestEndToEnd:
     async def test_a_job_is_served_through_any_host_and_survives_the_leader(
         self, tmp_path: Path
     ) -> None:
         async with trio.open_nursery() as nursery:
-            store = StoreFace()
+            store = StandinStore()
             store_address = await serve(nursery, store)
-            world = World(rng=Random(1), nursery=nursery, executors=2)
-            world.fail_share = 0.0
-            advisor = await serve(nursery, AdvisorFace())
-            for executor_id in list(world.executors):
-                face = ExecutorFace(world=world, executor_id=executor_id)
+            simulation = World(rng=Random(1), nursery=nursery, executors=2)
+            simulation.fail_share = 0.0
+            advisor = await serve(nursery, AdvisorRoutes())
+            for executor_id in list(simulation.executors):
+                routes = ExecutorRoutes(simulation=simulation, executor_id=executor_id)
                 entry = {
                     "service": "service",
-                    "address": await serve(nursery, face),
+                    "address": await serve(nursery, routes),
                     "state": "ready",
                     "capacity": {"cpu": 8000, "memoryRequestMb": 32000},
                     "labels": ["a", "r1"],
@@ -791,20 +791,20 @@
             for caller, each in zip(callers, settings, strict=True):
                 await caller.wait_ready(each.readiness_bind)
             body = {"specification": "x", "steps": [{"count": 2, "cpu": 1000, "estimatedMs": 500}]}
-            remember(world, JOB, body, processes[0].host.config.current())
-            assert await callers[0].ask("POST", f"/q/{JOB}", {"steps": []}) == (400, ANY)
-            assert await callers[0].ask("GET", f"/q/{JOB}") == (410, ANY)
-            assert await callers[0].ask("GET", "/none/x") == (404, ANY)
-            assert (await callers[0].ask("POST", f"/q/{JOB}", body))[0] == 200
-            assert (await callers[1].ask("POST", f"/q/{JOB}", body))[0] == 200
+            register_job(simulation, JOB, body, processes[0].host.config.current())
+            assert await callers[0].request("POST", f"/q/{JOB}", {"steps": []}) == (400, ANY)
+            assert await callers[0].request("GET", f"/q/{JOB}") == (410, ANY)
+            assert await callers[0].request("GET", "/none/x") == (404, ANY)
+            assert (await callers[0].request("POST", f"/q/{JOB}", body))[0] == 200
+            assert (await callers[1].request("POST", f"/q/{JOB}", body))[0] == 200
             assert await callers[1].wait_state(JOB, "completed") == "completed"
-            assert await callers[0].ask("GET", "/q/") == (200, {"pending": 0})
+            assert await callers[0].request("GET", "/q/") == (200, {"pending": 0})
             leader = 0 if processes[0].host.standing.term is not None else 1
             scopes[leader].cancel()
             other = callers[1 - leader]
             assert await other.wait_state(JOB, "completed") == "completed"
-            assert (await other.ask("DELETE", f"/q/{JOB}"))[0] == 200
-            assert world.violations == []
+            assert (await other.request("DELETE", f"/q/{JOB}"))[0] == 200
+            assert simulation.violations == []
             nursery.cancel_scope.cancel()
         os.close(log)
         lines = parse_lines((tmp_path / "log").read_text().splitlines())
@@ -825,13 +825,13 @@
 ANY = Anything()
 
 
-def remember(world: World, job_id: str, body: Any, config: CellConfig | None) -> None:
+def register_job(simulation: World, job_id: str, body: Any, config: CellConfig | None) -> None:
     """Tell the world what it will be asked to run."""
     assert config is not None
     queue = config.routes[0].queue
     text = msgspec.json.encode(body)
     job = decode_job(text, job_id=job_id, queue=queue, wall=0.0, peer="").unwrap()
-    world.jobs[job_id] = job
+    simulation.jobs[job_id] = job
 
 
 async def run_process(
@@ -870,7 +870,7 @@
         assert event.step == "host.reloaded"
         assert event.fields == {"store": "in force", "host_id": "from the next start on"}
 
-    async def test_a_bad_file_changes_nothing_and_is_told_once(
+    async def test_a_bad_file_changes_nothing_and_is_reported_once(
         self, tmp_path: Path, autojump_clock: object, nursery: trio.Nursery
     ) -> None:
         path = tmp_path / "node.toml"
@@ -880,5 +880,5 @@
         path.write_text("zone = 7")
         await trio.sleep(5.5)
         assert live.store_address() == "10.0.0.1:1"
-        told = [event for event in recorder.ring if event.step == "host.reload_failed"]
-        assert [event.cause for event in told] == ["ipAddress: missing"]
+        reported = [event for event in recorder.ring if event.step == "host.reload_failed"]
+        assert [event.cause for event in reported] == ["ipAddress: missing"]
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -25,9 +25,9 @@
 from galenastall.state.resources import Resources
 from galenastall.transport.clock import TrioClock
 
-WITHIN_S: Final = 60.0
+TIMEOUT_S: Final = 60.0
 JOBS: Final = 24
-JOB_EVERY_S: Final = 0.15
+SUBMIT_INTERVAL_S: Final = 0.15
 ENDED: Final = frozenset({"completed", "failed"})
 ROUTE: Final = "q"
 
@@ -105,7 +105,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(first, first + JOBS):
                 nursery.start_soon(self.submit, number)
-                await trio.sleep(JOB_EVERY_S)
+                await trio.sleep(SUBMIT_INTERVAL_S)
 
     async def states(self) -> set[str]:
         """Return how the accepted jobs stand, asked at any host."""
@@ -129,9 +129,9 @@
         await eventually(replaced)
 
 
-async def eventually(holds: Callable[[], Awaitable[bool]]) -> None:
-    with trio.fail_after(WITHIN_S):
-        while not await holds():  # noqa: ASYNC110 - what processes do has no event here
+async def eventually(condition: Callable[[], Awaitable[bool]]) -> None:
+    with trio.fail_after(TIMEOUT_S):
+        while not await condition():  # noqa: ASYNC110 - what processes do has no event here
             await trio.sleep(0.1)
 
 
@@ -150,7 +150,7 @@
         try:
             for host in fleet.hosts:
                 fleet.start(host)
-            with trio.fail_after(WITHIN_S):
+            with trio.fail_after(TIMEOUT_S):
                 for host in fleet.hosts:
                     await fleet.caller.wait_ready(host)
             yield fleet
@@ -175,24 +175,24 @@
     fleet.signal(leader, signal.SIGCONT)
 
 
-async def refuse_the_store(fleet: Fleet) -> None:
+async def stop_store_and_kill_leader(fleet: Fleet) -> None:
     """Kill the leader while the store serves nobody."""
-    fleet.standin.store.is_refusing = True
+    fleet.standin.store.is_unavailable = True
     await trio.sleep(1.0)
     leader = fleet.leader
     fleet.signal(leader, signal.SIGKILL)
     await trio.sleep(1.0)
-    fleet.standin.store.is_refusing = False
+    fleet.standin.store.is_unavailable = False
     await fleet.wait_for_other_leader(leader)
     fleet.start(fleet.host(leader))
 
 
-async def forget_the_history(fleet: Fleet) -> None:
+async def compact_topics_during_handover(fleet: Fleet) -> None:
     """Drop all records but the newest while a leader hands over."""
     leader = fleet.leader
     fleet.signal(leader, signal.SIGTERM)
     for topic in fleet.standin.store.topics.values():
-        topic.forget_history()
+        topic.compact()
     await fleet.wait_for_other_leader(leader)
     fleet.processes[leader].wait()
     fleet.start(fleet.host(leader))
@@ -200,7 +200,7 @@
 
 async def restart_executors(fleet: Fleet) -> None:
     """Restart executors under their names, one after the other, and one of them twice."""
-    for name in sorted(fleet.standin.world.executors):
+    for name in sorted(fleet.standin.simulation.executors):
         fleet.standin.restart(name)
         await trio.sleep(0.4)
     fleet.standin.restart(name)
@@ -220,26 +220,26 @@
             hazards = (
                 kill_the_leader,
                 pause_the_leader,
-                refuse_the_store,
-                forget_the_history,
+                stop_store_and_kill_leader,
+                compact_topics_during_handover,
                 restart_executors,
                 kill_all,
             )
-            for number, bring_about in enumerate(hazards):
+            for number, inject in enumerate(hazards):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(fleet.submit_some, number * JOBS)
-                    await trio.sleep(8 * JOB_EVERY_S)
-                    await bring_about(fleet)
+                    await trio.sleep(8 * SUBMIT_INTERVAL_S)
+                    await inject(fleet)
             await fleet.wait_all_ended()
-            world = fleet.standin.world
-            started = {task.job for task in world.starts_of}
-            assert world.violations == []
+            simulation = fleet.standin.simulation
+            started = {task.job for task in simulation.starts_of}
+            assert simulation.violations == []
             assert not fleet.refused & started
             assert len(fleet.accepted) > 4 * JOBS
 
 
 class TestStart:
-    def test_a_host_s_process_starts_without_the_metrics_library(self) -> None:
+    def test_an_entry_host_starts_without_the_metrics_library(self) -> None:
         """It takes some 0.2 s to import, and nothing is served meanwhile."""
         script = (
             "import sys; import galenastall.platform.process; "
