--- a/deploy/entry_host.py
+++ b/deploy/entry_host.py
@@ -1,4 +1,4 @@
-"""Start an entry host from the folder that the build fills."""
+"""Starts an entry host from the folder that `build.sh` writes."""
 
 import sys
 
--- a/src/galenastall/platform/__init__.py
+++ b/src/galenastall/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter of the operations platform: its settings file, store, executors and callers' dialect."""
+"""Adapter to the operations platform: its settings file, store, executors and caller API."""
--- a/src/galenastall/platform/access.py
+++ b/src/galenastall/platform/access.py
@@ -1,4 +1,4 @@
-"""Which workspace a call acts for, by the key that it carries."""
+"""Authenticates callers: maps the API key of a call to the workspace that it acts for."""
 
 import hashlib
 import hmac
@@ -10,17 +10,18 @@
 
 KEY_HEADER: Final = "x-api-key"
 _INDEXED_DIGITS: Final = 8
-"""Digits of a digest by which candidates are found; the whole is compared in constant time."""
+"""Leading digits of a digest that index the candidates; whole digests are compared in constant
+time."""
 
 
 def digest_of(key: str) -> str:
-    """Return the digest by which a key is kept and compared."""
+    """Return the digest that is stored and compared instead of a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Admission:
-    """A call that may be served."""
+    """A call that was admitted, with the configuration version that admitted it."""
 
     route: QueueRoute
     workspace: str
@@ -28,15 +29,15 @@
 
 
 class KeyCheck:
-    """Finds the workspaces of keys in the configuration in force."""
+    """Looks up the workspaces of keys in the current configuration."""
 
     def __init__(self) -> None:
-        """Begin before the first configuration."""
+        """Start with no configuration; its keys are indexed on first use."""
         self._config: CellConfig | None = None
         self._credentials_by_prefix: dict[str, list[Credential]] = {}
 
     def workspace_of(self, config: CellConfig, route: QueueRoute, key: str) -> str | None:
-        """Return for whom a call on `route` acts; None if it has to show a key that is known."""
+        """Return the workspace that a call on `route` acts for; None if it lacks a known key."""
         if route.is_public or not config.requires_keys:
             return NO_WORKSPACE
         if config is not self._config:
--- a/src/galenastall/platform/advisor.py
+++ b/src/galenastall/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The platform's placement advisor."""
+"""Client of the platform's placement advisor."""
 
 from typing import Final
 
@@ -18,13 +18,13 @@
 
 
 class WireAdvice(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Rows of executor and ticket, and how long the tickets are good."""
+    """Rows of executor and ticket, and how long the tickets are valid."""
 
     approved: list[tuple[str, str]] = []
     validity_ms: float = 0.0
 
     def to_answer(self, executor_ids: tuple[str, ...]) -> AdviceAnswer:
-        """Return the product's type, of a call that asked about `executor_ids`."""
+        """Convert to the internal type, for a request about `executor_ids`."""
         ids_by_name = {executor_name(executor_id): executor_id for executor_id in executor_ids}
         return AdviceAnswer(
             approved=tuple(
@@ -40,7 +40,7 @@
     """AdvisorPort over HTTP."""
 
     def __init__(self, *, calls: PlatformCalls, address: AddressProvider) -> None:
-        """Ask the service at `address`."""
+        """Query the service at `address`."""
         self._calls = calls
         self._address = address
 
--- a/src/galenastall/platform/amounts.py
+++ b/src/galenastall/platform/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of resources as the platform writes them."""
+"""Resource amounts in the platform's format."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
     gpus: int = 0
 
     def to_resources(self) -> Resources:
-        """Return the product's type."""
+        """Convert to the internal type."""
         return Resources(
             cores_milli=self.cpu, memory_mb=self.memory_request_mb, accelerators=self.gpus
         )
--- a/src/galenastall/platform/calls.py
+++ b/src/galenastall/platform/calls.py
@@ -1,4 +1,4 @@
-"""One HTTP client for everything that the platform serves, with JSON bodies and typed errors."""
+"""HTTP client for all services of the platform, with JSON bodies and typed errors."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, TypeVar
@@ -11,21 +11,21 @@
 
 T = TypeVar("T")
 AddressProvider = Callable[[], str]
-"""Returns the `IP:port` of a service now: the settings may change while the process runs."""
+"""Returns the current `IP:port` of a service; the settings may change while the process runs."""
 _JSON_HEADERS = {"content-type": "application/json"}
 
 
 class PlatformCalls:
-    """Calls to the platform's addresses."""
+    """Sends requests to the platform's services."""
 
     def __init__(self, *, client: HttpClient) -> None:
-        """Call through `client`."""
+        """Send requests through `client`."""
         self._client = client
 
     async def get(
         self, *, step: str, address: str, path: str, timeout_s: float
     ) -> Result[WholeAnswer, StepError]:
-        """Get an answer of any status."""
+        """Send a GET request and return the response, whatever its status."""
         return await self._client.request(
             method="GET", address=address, path=path, timeout_s=timeout_s, step=step
         )
@@ -40,7 +40,7 @@
         timeout_s: float,
         headers: Mapping[str, str] | None = None,
     ) -> Result[WholeAnswer, StepError]:
-        """Post a body and return an answer of any status."""
+        """Post a body and return the response, whatever its status."""
         return await self._client.request(
             method="POST",
             address=address,
@@ -61,7 +61,7 @@
         timeout_s: float,
         headers: Mapping[str, str] | None = None,
     ) -> Result[WholeAnswer, StepError]:
-        """Post a JSON message and return an answer of any status."""
+        """Post a JSON message and return the response, whatever its status."""
         return await self.post(
             step=step,
             address=address,
@@ -75,7 +75,7 @@
 def decode_answer(
     answer: WholeAnswer, wanted: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
-    """Return the typed body of an answer; CUT if it can't be read."""
+    """Return the typed body of a response; CUT if it can't be decoded."""
     try:
         return Success(msgspec.json.decode(answer.body, type=wanted))
     except msgspec.MsgspecError as error:
@@ -84,5 +84,5 @@
 
 
 def to_failure(answer: WholeAnswer, *, step: str, peer: str) -> Failure[StepError]:
-    """Return what an answer with an error status means."""
+    """Convert a response with an error status into a failure."""
     return Failure(error_of_answer(answer, step=step, peer=peer))
--- a/src/galenastall/platform/config.py
+++ b/src/galenastall/platform/config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform's store holds it."""
+"""Reads the operator's configuration from the platform's store."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -20,19 +20,19 @@
 TOPIC: Final = "keyed.op"
 KEY: Final = "config"
 POLL_S: Final = 0.9
-"""Long poll for a change; a connection that has gone silent is found out within the 2 s bound."""
+"""Time of a long poll: an unresponsive connection must be detected within the bound of 2 s."""
 
 
 class WireAdvisor(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """What advice costs on a queue, in milliseconds."""
+    """Timing of placement advice for a queue, in milliseconds."""
 
     decision_ms: float = 0.0
     period_ms: float = 0.0
-    """For each executor named."""
+    """Added for each executor in a request."""
     validity_ms: float = 0.0
 
     def to_timing(self) -> AdvisorTiming:
-        """Return the product's type."""
+        """Convert to the internal type."""
         return AdvisorTiming(
             base_s=self.decision_ms / 1000.0,
             per_executor_s=self.period_ms / 1000.0,
@@ -41,7 +41,7 @@
 
 
 class WireRoute(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """A queue, with the requests that belong to it."""
+    """A queue, with the host and path prefix of its requests."""
 
     name: str
     host: str = ""
@@ -55,7 +55,7 @@
     public: bool = False
 
     def to_route(self) -> QueueRoute:
-        """Return the product's type."""
+        """Convert to the internal type."""
         advisor = self.placement_advisor
         return QueueRoute(
             host=self.host,
@@ -81,25 +81,25 @@
 
 
 class WireTenant(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """A tenant, with the keys that its callers show."""
+    """A tenant, with the API keys of its callers."""
 
     name: str = ""
     api_keys: list[str] = []
     weight: float = 1.0
     upper_limit: WireAmount = WireAmount()
-    """What it may have running across all executors; 0 is no limit."""
+    """Limit on what it has running across all executors; 0 means no limit."""
 
     def to_workspace(self) -> Workspace:
-        """Return the product's type."""
+        """Convert to the internal type."""
         return Workspace(name=self.name, weight=self.weight, limit=self.upper_limit.to_resources())
 
     def to_credentials(self) -> list[Credential]:
-        """Return its keys as the product keeps them."""
+        """Return its keys as stored: digests instead of keys."""
         return [Credential(digest=digest_of(key), workspace=self.name) for key in self.api_keys]
 
 
 class WireConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """One version, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: list[WireRoute] = []
@@ -108,11 +108,11 @@
     """None in deployments without tenants."""
 
     def problem(self) -> str:
-        """Return what is wrong with the tenants, naming field and value; no key is shown."""
+        """Return the first error in the tenants, with field and value but without any key."""
         return _problem_of(self.tenants or [])
 
     def to_config(self) -> CellConfig:
-        """Return the product's type."""
+        """Convert to the internal type."""
         return CellConfig(
             version=self.version,
             routes=tuple(route.to_route() for route in self.routes),
@@ -132,7 +132,7 @@
         if not tenant.name:
             return f"{at}.name: expected a name, got {tenant.name!r}"
         if tenant.name in names:
-            return f"{at}.name: {tenant.name!r} is there twice"
+            return f"{at}.name: duplicate name {tenant.name!r}"
         names.add(tenant.name)
         if not tenant.weight >= 0:
             return f"{at}.weight: expected 0 or more, got {tenant.weight}"
@@ -141,7 +141,7 @@
         for number, key in enumerate(tenant.api_keys):
             holder = holders_by_key.setdefault(key, tenant.name)
             if not key or holder != tenant.name:
-                held = f"is held by {holder!r} too" if key else "is empty"
+                held = f"also belongs to {holder!r}" if key else "is empty"
                 return f"{at}.apiKeys[{number}]: {held}"
     return ""
 
@@ -152,7 +152,7 @@
 
 
 class PlatformConfig:
-    """ConfigPort over the store."""
+    """ConfigPort on the platform's store."""
 
     def __init__(
         self, *, calls: PlatformCalls, address: AddressProvider, recorder: Recorder
@@ -162,15 +162,15 @@
         self._follower = KeyedFollower(calls=calls, address=address, topic=TOPIC, recorder=recorder)
 
     def operator_values(self) -> Mapping[str, bytes]:
-        """Return what was last read of all the operator's keys."""
+        """Return the values last read of all the operator's keys."""
         return self._follower.values_by_key
 
     async def wait(self) -> Result[CellConfig | None, StepError]:
-        """Return the newest configuration after a change or the long poll's time."""
+        """Wait for a change, up to the long poll's time; return the new configuration or None."""
         return await self._read(POLL_S)
 
     async def newest(self) -> Result[CellConfig | None, StepError]:
-        """Return the newest configuration if it is new here, without waiting for a change."""
+        """Return the newest configuration if it changed since the last read, without waiting."""
         return await self._read(0.0)
 
     async def _read(self, wait_s: float) -> Result[CellConfig | None, StepError]:
--- a/src/galenastall/platform/entries.py
+++ b/src/galenastall/platform/entries.py
@@ -1,4 +1,4 @@
-"""Decode what others write into the platform's store; any bytes may come."""
+"""Decodes entries that others write into the platform's store; they may hold any bytes."""
 
 from typing import TypeVar
 
@@ -9,9 +9,9 @@
 
 
 def decode_entry(value: bytes, wanted: type[T]) -> Result[T, str]:
-    """Return the typed entry, or what is wrong with it.
+    """Return the typed entry, or an error message.
 
-    Nesting deeper than the interpreter's stack is an error of its own kind.
+    Nesting deeper than the interpreter's stack raises RecursionError, not a decode error.
     """
     try:
         return Success(msgspec.json.decode(value, type=wanted))
--- a/src/galenastall/platform/executors.py
+++ b/src/galenastall/platform/executors.py
@@ -1,4 +1,4 @@
-"""Orders to executors and their listings, as the platform's pages have them."""
+"""Sends orders to executors and reads their listings, in the platform's HTTP API."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -31,7 +31,7 @@
 _UNHEALTHY: Final = frozenset({429, 503})
 _FIGURE_INDEX: Final = 4
 _EXPECTED_EXECUTOR_HEADER: Final = "Expected-Instance"
-"""Names the executor that an order is meant for, in any of its incarnations."""
+"""Names the executor that an order is addressed to, in any of its incarnations."""
 _VERDICT_BY_REASON: Final = {
     "fence": StartVerdict.FENCED,
     "old": StartVerdict.OLD_RUN,
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Endpoint:
-    """One of an executor's calls."""
+    """An endpoint of an executor; errors name its step."""
 
     step: str
     path: str
@@ -57,25 +57,25 @@
 
 
 class WireAnswer(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """What every answer of an executor may carry."""
+    """Fields that any response of an executor may carry."""
 
     clock_ms: int | None = None
     reason: str = ""
 
 
 class WireListing(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Rows of what runs and of what has ended."""
+    """Rows of running and of finished runs."""
 
     clock_ms: int
     born: int | None = None
-    """When it started, in milliseconds since 1970; None for an executor that does not say."""
+    """Start time in milliseconds since 1970; None if the executor does not report it."""
     running: list[list[Any]] = []
-    """Task, run, checkpoint, percent, and a rough figure of use or of its tail."""
+    """Task, run, checkpoint, percent done, and a rough figure: CPU use or tail latency."""
     finished: list[list[Any]] = []
     """Position, task, run, end, checkpoint."""
 
     def to_listing(self) -> Listing:
-        """Return the product's type; rows with unknown names are left out."""
+        """Convert to the internal type; rows with an unknown task or end name are skipped."""
         return Listing(
             clock_ms=self.clock_ms,
             running=tuple(run for row in self.running if (run := _running(row)) is not None),
@@ -108,7 +108,7 @@
     """ExecutorPort over HTTP."""
 
     def __init__(self, *, calls: PlatformCalls) -> None:
-        """Call through `calls`."""
+        """Send requests through `calls`."""
         self._calls = calls
 
     async def start(
@@ -142,7 +142,7 @@
     async def pace(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
-        """Let a run work at a share of its speed."""
+        """Throttle a run to a percentage of its speed."""
         message: Message = {
             "task": task_name(order.task),
             "run": order.run,
@@ -219,14 +219,14 @@
 
 
 def _responding_id(executor_id: str, born_ms: int | None) -> str:
-    """Return the id of the incarnation that answered; the one called where births are not told."""
+    """Return the id of the incarnation that responded; the called id if it is not reported."""
     if born_ms is None or born_ms_of(executor_id) is None:
         return executor_id
     return make_executor_id(executor_name(executor_id), born_ms)
 
 
 def _verdict(response: WholeAnswer, *, step: str, peer: str) -> Result[OrderAnswer, StepError]:
-    """Return what an answer says; CUT where its meaning is not known."""
+    """Return the verdict of a response; CUT if its status or body is not understood."""
     if response.status == _OTHER_EXECUTOR:
         return Success(OrderAnswer(verdict=StartVerdict.OTHER_EXECUTOR, clock_ms=None))
     if response.status in _UNHEALTHY:
--- a/src/galenastall/platform/fleet.py
+++ b/src/galenastall/platform/fleet.py
@@ -1,4 +1,4 @@
-"""Executors as they register themselves in the platform's store."""
+"""Reads the entries with which executors register in the platform's store."""
 
 from dataclasses import replace
 from ipaddress import AddressValueError, IPv4Address
@@ -23,7 +23,7 @@
 
 
 class WireEntry(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """An executor's own entry; its key is its name."""
+    """An executor's entry; its key is the executor's name."""
 
     service: str
     address: str
@@ -33,13 +33,13 @@
     labels: list[str] = []
     """Its kind, then its rack."""
     machine: str = ""
-    """The host that it runs on; empty where the platform names none."""
+    """The host that it runs on; empty if the platform names none."""
     born: int | None = None
-    """When it started, in milliseconds since 1970; None for an executor that does not say."""
+    """Start time in milliseconds since 1970; None if the executor does not report it."""
     drain_remaining_ms: float = 0.0
 
     def problem(self) -> str:
-        """Return why this can't be an executor's entry, naming field and value; empty if it can."""
+        """Return the first error of the entry, with field and value; empty if it is valid."""
         if self.state not in {_READY, _DRAINING}:
             return f"state: expected {_READY} or {_DRAINING}, got {self.state!r}"
         if not _is_address(self.address):
@@ -57,7 +57,7 @@
         return ""
 
     def to_info(self, name: str) -> ExecutorInfo:
-        """Return the product's type; an unnamed host is told by its address."""
+        """Convert to the internal type; an unnamed host is identified by its address."""
         return ExecutorInfo(
             executor_id=make_executor_id(name, self.born),
             host=self.machine or self.address,
@@ -73,7 +73,7 @@
 
 
 class PlatformFleet:
-    """FleetPort over the store."""
+    """FleetPort on the platform's store."""
 
     def __init__(
         self, *, calls: PlatformCalls, address: AddressProvider, recorder: Recorder
@@ -85,7 +85,7 @@
         self._values_by_name: dict[str, bytes] = {}
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
-        """Return the list as it is now."""
+        """Return the current list of executors."""
         answer = await self._follower.refresh(wait_s=0.0)
         if isinstance(answer, Failure):
             return answer
@@ -111,12 +111,12 @@
         )
         known = self._infos_by_name.get(name)
         if known is not None:
-            # What runs there goes on and ends as its answers say.
+            # It gets no new tasks; its runs go on, and end as its listings report.
             self._infos_by_name[name] = replace(known, is_usable=False)
 
 
 def decode_executor(value: bytes) -> Result[WireEntry, str]:
-    """Return an executor's entry, or what is wrong with it."""
+    """Return an executor's entry, or an error message."""
     return decode_entry(value, WireEntry).bind(_validate)
 
 
--- a/src/galenastall/platform/hosts.py
+++ b/src/galenastall/platform/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's machines and the operator's waves of upkeep: what the product calls hosts."""
+"""The platform's machines, here called hosts, and the operator's maintenance waves."""
 
 from collections.abc import Callable, Mapping
 from typing import Final
@@ -18,7 +18,7 @@
 from galenastall.transport.logs import Level, Recorder
 
 WAVE_KEY_PREFIX: Final = "wave/"
-"""Begin of the operator's keys of waves, and of those that it reads their states from."""
+"""Prefix of the keys in which the operator writes waves, and of those with their states."""
 STATUS_TOPIC: Final = "keyed.status"
 CALL_TIMEOUT_S: Final = 1.0
 _OK: Final = 200
@@ -50,7 +50,7 @@
     """Name of its executor, if it has one."""
 
     def to_host(self) -> PoolHost:
-        """Return the product's type; a state that is not known counts as down."""
+        """Convert to the internal type; an unknown state counts as down."""
         return PoolHost(
             host=self.machine,
             pool=self.pool,
@@ -62,23 +62,23 @@
 
 
 class WireMachines(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """One page of the list."""
+    """One page of the list of machines."""
 
     machines: list[WireMachine] = []
     next_page_token: str | None = None
 
 
 class WireWave(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """A wave as the operator writes it."""
+    """A maintenance wave as the operator writes it."""
 
     wave: int
     machines: list[str] = []
     duration_s: float = 0.0
     upper_limit: int = 1
-    """Machines that may be down for it at once."""
+    """Most machines that may be down for the wave at once."""
 
     def to_wave(self) -> MaintenanceWave:
-        """Return the product's type."""
+        """Convert to the internal type."""
         return MaintenanceWave(
             number=self.wave,
             hosts=tuple(self.machines),
@@ -94,7 +94,7 @@
 
 
 class PlatformHosts:
-    """HostsPort over HTTP, and over what the operator wrote into the store."""
+    """HostsPort over HTTP, with the waves that the operator writes to the store."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         operator_values: Callable[[], Mapping[str, bytes]],
         recorder: Recorder,
     ) -> None:
-        """`operator_values` returns what was last read of the operator's keys."""
+        """`operator_values` returns the values last read of the operator's keys."""
         self._calls = calls
         self._address = address
         self._store = store
@@ -133,7 +133,7 @@
         return self._waves_by_value[value]
 
     async def list_hosts(self) -> Result[tuple[PoolHost, ...], StepError]:
-        """Read all pages of the list."""
+        """Read all pages of the list of machines."""
         step = "hosts.list"
         hosts: list[PoolHost] = []
         path = "/machines"
@@ -158,7 +158,7 @@
     async def order(
         self, order: HostOrder, *, holder: str, token: int
     ) -> Result[HostOutcome, StepError]:
-        """Move a machine, or begin its upkeep."""
+        """Move a machine to another pool, or begin its maintenance."""
         step = "hosts.order"
         path, message = "/machine-upkeep", {"machine": order.host, "wave": order.wave}
         if order.pool:
@@ -185,7 +185,7 @@
         body = decode_answer(response, WireRefusal, step=step, peer=self._address())
         reason = body.value_or(WireRefusal()).reason
         if reason == _FENCED:
-            detail = "a newer leader has given an order to this host"
+            detail = "a newer leader has sent an order to this host"
             return Failure(
                 StepError(step=step, peer=self._address(), reason=Reason.CONFLICT, detail=detail)
             )
@@ -194,7 +194,7 @@
     async def tell_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
-        """Write a wave's state where the operator reads it."""
+        """Write a wave's state to the topic that the operator reads."""
         step = "hosts.tell"
         state = "completed" if is_completed else "running"
         fence = f"producer={PRODUCER}&epoch={token}&sequence={sequence}"
@@ -211,7 +211,7 @@
         if response.status == _OK:
             return Success(None)
         if response.status == _CONFLICT:
-            detail = "a newer leader has told the operator"
+            detail = "a newer leader has written to the status topic"
             return Failure(
                 StepError(step=step, peer=self._store(), reason=Reason.CONFLICT, detail=detail)
             )
--- a/src/galenastall/platform/job_routes.py
+++ b/src/galenastall/platform/job_routes.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs, in the platform's dialect."""
+"""HTTP routes for callers' requests about jobs, in the platform's API."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -23,28 +23,28 @@
 from galenastall.transport.metrics import Histogram
 
 DEADLINE_HEADER: Final = "deadline-remaining"
-"""Milliseconds for which the caller waits for an answer."""
+"""Milliseconds for which the caller still waits for a response."""
 DEFAULT_TIMEOUT_S: Final = 2.5
-"""For callers that do not say how long they wait."""
+"""For callers that send no deadline."""
 BODY_LIMIT_BYTES: Final = 262_144
 UNAUTHORIZED: Final = 401
 MAX_ADMISSION_ATTEMPTS: Final = 3
-"""Times that a caller is let in by a newer configuration within one request."""
+"""Attempts to admit one request, each by a newer configuration."""
 _JOB_ID: Final = re.compile(r"[0-9a-fA-F]{16}")
 
 
 class ConfigSource(Protocol):
-    """The configuration in force at this host."""
+    """Source of this host's current configuration."""
 
     def current(self) -> CellConfig | None:
-        """Return it; None before the first."""
+        """Return the configuration; None before the first was read."""
 
     async def look(self) -> None:
-        """Look for a newer one."""
+        """Read a newer configuration if there is one."""
 
 
 class JobRoutes:
-    """Serves submissions, states, cancels and counts on any path."""
+    """Serves job submissions, states, cancellations and queue counts on any path."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         recorder: Recorder,
         submit_seconds: Histogram,
     ) -> None:
-        """Pass operations to `desk`, by the routes and keys of `config`."""
+        """Pass operations to `handler`, admitted by the routes and keys of `config`."""
         self._submit_seconds = submit_seconds
         self._handler = handler
         self._config = config
@@ -65,7 +65,7 @@
 
     @route("POST", "/{path*}")
     async def submit(self, request: HttpRequest) -> HttpResponse:
-        """Take a job in."""
+        """Submit a job."""
         admission = await self._admit(request)
         if isinstance(admission, HttpResponse):
             return admission
@@ -95,7 +95,7 @@
     async def _submit(
         self, request: HttpRequest, admission: Admission, job: CellJob
     ) -> Submitted | HttpResponse:
-        """Hand a job in; where the leader's configuration is newer, the caller is let in anew."""
+        """Submit a job; if the leader's configuration is newer, admit the caller again."""
         may_be_stored = False
         submitted = Submitted(verdict=SubmitVerdict.UNKNOWN)
         for _ in range(MAX_ADMISSION_ATTEMPTS):
@@ -135,14 +135,14 @@
                 step="job.submit",
                 peer=request.client,
                 reason=Reason.TIMEOUT,
-                detail=f"it is not known whether the job is stored: {submitted.cause}",
+                detail=f"unknown whether the job was stored: {submitted.cause}",
                 retry_after_s=submitted.retry_after_s,
             )
         )
 
     @route("GET", "/{path*}")
     async def show(self, request: HttpRequest) -> HttpResponse:
-        """Return a job's state, or a queue's count of jobs that wait for their first start."""
+        """Return a job's state, or the number of a queue's jobs that wait for their first start."""
         return await self._serve(request, self._show)
 
     async def _show(self, request: HttpRequest, admission: Admission) -> Result[Any, StepError]:
@@ -178,7 +178,7 @@
         request: HttpRequest,
         query: Callable[[HttpRequest, Admission], Awaitable[Result[Any, StepError]]],
     ) -> HttpResponse:
-        """Answer a question; a caller is let in anew where the leader's configuration is newer."""
+        """Run a query; if the leader's configuration is newer, admit the caller again."""
         admission = await self._admit(request)
         cause = ""
         for _ in range(MAX_ADMISSION_ATTEMPTS):
@@ -194,25 +194,25 @@
         return _unavailable(cause, RETRY_AFTER_S)
 
     async def _refresh_and_admit(self, request: HttpRequest) -> Admission | HttpResponse:
-        """Look for a newer configuration, and let a caller in by it."""
+        """Read a newer configuration if there is one, and admit or refuse a caller by it."""
         await self._config.look()
         return self._admit_with_current_config(request)
 
     async def _admit(self, request: HttpRequest) -> Admission | HttpResponse:
-        """Let a caller in; look for a newer configuration before it is refused."""
+        """Admit a caller, or refuse it after a read for a newer configuration."""
         admission = self._admit_with_current_config(request)
         if isinstance(admission, Admission):
             return admission
         return await self._refresh_and_admit(request)
 
     def _admit_with_current_config(self, request: HttpRequest) -> Admission | HttpResponse:
-        """Let a caller in, or refuse it, before anything of its body is read."""
+        """Admit or refuse a caller by the current configuration, before its body is read."""
         config = self._config.current()
         if config is None:
             return _unavailable("no configuration has been read yet", RETRY_AFTER_S)
         found = config.find(host=request.headers.get("host", ""), path=request.path)
         if found is None:
-            detail = f"no queue at {request.path[:80]} of version {config.version}"
+            detail = f"no queue at {request.path[:80]} in configuration version {config.version}"
             return _refused(request, Reason.NOT_FOUND, detail)
         key = request.headers.get(KEY_HEADER, "")
         workspace = self._keys.workspace_of(config, found, key)
@@ -227,7 +227,7 @@
 
 
 def _status_response(job_id: str, found: JobPhase | int | None) -> HttpResponse:
-    """Return what is said of a job, or of a queue's count."""
+    """Return the response with a job's state or a queue's count; 410 for an unknown job."""
     if found is None:
         return _job_not_found(job_id)
     if isinstance(found, JobPhase):
--- a/src/galenastall/platform/keyed_follower.py
+++ b/src/galenastall/platform/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Follows a keyed topic: the newest value of each key, by pages first and then by reads."""
+"""Follows the newest value of each key of a topic: reads all keys first, then new records."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -12,31 +12,31 @@
 from galenastall.transport.logs import Level, Recorder
 
 ANSWER_MARGIN_S: Final = 0.8
-"""Wait for an answer beyond a long poll; a slow store takes up to 0.4 s."""
+"""Added to the time of a long poll for its time-out; a slow store takes up to 0.4 s."""
 _OK: Final = 200
 _GONE: Final = 410
 _NOT_FOUND: Final = 404
 
 
 class KeyedFollower:
-    """Values of a topic that others write."""
+    """Newest values of a topic that others write."""
 
     def __init__(
         self, *, calls: PlatformCalls, address: AddressProvider, topic: str, recorder: Recorder
     ) -> None:
-        """Follow partition 0 of `topic`; what can't be read goes to `recorder`, and is left out."""
+        """Follow partition 0 of `topic`; unreadable records are logged and skipped."""
         self._calls = calls
         self._address = address
         self._topic = topic
         self._newest = NewestReader(calls=calls, address=address)
         self._recorder = recorder
         self._reported_problems: frozenset[str] = frozenset()
-        """Problems of the last read of all keys, which the next one mostly meets again."""
+        """Decode errors of the last read of all keys; the next one mostly finds the same."""
         self._offset: int | None = None
         self.values_by_key: dict[str, bytes] = {}
 
     async def refresh(self, *, wait_s: float) -> Result[bool, StepError]:
-        """Read what is new, waiting up to `wait_s` for it; True if any value has changed."""
+        """Read new records, waiting up to `wait_s` for them; True if any value has changed."""
         if self._offset is None:
             return await self._read_newest()
         return await self._read_from(self._offset, wait_s)
@@ -66,7 +66,7 @@
             return answer
         response = answer.unwrap()
         if response.status in {_GONE, _NOT_FOUND}:
-            # History is gone: only the newest record of each key is left.
+            # The history from this offset is gone: only the newest record of each key is left.
             self._offset = None
             return await self._read_newest()
         if response.status != _OK:
@@ -81,10 +81,10 @@
         return Success(self._apply_from(offset, page.records))
 
     def _apply_from(self, offset: int, records: Sequence[bytes]) -> bool:
-        """Apply records that begin at `offset`, but those that another read has brought already."""
+        """Apply records that begin at `offset`, except those that a concurrent read has applied."""
         reached = self._offset
         if reached is None:
-            # Another read has found the history gone; the next one reads all keys.
+            # A concurrent read has found the history gone; the next refresh reads all keys.
             return False
         new = records[max(reached - offset, 0) :]
         for record in new:
--- a/src/galenastall/platform/live_settings.py
+++ b/src/galenastall/platform/live_settings.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: it may change with a signal or without one."""
+"""Reloads the settings file of a running process, on a signal or when the file has changed."""
 
 from dataclasses import fields
 from pathlib import Path
@@ -15,43 +15,43 @@
 from galenastall.transport.logs import Level, Recorder
 
 POLL_INTERVAL_S: Final = 1.0
-"""Between two looks at the file; what changes in it has 2 s to be in force."""
+"""Interval between checks of the file; a change must be in force within 2 s."""
 RELOADABLE_FIELDS: Final = frozenset({"store", "advisor_address", "hosts_address"})
-"""Fields whose new value is used at once; others take a restart, which the platform does."""
+"""Fields applied at once; a change of any other needs a restart, which the platform does."""
 
 
 class LiveSettings:
-    """The newest good settings."""
+    """The newest valid settings."""
 
     def __init__(self, *, path: Path, settings: PlatformSettings, recorder: Recorder) -> None:
-        """Begin with `settings`, read from `path`."""
+        """Start with `settings`, read from `path`."""
         self._path = path
         self._recorder = recorder
         self._last_error = ""
         self._text = ""
-        """The file's text when it was last read; parsing it takes 1.6 ms, reading it 0.05."""
+        """The file's text at the last read; parsing it takes 1.6 ms, reading it 0.05 ms."""
         self.settings = settings
 
     def store_address(self) -> str:
-        """Return where the store is now."""
+        """Return the current address of the store."""
         return self.settings.store.address
 
     def advisor_address(self) -> str:
-        """Return where the placement advisor is now."""
+        """Return the current address of the placement advisor."""
         return self.settings.advisor_address
 
     def hosts_address(self) -> str:
-        """Return where orders to hosts go now."""
+        """Return the current address of the service that takes orders to hosts."""
         return self.settings.hosts_address
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Check for changes until cancelled."""
         while True:
             await trio.sleep(POLL_INTERVAL_S)
             self.reload(is_requested=False)
 
     def reload(self, *, is_requested: bool) -> None:
-        """Read the file; a bad one is named in the log and changes nothing."""
+        """Read the file; an invalid one is logged and changes nothing."""
         try:
             text = read_settings(self._path)
             if text == self._text and not is_requested:
@@ -67,12 +67,12 @@
         changed = _changed(self.settings, settings)
         self.settings = settings
         if changed or is_requested:
-            cause = "a signal asked for it" if is_requested else "the file has changed"
+            cause = "reload requested by a signal" if is_requested else "the file has changed"
             self._recorder.record("host.reloaded", cause=cause, fields=changed)
 
 
 def _changed(old: PlatformSettings, new: PlatformSettings) -> dict[str, str]:
-    """Return the fields that differ, with what becomes of them."""
+    """Return the fields that differ, each with when its new value applies."""
     return {
         field.name: "in force" if field.name in RELOADABLE_FIELDS else "from the next start on"
         for field in fields(PlatformSettings)
--- a/src/galenastall/platform/log_wire.py
+++ b/src/galenastall/platform/log_wire.py
@@ -1,4 +1,4 @@
-"""Bytes of the platform's log: framed records, keys and values, and answers to reads."""
+"""Wire format of the platform's log: framed records, keys and values, and read responses."""
 
 import base64
 import binascii
@@ -25,7 +25,7 @@
     end: int
     """Offset after the partition's last record."""
     first: int
-    """First offset that is still kept."""
+    """First offset that is still retained."""
     records: tuple[bytes, ...]
 
 
@@ -49,33 +49,33 @@
     """One page of the newest records of all keys."""
 
     items: list[msgspec.Raw] = []
-    """Each a `NewestItem`, decoded by itself: one that can't be read says nothing of others."""
+    """Each a `NewestItem`, decoded on its own so that an unreadable one does not fail the page."""
     has_more: bool = False
     end_offset: int = 0
 
 
 class AppendAnswer(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Where appended records are."""
+    """Offsets of appended records."""
 
     offset: int = 0
     end_offset: int = 0
 
 
 class AppendRefusal(msgspec.Struct, frozen=True, kw_only=True):
-    """Why an append was refused as conflicting."""
+    """Why an append was refused with a conflict."""
 
     reason: str = ""
     sequence: int | None = None
-    """The sequence number expected, where that was wrong."""
+    """The expected sequence number, if the one given was wrong."""
 
 
 def frame_record(content: bytes) -> bytes:
-    """Return a record as appends carry it."""
+    """Return a record with its length prefix, as appends carry it."""
     return _LENGTH.pack(len(content)) + content
 
 
 def keyed_record(key: str, value: bytes) -> bytes:
-    """Return a framed record of a keyed topic; an empty value drops the key."""
+    """Return a framed record of a keyed topic; an empty value deletes the key."""
     name = key.encode()
     if not name or len(name) > _LONGEST_KEY:
         raise WireError(f"key: expected 1 to {_LONGEST_KEY} bytes, got {len(name)}")
@@ -83,9 +83,9 @@
 
 
 def split_keyed(content: bytes) -> tuple[str, bytes]:
-    """Return key and value of a keyed record; the value is empty where the key was dropped."""
+    """Return key and value of a keyed record; the value is empty if the key was deleted."""
     if not content or len(content) < 1 + content[0]:
-        raise WireError("a keyed record is shorter than its key")
+        raise WireError("keyed record is shorter than its key")
     end = 1 + content[0]
     try:
         return content[1:end].decode(), content[end:]
@@ -94,16 +94,16 @@
 
 
 def decode_read(body: bytes) -> ReadAnswer:
-    """Return the page that a read answered with."""
+    """Decode the response to a read."""
     if len(body) < _READ_HEAD.size:
-        raise WireError(f"a page has at least {_READ_HEAD.size} bytes, got {len(body)}")
+        raise WireError(f"page: expected at least {_READ_HEAD.size} bytes, got {len(body)}")
     end, first = _READ_HEAD.unpack_from(body)
     records = split_records(body[_READ_HEAD.size :])
     return ReadAnswer(end=end, first=first, records=tuple(records))
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Return the contents of framed records that follow each other."""
+    """Return the contents of consecutive framed records."""
     return list(_records(body))
 
 
@@ -111,10 +111,10 @@
     at = 0
     while at < len(body):
         if at + _LENGTH.size > len(body):
-            raise WireError("a record's length is cut off")
+            raise WireError("truncated record length")
         (length,) = _LENGTH.unpack_from(body, at)
         begin = at + _LENGTH.size
         if begin + length > len(body):
-            raise WireError("a record is cut off")
+            raise WireError("truncated record")
         yield body[begin : begin + length]
         at = begin + length
--- a/src/galenastall/platform/metrics_routes.py
+++ b/src/galenastall/platform/metrics_routes.py
@@ -1,4 +1,4 @@
-"""The metrics page."""
+"""HTTP route of the metrics page."""
 
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
@@ -9,7 +9,7 @@
     """Serves the metrics as text."""
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Show `metrics`."""
+        """Serve `metrics`."""
         self._metrics = metrics
 
     @route("GET", "/metrics")
--- a/src/galenastall/platform/names.py
+++ b/src/galenastall/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names of tasks, steps and ends."""
+"""The platform's names of tasks, steps and run ends."""
 
 from galenastall.state.cell.jobs import StepKey, TaskKey
 from galenastall.state.cell.phases import RunEnd
@@ -25,7 +25,7 @@
 
 
 def parse_task(name: str) -> TaskKey | None:
-    """Return the task of a name, or None if it has not the form of one."""
+    """Return the task of a name, or None if the name is malformed."""
     parts = name.split(".")
     if len(parts) != _TASK_PARTS or not all(part.isdecimal() for part in parts[1:]):
         return None
--- a/src/galenastall/platform/newest_records.py
+++ b/src/galenastall/platform/newest_records.py
@@ -1,4 +1,4 @@
-"""Pages of the newest record of each key of a keyed topic."""
+"""Reads the newest record of each key of a keyed topic, page by page."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -12,7 +12,7 @@
 from galenastall.state.errors import Reason, StepError
 
 PAGE_TIMEOUT_S: Final = 1.0
-"""Wait for a page; a slow store takes up to 0.4 s."""
+"""Time-out for a page; a slow store takes up to 0.4 s."""
 _STEP: Final = "store.newest"
 _OK: Final = 200
 _NOT_FOUND: Final = 404
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NewestRecords:
-    """Newest records of a topic's keys, a page of them or all."""
+    """The newest records of a topic's keys: one page, or all."""
 
     records: tuple[NewestRecord, ...] = ()
     problems: tuple[str, ...] = ()
-    """What is wrong with records that can't be read; they are left out."""
+    """Decode errors of unreadable records, which are skipped."""
     last_key: str = ""
-    """The last key of the page; the next page begins behind it."""
+    """The last key of the page; the next page begins after it."""
     has_more: bool = False
     end_offset: int = 0
 
@@ -56,7 +56,7 @@
     async def page(
         self, topic: str, after: str = "", *, timeout_s: float = PAGE_TIMEOUT_S
     ) -> Result[NewestRecords, StepError]:
-        """Return the keys that sort behind `after`; a topic that nobody wrote to is empty."""
+        """Return the page of keys that sort after `after`; a topic never written to is empty."""
         path = f"/log-newest?topic={topic}&part=0"
         if after:
             path += f"&after={quote(after, safe='')}"
@@ -76,9 +76,9 @@
     async def all(
         self, topic: str, *, timeout_s: float = PAGE_TIMEOUT_S, tries: int = 1
     ) -> Result[NewestRecords, StepError]:
-        """Return all keys; `end_offset` is the first page's, after which nothing is missed.
+        """Return all keys; `end_offset` is the first page's, so that reads from it miss nothing.
 
-        Each page has `timeout_s` and so many tries: those before it need not be read again.
+        Each page has `timeout_s` and `tries` attempts, so that a retry repeats no earlier page.
         """
         pages: list[NewestRecords] = []
         after = ""
@@ -94,7 +94,7 @@
             if not page.has_more:
                 return Success(_join(pages))
             if not page.last_key:
-                detail = "a page has no key that can be read, so none behind it can be asked for"
+                detail = "page has no readable key, so the next page can't be requested"
                 return Failure(
                     StepError(step=_STEP, peer=self._address(), reason=Reason.CUT, detail=detail)
                 )
@@ -102,7 +102,7 @@
 
 
 def decode_page(page: NewestPage) -> NewestRecords:
-    """Return the records of a page, each decoded by itself."""
+    """Return the records of a page; each is decoded on its own, unreadable ones are skipped."""
     records: list[NewestRecord] = []
     problems: list[str] = []
     last_key = ""
--- a/src/galenastall/platform/process.py
+++ b/src/galenastall/platform/process.py
@@ -1,4 +1,4 @@
-"""An entry host on the operations platform, as a process."""
+"""The process of an entry host on the operations platform."""
 
 import gc
 import random
@@ -46,21 +46,21 @@
 EXIT_SETTINGS: Final = 2
 """Exit code when the settings can't be used."""
 LINGER_S: Final = 2.8
-"""How long a stopping host takes new connections: the balancer notices within two probes."""
+"""How long a stopping host accepts connections: the load balancer notices within two probes."""
 STOP_MARGIN_S: Final = 0.7
-"""Kept of the grace time, so that the process ends by itself."""
+"""Part of the grace time left unused, so that the process exits before it is killed."""
 HANDOVER_MARGIN_S: Final = 2.5
-"""Kept of the grace time for the handover and the drain after a slow store was waited for."""
+"""Part of the grace time kept for the handover and the drain after a wait for a slow store."""
 CONNECT_TIMEOUT_S: Final = 0.5
-"""Connecting takes some milliseconds; a lost opening packet is sent again after a second."""
+"""Connecting takes some milliseconds; a lost SYN is sent again after a second."""
 STORE_CONNECTIONS: Final = 8
-"""To the store: an append, a look, a list and a long poll at once, and room for repeats."""
+"""To the store: an append, a claim read, a list and a long poll at once, and spares for retries."""
 EXECUTOR_CONNECTIONS: Final = 3
-"""To an executor: the long poll and two for orders, which take 3 ms each; each one is priced."""
+"""To an executor: the long poll and two for orders, which take 3 ms each; each one has a cost."""
 LOG_FLUSH_INTERVAL_S: Final = 1.0
 GC_THRESHOLDS: Final = (5_000, 50, 1_000)
 RING_EVENTS: Final = 2_000
-"""Events kept in memory for the time line; some 2 MB."""
+"""Events kept in memory for the time line; about 2 MB."""
 
 
 def main() -> int:
@@ -98,14 +98,14 @@
 
 
 class EntryProcess:
-    """Servers around a cell host."""
+    """A cell host with its HTTP servers."""
 
     def __init__(
         self, *, settings: PlatformSettings, path: Path, log_descriptor: int | None = None
     ) -> None:
-        """Build all parts; `path` is looked at for changed settings.
+        """Build all parts; the file at `path` is checked for changed settings.
 
-        Log lines go to `log_descriptor`, or to standard output.
+        Log lines go to `log_descriptor`, or to standard output if it is None.
         """
         self._settings = settings
         self._clock = TrioClock()
@@ -223,7 +223,7 @@
         nursery.start_soon(self._flush_log)
 
     async def _flush_log(self) -> None:
-        """Write what a slow reader left, and tell once a second what was left out."""
+        """Write lines that a slow reader left pending; report dropped ones, once a second."""
         reported = 0
         while True:
             await trio.sleep(LOG_FLUSH_INTERVAL_S)
@@ -232,7 +232,7 @@
             self.recorder.tell_left_out(dropped)
 
     async def stop(self) -> None:
-        """Hand over, finish what callers wait for, and end."""
+        """Hand over leadership, finish callers' open requests, and stop."""
         self._is_stopping = True
         deadline = trio.current_time() + self._settings.stop_grace_s - STOP_MARGIN_S
         await self.host.leave(max(self._settings.stop_grace_s - HANDOVER_MARGIN_S, 0.0))
--- a/src/galenastall/platform/readiness.py
+++ b/src/galenastall/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether this host should get new connections."""
+"""HTTP route of the readiness probe: whether this host should get new connections."""
 
 from collections.abc import Callable
 
@@ -7,10 +7,10 @@
 
 
 class ReadinessRoutes:
-    """Answers by what the host can serve now."""
+    """Serves the readiness probe of the platform's load balancer."""
 
     def __init__(self, *, is_ready: Callable[[], bool]) -> None:
-        """Answer by `is_ready`."""
+        """Report what `is_ready` returns."""
         self._is_ready = is_ready
 
     @route("GET", "/readiness")
--- a/src/galenastall/platform/settings.py
+++ b/src/galenastall/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a process, decoded into what the product needs."""
+"""Decodes the settings file that the platform writes for a process."""
 
 import os
 import tomllib
@@ -10,21 +10,21 @@
 from galenastall.state.errors import GalenastallError
 
 SETTINGS_VARIABLE: Final = "GALENASTALL_SETTINGS"
-"""Names the path of the settings file; chosen by the platform."""
+"""Environment variable with the path of the settings file; named by the platform."""
 ORDERS_BY_CALL: Final = "duty_call"
-"""The one way of giving orders to executors that is served."""
+"""The only supported way of sending orders to executors."""
 METRICS_PORT: Final = 9464
-"""Named in the deploy file too, which takes no placeholder there."""
+"""Also written out in the deploy file, which takes no placeholder there."""
 FIRST_CLAIM_STEP_S: Final = 0.02
-"""Between the first claims of the hosts that the settings name as seeds, at the first start."""
+"""Delay between the claims of successive seed hosts, at the first start."""
 LINK_MBPS_PER_CORE: Final = 20.0
-"""Megabits a second that a leader moves for each core that it uses: a link that carries less makes
-up for no core. Reading 2 MB of state then takes a second at most."""
+"""Megabits per second that a leader transfers per core that it uses: on a slower link, the core
+is not fully usable. Reading 2 MB of state then takes a second at most."""
 T = TypeVar("T")
 
 
 class SettingsError(GalenastallError):
-    """A field is missing or wrong; the text names it and its value."""
+    """A field is missing or invalid; the message names it and its value."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -40,45 +40,45 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformSettings:
-    """All that the process takes from the file."""
+    """The settings that the process takes from the file."""
 
     host_id: str
     data_centre: str
     callers_bind: str
-    """Where callers connect."""
+    """Address that callers connect to."""
     readiness_bind: str
-    """Where the platform's balancer asks whether the host is ready."""
+    """Address that the platform's load balancer probes for readiness."""
     peer_bind: str
-    """Where other entry hosts connect."""
+    """Address that other entry hosts connect to."""
     metrics_bind: str
     store: StoreSettings
     advisor_address: str
     """Empty if the deployment has no placement advisor."""
     hosts_address: str
-    """Where hosts are listed and ordered; empty if the deployment has no such service."""
+    """Service that lists hosts and takes orders to them; empty if the deployment has none."""
     seeds: tuple[str, ...]
     control_address: str
     cores: float
     link_mbps: float
-    """What the host's own network link carries."""
+    """Bandwidth of the host's own network link."""
     memory_mb: int
     may_start: bool
     """Whether the whole system is starting for the first time."""
     heartbeat_s: float
-    """Between two heartbeats of an executor to the store."""
+    """Interval between heartbeats of an executor to the store."""
     stop_grace_s: float
-    """From the signal to stop until the process is killed."""
+    """Time from the stop signal until the process is killed."""
     longest_lease_s: float
     maintenance_s: float
     """How long a host is down for maintenance."""
 
     @property
     def leadership_weight(self) -> float:
-        """Cores that the host can use for leading: no more than its link can keep busy."""
+        """Cores that the host can use as leader: no more than its link can keep busy."""
         return min(self.cores, self.link_mbps / LINK_MBPS_PER_CORE)
 
     def claim_delay_s(self, jitter: float) -> float:
-        """Return this host's delay before a claim; seeds go first, `jitter` (0 to 1) decides."""
+        """Return the delay before a claim: seeds first, in order; others by `jitter` (0 to 1)."""
         longest = CellTimings().claim_jitter_s
         if self.control_address in self.seeds:
             return self.seeds.index(self.control_address) * FIRST_CLAIM_STEP_S
@@ -95,7 +95,7 @@
 
 
 def load_settings(path: Path) -> PlatformSettings:
-    """Return the settings; raises SettingsError naming the field and value at fault."""
+    """Return the settings; raises SettingsError naming the invalid field and its value."""
     return parse_settings(path, read_settings(path))
 
 
@@ -130,7 +130,7 @@
         case [int(first), int(last)] if first < last:
             pass
         case _:
-            raise SettingsError(f"internalPortRange: expected two rising ports, got {ports!r}")
+            raise SettingsError(f"internalPortRange: expected two ascending ports, got {ports!r}")
     return PlatformSettings(
         host_id=_get(table, "nodeName", str),
         data_centre=_get(table, "zone", str),
--- a/src/galenastall/platform/standin/__init__.py
+++ b/src/galenastall/platform/standin/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in of the operations platform in one process: store, executors, advisor, hosts."""
+"""A stand-in for the operations platform in one process: store, executors, advisor, hosts."""
--- a/src/galenastall/platform/standin/callers.py
+++ b/src/galenastall/platform/standin/callers.py
@@ -1,4 +1,4 @@
-"""A caller of entry hosts in the platform's dialect."""
+"""A caller of entry hosts, in the platform's API."""
 
 from typing import Any, Final
 
@@ -10,16 +10,16 @@
 from galenastall.standin.cell.live_world import JobPayload
 
 TIMEOUT_S: Final = 3.0
-"""How long a caller waits for an answer."""
+"""How long a caller waits for a response."""
 POLL_S: Final = 0.05
 OK: Final = 200
 
 
 class StandinCaller:
-    """Hands jobs in and asks for them, at whichever host it is told."""
+    """Submits jobs and queries their state, each at a given host."""
 
     def __init__(self, *, host_name: str = "standin.example", key: str = "") -> None:
-        """`host_name` is the Host header of the configured routes; an empty key is not shown."""
+        """`host_name` is the Host header of the configured routes; an empty key is not sent."""
         self._pool = httpcore.AsyncConnectionPool()
         self._host_name = host_name
         self.key = key
@@ -27,7 +27,7 @@
     async def request(
         self, host: StandinHost, method: str, path: str, body: bytes = b""
     ) -> tuple[int, Any]:
-        """Return status and decoded body; status 0 if there was no answer."""
+        """Return status and decoded body; status 0 if there was no response."""
         headers = [
             ("host", self._host_name),
             ("deadline-remaining", str(int(TIMEOUT_S * 1000))),
@@ -44,7 +44,7 @@
     async def _call(
         self, method: str, url: str, headers: list[tuple[str, str]], body: bytes
     ) -> httpcore.Response | None:
-        """Return an answer, or None if the connection broke or time ran out."""
+        """Return a response, or None if the connection failed or timed out."""
         timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
         try:
             return await self._pool.request(
@@ -56,7 +56,7 @@
     async def submit(
         self, host: StandinHost, route: str, job_id: str, payload: JobPayload
     ) -> tuple[int, Any]:
-        """Hand a job in whose tasks do what `payload` says."""
+        """Submit a job whose tasks behave as `payload` describes."""
         steps = [
             {
                 "count": step.count,
@@ -72,12 +72,12 @@
         return await self.request(host, "POST", f"/{route}/{job_id}", msgspec.json.encode(message))
 
     async def state(self, host: StandinHost, route: str, job_id: str) -> str:
-        """Return a job's state, or the status of another answer as text."""
+        """Return a job's state, or the status as text if it is not 200."""
         status, body = await self.request(host, "GET", f"/{route}/{job_id}")
         return str(body["state"]) if status == OK else str(status)
 
     async def wait_ready(self, host: StandinHost) -> None:
-        """Wait until a host says that it is ready."""
+        """Wait until a host reports that it is ready."""
         url = f"http://{host.readiness_address}/readiness"
         while True:
             answer = await self._call("GET", url, [("host", host.readiness_address)], b"")
--- a/src/galenastall/platform/standin/executor_routes.py
+++ b/src/galenastall/platform/standin/executor_routes.py
@@ -1,4 +1,4 @@
-"""One executor of the stand-in, over HTTP."""
+"""HTTP routes of the stand-in's executors and of its placement advisor."""
 
 from typing import Any, Final
 
@@ -18,7 +18,7 @@
 OTHER_EXECUTOR: Final = 421
 UNHEALTHY: Final = 503
 SWEEP_INTERVAL_S: Final = 0.02
-"""Between two looks at whether runs have ended, while a caller waits for an end."""
+"""Interval between checks for ended runs, during a long poll."""
 _REASON_BY_VERDICT: Final = {
     StartVerdict.FENCED: "fence",
     StartVerdict.OLD_RUN: "old",
@@ -28,10 +28,10 @@
 
 
 class ExecutorRoutes:
-    """Answers for whichever incarnation of an executor is up now."""
+    """Serves the current incarnation of an executor."""
 
     def __init__(self, *, simulation: ExecutorWorld, executor_id: str) -> None:
-        """Serve the executor that `world` knows as `executor_id`."""
+        """Serve the executor `executor_id` of `simulation`."""
         self.simulation = simulation
         self.executor_id = executor_id
 
@@ -75,7 +75,7 @@
 
     @route("POST", "/hold")
     async def hold(self, request: HttpRequest) -> HttpResponse:
-        """Renew the lease and list what runs and has ended."""
+        """Renew the lease and list running and ended runs."""
         message = await _read(request)
         if not self._is_addressed(request):
             return HttpResponse(status=OTHER_EXECUTOR)
@@ -90,7 +90,7 @@
                 await trio.sleep(SWEEP_INTERVAL_S)
                 self.simulation.sweep()
         if not executor.is_up:
-            # It has started again meanwhile: what it knew is gone.
+            # The executor has restarted meanwhile and has lost its state.
             return HttpResponse(status=UNHEALTHY)
         return self._listing(executor)
 
@@ -116,10 +116,10 @@
 
 
 class AdvisorRoutes:
-    """Approves of the executors that it is told to, all of them at first."""
+    """Approves all executors but those in `refused`, which is empty at first."""
 
     def __init__(self, *, validity_ms: int = 1500) -> None:
-        """Tickets are good for `validity_ms`."""
+        """Tickets are valid for `validity_ms`."""
         self.refused: set[str] = set()
         self._validity_ms = validity_ms
 
--- a/src/galenastall/platform/standin/hosts.py
+++ b/src/galenastall/platform/standin/hosts.py
@@ -1,4 +1,4 @@
-"""Settings files of entry hosts beside the stand-in, as the platform writes them."""
+"""Addresses and settings files of entry hosts that run against the stand-in."""
 
 import os
 import socket
@@ -9,13 +9,13 @@
 
 GRACE_S: Final = 6
 NETWORKS_PER_BYTE: Final = 250
-"""Values of each byte that tells the networks of processes apart."""
+"""Values of each byte that distinguishes the networks of processes."""
 PORTS_PER_HOST: Final = 3
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StandinHost:
-    """Addresses of one entry host; each has a loopback address of its own."""
+    """Addresses of one entry host; each host has its own loopback address."""
 
     name: str
     data_centre: str
@@ -26,16 +26,16 @@
 
     @property
     def callers_address(self) -> str:
-        """Where callers connect."""
+        """Address that callers connect to."""
         return f"{self.ip}:{self.callers_port}"
 
     @property
     def readiness_address(self) -> str:
-        """Where the balancer asks."""
+        """Address of the readiness probe."""
         return f"{self.ip}:{self.readiness_port}"
 
     def settings_text(self, standin: PlatformStandin) -> str:
-        """Return the settings file."""
+        """Return the text of the settings file, as the platform writes it."""
         return f"""
 nodeName = "{self.name}"
 ipAddress = "{self.ip}"
@@ -61,7 +61,7 @@
 
 
 def make_hosts(names_by_data_centre: dict[str, tuple[str, ...]]) -> list[StandinHost]:
-    """Return hosts with free ports, each on a loopback address of its own."""
+    """Return hosts with free ports, each on its own loopback address."""
     hosts: list[StandinHost] = []
     for data_centre, names in names_by_data_centre.items():
         for name in names:
@@ -81,9 +81,10 @@
 
 
 def _own_network() -> str:
-    """Return the first three bytes of loopback addresses that this process alone uses.
+    """Return the first three bytes of loopback addresses that only this process uses.
 
-    Hosts serve metrics on one port, so two processes that start hosts at once need two networks.
+    All hosts serve metrics on the same port, so processes that start hosts concurrently need
+    separate networks.
     """
     high, low = divmod(os.getpid() % NETWORKS_PER_BYTE**2, NETWORKS_PER_BYTE)
     return f"127.{high + 1}.{low + 1}"
--- a/src/galenastall/platform/standin/log_store.py
+++ b/src/galenastall/platform/standin/log_store.py
@@ -15,7 +15,7 @@
 
 KEYED_PREFIX: Final = "keyed."
 CACHED_APPENDS: Final = 5
-"""Appends of a producer whose answers are given again."""
+"""Latest appends of each producer whose responses are repeated on a retry."""
 REQUEST_BYTES: Final = 2_097_152
 READ_ONLY_TOPICS: Final = frozenset({"keyed.op", "keyed.servers"})
 """Topics that entry hosts may only read."""
@@ -29,13 +29,13 @@
     answers_by_sequence: OrderedDict[int, dict[str, int]] = field(default_factory=OrderedDict)
 
     def start_epoch(self, epoch: int) -> None:
-        """Take a higher epoch, which may start at any sequence number."""
+        """Switch to a higher epoch, which may start at any sequence number."""
         if epoch > self.epoch:
             self.epoch = epoch
             self.answers_by_sequence.clear()
 
     def cache_answer(self, sequence: int, answer: dict[str, int]) -> None:
-        """Keep an answer for repeats."""
+        """Keep a response for retries of its append."""
         self.answers_by_sequence[sequence] = answer
         while len(self.answers_by_sequence) > CACHED_APPENDS:
             self.answers_by_sequence.popitem(last=False)
@@ -43,12 +43,12 @@
 
 @dataclass
 class Topic:
-    """One partition; `first` is the offset of its oldest record that is kept."""
+    """One partition; `first` is the offset of its oldest retained record."""
 
     records: list[bytes] = field(default_factory=list)
     first: int = 0
     newest: dict[str, tuple[int, bytes]] = field(default_factory=dict)
-    """Offset and value of each key's newest record, where the topic is keyed."""
+    """Offset and value of each key's newest record, if the topic is keyed."""
     producers: defaultdict[str, Producer] = field(default_factory=lambda: defaultdict(Producer))
     changed: trio.Event = field(default_factory=trio.Event)
 
@@ -67,7 +67,7 @@
         self.records.append(content)
 
     def notify_readers(self) -> None:
-        """Wake readers that wait."""
+        """Wake waiting readers."""
         event, self.changed = self.changed, trio.Event()
         event.set()
 
@@ -79,7 +79,7 @@
 
 
 class StandinStore:
-    """The log: appends with epochs and sequence numbers, reads, newest records."""
+    """The store's log: appends with epochs and sequence numbers, reads, newest records."""
 
     def __init__(self, *, page_keys: int = 500) -> None:
         """`page_keys` is how many keys one page of newest records has."""
@@ -88,7 +88,7 @@
         self._page_keys = page_keys
 
     def put(self, topic: str, key: str, value: Any) -> None:
-        """Write as the operator or an executor does; None drops the key."""
+        """Write a value as the operator or an executor does; None deletes the key."""
         encoded = msgspec.json.encode(value) if value is not None else b""
         name = key.encode()
         found = self.topics[topic]
@@ -96,7 +96,7 @@
         found.notify_readers()
 
     def put_record(self, topic: str, record: bytes) -> None:
-        """Write bytes of any kind as one record, which no key's newest value shows."""
+        """Append any bytes as one record, without a change to any key's newest value."""
         found = self.topics[topic]
         found.add(record, is_keyed=False)
         found.notify_readers()
@@ -108,7 +108,7 @@
 
     @route("POST", "/log-append")
     async def append(self, request: HttpRequest) -> HttpResponse:
-        """Append all records of the body, or none."""
+        """Append all records of the body, atomically."""
         body = (await request.read_body(REQUEST_BYTES)).unwrap()
         if self.is_unavailable:
             return HttpResponse(status=503)
@@ -141,7 +141,7 @@
 
     @route("GET", "/log-newest")
     async def show_newest(self, request: HttpRequest) -> HttpResponse:
-        """Give a page of the newest records."""
+        """Return a page of the newest records."""
         if self.is_unavailable:
             return HttpResponse(status=503)
         topic = self.topics[request.query["topic"]]
@@ -156,7 +156,7 @@
 
     @route("GET", "/log-read")
     async def read(self, request: HttpRequest) -> HttpResponse:
-        """Give records from an offset on, as soon as there are some."""
+        """Return records from an offset on, waiting until there are some."""
         if self.is_unavailable:
             return HttpResponse(status=503)
         topic = self.topics[request.query["topic"]]
@@ -172,7 +172,7 @@
 
 
 def _check_fencing(topic: Topic, query: Any, *, has_body: bool) -> HttpResponse | None:
-    """Return the answer to an append that is fenced, out of turn or a repeat, else None."""
+    """Return the response to an append that is fenced, out of sequence, empty or a retry."""
     if "producer" not in query:
         return None
     producer = topic.producers[query["producer"]]
--- a/src/galenastall/platform/standin/processes.py
+++ b/src/galenastall/platform/standin/processes.py
@@ -1,4 +1,4 @@
-"""Entry hosts beside the stand-in, as processes of their own."""
+"""Starts entry hosts as processes that run against the stand-in."""
 
 import os
 import subprocess
@@ -23,7 +23,7 @@
 ) -> subprocess.Popen[bytes]:
     """Write a host's settings to `folder` and start its process.
 
-    Log lines go to `log`, and what a crash prints to `errors`, or where it goes here.
+    Log lines go to `log`, standard error to `errors`, or to this process's if that is None.
     """
     path = folder / f"{host.name}.toml"
     path.write_text(host.settings_text(standin))
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -1,4 +1,4 @@
-"""The stand-in as a whole: a store, executors that register themselves, and the advisor."""
+"""The complete stand-in: a store, executors that register themselves, and the advisor."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -22,19 +22,19 @@
 from galenastall.transport.http_server import HttpServer
 
 HEARTBEAT_S: Final = 1.5
-"""Between two writes of an executor's entry."""
+"""Interval between writes of an executor's entry."""
 LOOPBACK: Final = "127.0.0.1:0"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StandinPlan:
-    """What the stand-in has."""
+    """What the stand-in consists of."""
 
     executors_by_data_centre: dict[str, int]
     service: str = "service"
     capacity: Resources = Resources(cores_milli=32_000, memory_mb=65_536)
     advice_ms: float = 10.0
-    """What a call for advice takes."""
+    """Configured duration of a call for advice."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -61,15 +61,15 @@
         }
 
     def to_workspace(self) -> Workspace:
-        """Return what the watch over the executors judges by."""
+        """Return the workspace whose limit the simulation checks starts against."""
         return Workspace(name=self.name, weight=self.weight, limit=self.limit)
 
 
 class PlatformStandin:
-    """Serves all of it on loopback until cancelled."""
+    """Serves the store, the executors and the advisor on loopback until cancelled."""
 
     def __init__(self, *, plan: StandinPlan, clock: Clock) -> None:
-        """Build the faces of `plan`; `run` serves them."""
+        """Build the parts; `run` starts the executors of `plan` and serves everything."""
         self.store = StandinStore()
         self.simulation = LiveWorld()
         self.advisor = AdvisorRoutes()
@@ -111,7 +111,7 @@
         nursery.start_soon(self._run_heartbeats, name)
 
     def restart(self, name: str) -> None:
-        """Have an executor start again under its name; it knows nothing of before."""
+        """Restart an executor under its name; it loses its state."""
         earlier = self.simulation.executors[name]
         self.simulation.crash(earlier)
         self.simulation.earlier.append(earlier)
@@ -157,7 +157,7 @@
         version: int = 1,
         tenants: Iterable[StandinTenant] | None = None,
     ) -> None:
-        """Write a configuration as the operator does; None for one without tenants."""
+        """Write a configuration as the operator does; `tenants` is None if it has none."""
         services = [{"name": self._plan.service}]
         value = {"version": version, "routes": list(routes), "services": services}
         if tenants is not None:
@@ -167,7 +167,7 @@
         self.store.put("keyed.op", "config", value)
 
     def make_route(self, name: str, *, priority: int = 1, attempts: int = 2) -> dict[str, Any]:
-        """Return a queue whose requests begin with its name."""
+        """Return the configuration of a queue, whose request paths begin with its name."""
         return {
             "name": name,
             "host": "standin.example",
--- a/src/galenastall/platform/store.py
+++ b/src/galenastall/platform/store.py
@@ -1,4 +1,4 @@
-"""The cell's state and who leads, in one partition of the platform's log, fenced by epochs."""
+"""The cell's state and its leader, in one partition of the platform's log, fenced by epochs."""
 
 from typing import Final
 
@@ -19,26 +19,26 @@
 
 STATE_TOPIC: Final = "keyed.galenastall-cell"
 CLAIM_KEY: Final = "~leader"
-"""Key of the newest claim, in the state's own partition: a takeover needs this one to be up and no
-other. Of a store that is down in part, with 37% of its partitions away, two would be up 40% of the
-time and one is 63%. It sorts behind all other keys, so that a look reads it alone."""
+"""Key of the newest claim, in the partition of the state, so that a takeover needs only this one
+partition. In a partial outage with 37% of the partitions down, two are both available 40% of the
+time and one 63%. The key sorts after all others, so that one page can return it alone."""
 PRODUCER: Final = "leader"
-"""One name for all leaders, so that the epoch of one fences those before it."""
+"""Shared by all leaders, so that the epoch of one fences its predecessors."""
 CALL_TIMEOUT_S: Final = 1.0
 STATE_PAGE_TIMEOUT_S: Final = 3.0
-"""Wait for a page of the state: a full one of 1 MB takes 0.9 s through a link of 10 Mbit/s."""
+"""Time-out for a page of the state: a full one of 1 MB takes 0.9 s over a link of 10 Mbit/s."""
 STATE_PAGE_TRIES: Final = 3
-"""Tries of one page before all are begun again: a lost opening packet costs 0.5 s."""
+"""Attempts to read one page before the whole load starts over: a lost SYN costs 0.5 s."""
 REQUEST_BYTES: Final = 2_097_152
-"""Most that the store takes in one request, where the settings name nothing else."""
+"""Default for the largest request that the store accepts, if the settings have none."""
 VALUES_SHARE: Final = 0.75
-"""Share of a request that keys and values may make up: each record has 5 bytes besides, and the
-shortest row, of a job that is forgotten, has 20."""
+"""Share of a request that keys and values may fill: each record has 5 bytes of framing, and the
+shortest row, that of a deleted job, has 20."""
 _OK: Final = 200
 _CONFLICT: Final = 409
 _NOT_AT_END: Final = 412
 _AFTER_STATE_KEYS: Final = "~"
-"""Sorts behind the keys of all rows, and before that of the claim."""
+"""Sorts after the keys of all rows, and before that of the claim."""
 
 
 class _Claim(msgspec.Struct, frozen=True, kw_only=True):
@@ -48,14 +48,14 @@
 
 
 class PlatformStore:
-    """StatePort over the platform's log."""
+    """StatePort on the platform's log."""
 
     def __init__(
         self, *, calls: PlatformCalls, address: AddressProvider, request_bytes: int = REQUEST_BYTES
     ) -> None:
-        """Use the store at `address`, which takes requests of `request_bytes` at most."""
+        """Use the store at `address`, which accepts requests of `request_bytes` at most."""
         self.append_bytes = int(request_bytes * VALUES_SHARE)
-        """Most that one append may write, keys and values together."""
+        """Most bytes that one append may write, keys and values together."""
         self._calls = calls
         self._newest = NewestReader(calls=calls, address=address)
         self._address = address
@@ -63,7 +63,7 @@
     async def claim(
         self, *, host_id: str, address: str, weight: float, tip: int
     ) -> Result[int, StepError]:
-        """Append a claim if the state ends at `tip`; its offset + 1 is the token."""
+        """Append a claim if the log ends at `tip`; its offset + 1 is the token."""
         value = msgspec.json.encode(_Claim(host_id=host_id, address=address, weight=weight))
         answer = await self._append(
             step="store.claim",
@@ -74,7 +74,7 @@
         return answer.map(lambda appended: appended.offset + 1)
 
     async def fence(self, *, token: int) -> Result[None, StepError]:
-        """Set the epoch by an empty append."""
+        """Set the epoch to `token` by an empty append."""
         answer = await self._append(
             step="store.fence",
             path=_fenced_path(token, 0),
@@ -86,7 +86,7 @@
     async def append(
         self, *, token: int, sequence: int, values_by_key: dict[str, bytes], timeout_s: float
     ) -> Result[None, StepError]:
-        """Append one record a key, all or none."""
+        """Append one record per key, atomically."""
         answer = await self._append(
             step="store.append",
             path=_fenced_path(token, sequence),
@@ -96,7 +96,7 @@
         return answer.map(lambda _: None)
 
     async def load(self) -> Result[dict[str, bytes], StepError]:
-        """Read all pages; under a fence nobody writes between them."""
+        """Read all pages; after a fence, nothing is written between them."""
         answer = await self._newest.all(
             STATE_TOPIC, timeout_s=STATE_PAGE_TIMEOUT_S, tries=STATE_PAGE_TRIES
         )
@@ -104,13 +104,13 @@
             return answer
         found = answer.unwrap()
         if found.problems:
-            # A row that is left out would be a job that is lost; all are ours, and written whole.
+            # Skipping a row would lose a job; leaders alone write rows, and only complete ones.
             return Failure(self._error("store.load", Reason.CUT, "; ".join(found.problems)))
         rows = {key: value for key, value in found.values_by_key.items() if key != CLAIM_KEY}
         return Success(rows)
 
     async def look(self) -> Result[StoreView, StepError]:
-        """Read the newest claim and the state's end, in one page."""
+        """Read the newest claim and the end offset of the log, in one page."""
         answer = await self._newest.page(STATE_TOPIC, _AFTER_STATE_KEYS)
         if isinstance(answer, Failure):
             return answer
@@ -141,7 +141,7 @@
             return answer
         response = answer.unwrap()
         if response.status == _NOT_AT_END:
-            return Failure(self._error(step, Reason.CONFLICT, "another record came first"))
+            return Failure(self._error(step, Reason.CONFLICT, "another record was appended first"))
         if response.status == _CONFLICT:
             return self._conflict(response, step)
         if response.status != _OK:
@@ -149,7 +149,7 @@
         return decode_answer(response, AppendAnswer, step=step, peer=self._address())
 
     def _conflict(self, response: WholeAnswer, step: str) -> Result[AppendAnswer, StepError]:
-        """Return CONFLICT: a newer epoch stands, or another writer used ours."""
+        """Return CONFLICT: a newer epoch is set, or another writer has used this one."""
         refusal = decode_answer(response, AppendRefusal, step=step, peer=self._address())
         detail = f"{refusal.value_or(AppendRefusal(reason='unreadable'))}"
         return Failure(self._error(step, Reason.CONFLICT, detail))
--- a/src/galenastall/platform/submissions.py
+++ b/src/galenastall/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Jobs as callers of the platform hand them in, decoded into the product's types."""
+"""Decodes the job submissions of the platform's callers into internal types."""
 
 from typing import Final
 
@@ -12,17 +12,17 @@
 from galenastall.transport.http_json import decode_json
 
 PAYLOAD_LIMIT_BYTES: Final = 4_000
-"""Longest specification, as the platform states it."""
+"""Longest specification, as defined by the platform."""
 MAX_TASKS: Final = 4_000
-"""Tasks of one job; far above what callers send. Its progress is one row of up to 63 bytes a task,
-and the store takes records of 256 KiB."""
+"""Tasks of one job; far above what callers send. A job's progress is one row with up to 63 bytes
+per task, and the store accepts records of 256 KiB."""
 MAX_REPETITIONS: Final = 1_000_000
-"""Times that a job runs: one each second for eleven days."""
+"""Occurrences of one job: one each second for eleven days."""
 _STEP: Final = "job.decode"
 
 
 class WireStep(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """One step; fields that are 0, false or empty are left out by callers."""
+    """One step; callers omit fields that are 0, false or empty."""
 
     count: int = 0
     cpu: int = 0
@@ -34,7 +34,7 @@
     gang_scheduled: bool = False
     same_rack: bool = False
     requirements: str = ""
-    """One label."""
+    """One label that the executor must have."""
     data_rack: str = ""
     anti_affinity: int = 0
     """Most tasks of the step on one executor."""
@@ -46,7 +46,7 @@
     allow_miss: int = 0
 
     def to_step(self) -> Step:
-        """Return the product's type; a filler's processor time is not reserved."""
+        """Convert to the internal type; no CPU is reserved for a filler task."""
         need = Resources(
             cores_milli=0 if self.fills else self.cpu,
             memory_mb=self.memory_request_mb,
@@ -82,7 +82,7 @@
     interval_ms: float = 0.0
 
     def recurrence(self) -> Recurrence | None:
-        """Return when its steps run again, None for a job that runs once."""
+        """Return when its steps run again; None for a job that runs once."""
         if self.repetitions <= 0:
             return None
         return Recurrence(
--- a/tests/test_entries_of_others.py
+++ b/tests/test_entries_of_others.py
@@ -1,4 +1,4 @@
-"""What other writers leave in the store: none of it ends or misleads a host."""
+"""Entries of other writers in the store: no bytes there crash or mislead a host."""
 
 from dataclasses import replace
 from typing import Any
@@ -64,7 +64,7 @@
 
 
 class StoreHarness:
-    """A store over loopback, and the readers of what others write there."""
+    """A store over loopback, and the readers of the entries that others write to it."""
 
     def __init__(self, *, store: StandinStore, address: str) -> None:
         self.store = store
--- a/tests/test_platform_access.py
+++ b/tests/test_platform_access.py
@@ -1,4 +1,4 @@
-"""Keys of callers: decoded once, checked before anything is read, and shown nowhere."""
+"""API keys of callers: stored as digests, checked before the body is read, never shown."""
 
 import re
 from typing import Any
@@ -70,10 +70,10 @@
         ("tenants", "problem"),
         [
             ([make_tenant("", KEY)], "tenants[0].name: expected a name, got ''"),
-            ([make_tenant("a"), make_tenant("a")], "tenants[1].name: 'a' is there twice"),
+            ([make_tenant("a"), make_tenant("a")], "tenants[1].name: duplicate name 'a'"),
             (
                 [make_tenant("a", KEY), make_tenant("b", NEW_KEY, KEY)],
-                "tenants[1].apiKeys[1]: is held by 'a' too",
+                "tenants[1].apiKeys[1]: also belongs to 'a'",
             ),
             ([make_tenant("a", "")], "tenants[0].apiKeys[0]: is empty"),
             ([make_tenant("a", weight=-1)], "tenants[0].weight: expected 0 or more, got -1.0"),
@@ -121,7 +121,7 @@
 
 
 class FakeConfigSource:
-    """A configuration that a look replaces by a newer one."""
+    """A configuration source whose `look` switches to a newer configuration."""
 
     def __init__(self, config: CellConfig, newer: CellConfig | None = None) -> None:
         self.config = config
@@ -137,7 +137,7 @@
 
 
 class FakeHandler:
-    """A desk that takes jobs, from callers let in by `least_version` or later."""
+    """Accepts jobs from callers admitted by configuration `least_version` or newer."""
 
     def __init__(self, *, least_version: int = 0) -> None:
         self.least_version = least_version
@@ -161,7 +161,7 @@
     method: str = "POST",
     ring: TimelineRing | None = None,
 ) -> tuple[int, bytes]:
-    """Call a face of its own; returns status and body."""
+    """Send a request to new routes of its own; returns status and body."""
     clock = TrioClock()
     own_ring = TimelineRing(capacity=10) if ring is None else ring
     routes = JobRoutes(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The operations platform's dialect: settings, bytes, calls, and the whole path over loopback."""
+"""Platform adapter: settings, wire formats, calls, and jobs end to end over loopback."""
 
 import os
 import socket
@@ -97,7 +97,7 @@
         [
             ("nodeName", None, "nodeName: missing"),
             ("nodeName", 7, "nodeName: expected str, got 7"),
-            ("internalPortRange", [9, 8], "internalPortRange: expected two rising ports"),
+            ("internalPortRange", [9, 8], "internalPortRange: expected two ascending ports"),
             ("orders", "heartbeat", "orders: expected 'duty_call', got 'heartbeat'"),
             ("limits", {"linkMbps": 0}, "limits.linkMbps: expected a number above 0, got 0"),
             ("bounds", {"graceS": -1}, "bounds.graceS: expected a number above 0, got -1"),
@@ -215,10 +215,10 @@
 
 
 class TestCallsToExecutors:
-    """Calls through the stand-in, to an executor that says when it was born."""
+    """Calls to an executor of the stand-in, which may report its start time."""
 
     async def renew(self, born_ms: int | None, called_id: str) -> tuple[ListingAnswer, str]:
-        """Return the answer to a call for the listing of `called_id`, and who is there."""
+        """Return the response to a renewal for `called_id`, and the id of the running executor."""
         async with trio.open_nursery() as nursery:
             simulation = World(rng=Random(1), nursery=nursery, executors=1)
             executor = simulation.executors["executor-1"]
@@ -392,7 +392,7 @@
 
     async def test_a_failed_page_is_retried_without_rereading_earlier_pages(self) -> None:
         class Failing(StandinStore):
-            """Refuses every second question."""
+            """Refuses the first of every two requests."""
 
             def __init__(self) -> None:
                 super().__init__(page_keys=3)
@@ -425,7 +425,7 @@
 
 
 class TestStandinStore:
-    """What the stand-in for the store holds its users to."""
+    """Rules of the platform's store that the stand-in enforces."""
 
     async def append(
         self, address: str, query: str, *values: bytes, topic: str = "keyed.t"
@@ -485,11 +485,11 @@
         return self._config
 
     async def look(self) -> None:
-        """There is no newer one."""
+        """Do nothing: there is no newer configuration."""
 
 
 class UnknownOutcomeHandler:
-    """A desk that does not learn whether a job was stored."""
+    """A handler that does not learn whether a job was stored."""
 
     async def submit(self, job: CellJob, **_: object) -> Submitted:
         return Submitted(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
@@ -524,7 +524,7 @@
 
 
 class HostRoutes:
-    """The platform's list of machines and its orders; one page a machine."""
+    """The platform's list of machines, one per page, and its orders to them."""
 
     def __init__(self, *machines: dict[str, Any]) -> None:
         self.machines = machines
@@ -826,7 +826,7 @@
 
 
 def register_job(simulation: World, job_id: str, body: Any, config: CellConfig | None) -> None:
-    """Tell the world what it will be asked to run."""
+    """Register a job with the simulation, which will be asked to run it."""
     assert config is not None
     queue = config.routes[0].queue
     text = msgspec.json.encode(body)
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,6 +1,6 @@
 """Entry hosts as real processes on the platform's stand-in: kills, pauses and outages overlap.
 
-What the hosts' executors saw is judged, and what callers were told. Nothing is timed: each step
+Checks what the executors observed and which responses callers got. Nothing is timed: each step
 waits for its effect, within generous bounds.
 """
 
@@ -86,7 +86,7 @@
         return [host for host in self.hosts if host.name != name]
 
     async def submit(self, number: int) -> None:
-        """Hand a job in as a caller does: with retries, at any host."""
+        """Submit a job as a caller does: with retries, at any host."""
         job_id = f"{number:016x}"
         payload = make_payload(Random(number))
         was_rejected = True
@@ -108,7 +108,7 @@
                 await trio.sleep(SUBMIT_INTERVAL_S)
 
     async def states(self) -> set[str]:
-        """Return how the accepted jobs stand, asked at any host."""
+        """Return the states of the accepted jobs, each queried at any host."""
         states = set()
         for job_id in self.accepted:
             states.add(await self.caller.state(self.rng.choice(self.hosts), ROUTE, job_id))
@@ -117,7 +117,7 @@
     async def wait_all_ended(self) -> None:
         async def ended() -> bool:
             states = await self.states()
-            assert "410" not in states, "an accepted job is not known"
+            assert "410" not in states, "an accepted job is unknown"
             return states <= ENDED
 
         await eventually(ended)
@@ -131,7 +131,7 @@
 
 async def eventually(condition: Callable[[], Awaitable[bool]]) -> None:
     with trio.fail_after(TIMEOUT_S):
-        while not await condition():  # noqa: ASYNC110 - what processes do has no event here
+        while not await condition():  # noqa: ASYNC110 - other processes set no event
             await trio.sleep(0.1)
 
 
@@ -167,7 +167,7 @@
 
 
 async def pause_the_leader(fleet: Fleet) -> None:
-    """Let a leader wake up again behind its successor."""
+    """Pause the leader, and resume it after another host has taken over."""
     leader = fleet.leader
     fleet.signal(leader, signal.SIGSTOP)
     await fleet.wait_for_other_leader(leader)
@@ -176,7 +176,7 @@
 
 
 async def stop_store_and_kill_leader(fleet: Fleet) -> None:
-    """Kill the leader while the store serves nobody."""
+    """Kill the leader while the store refuses all requests."""
     fleet.standin.store.is_unavailable = True
     await trio.sleep(1.0)
     leader = fleet.leader
@@ -188,7 +188,7 @@
 
 
 async def compact_topics_during_handover(fleet: Fleet) -> None:
-    """Drop all records but the newest while a leader hands over."""
+    """Drop all but each key's newest record while a leader hands over."""
     leader = fleet.leader
     fleet.signal(leader, signal.SIGTERM)
     for topic in fleet.standin.store.topics.values():
@@ -240,7 +240,7 @@
 
 class TestStart:
     def test_an_entry_host_starts_without_the_metrics_library(self) -> None:
-        """It takes some 0.2 s to import, and nothing is served meanwhile."""
+        """Importing it takes about 0.2 s, during which nothing is served."""
         script = (
             "import sys; import galenastall.platform.process; "
             "print([name for name in sys.modules if name.startswith('opentelemetry')])"
