--- a/src/galenastall/platform/config.py
+++ b/src/galenastall/platform/config.py
@@ -128,21 +128,21 @@
     holders_by_key: dict[str, str] = {}
     names: set[str] = set()
     for index, tenant in enumerate(tenants):
-        at = f"tenants[{index}]"
+        field_path = f"tenants[{index}]"
         if not tenant.name:
-            return f"{at}.name: expected a name, got {tenant.name!r}"
+            return f"{field_path}.name: expected a name, got {tenant.name!r}"
         if tenant.name in names:
-            return f"{at}.name: duplicate name {tenant.name!r}"
+            return f"{field_path}.name: duplicate name {tenant.name!r}"
         names.add(tenant.name)
         if not tenant.weight >= 0:
-            return f"{at}.weight: expected 0 or more, got {tenant.weight}"
+            return f"{field_path}.weight: expected 0 or more, got {tenant.weight}"
         if tenant.upper_limit.to_resources().is_negative():
-            return f"{at}.upperLimit: expected 0 or more, got {tenant.upper_limit}"
+            return f"{field_path}.upperLimit: expected 0 or more, got {tenant.upper_limit}"
         for number, key in enumerate(tenant.api_keys):
             holder = holders_by_key.setdefault(key, tenant.name)
             if not key or holder != tenant.name:
-                held = f"also belongs to {holder!r}" if key else "is empty"
-                return f"{at}.apiKeys[{number}]: {held}"
+                error = f"also belongs to {holder!r}" if key else "is empty"
+                return f"{field_path}.apiKeys[{number}]: {error}"
     return ""
 
 
--- a/src/galenastall/platform/log_wire.py
+++ b/src/galenastall/platform/log_wire.py
@@ -108,13 +108,13 @@
 
 
 def _records(body: bytes) -> Iterator[bytes]:
-    at = 0
-    while at < len(body):
-        if at + _LENGTH.size > len(body):
+    position = 0
+    while position < len(body):
+        if position + _LENGTH.size > len(body):
             raise WireError("truncated record length")
-        (length,) = _LENGTH.unpack_from(body, at)
-        begin = at + _LENGTH.size
+        (length,) = _LENGTH.unpack_from(body, position)
+        begin = position + _LENGTH.size
         if begin + length > len(body):
             raise WireError("truncated record")
         yield body[begin : begin + length]
-        at = begin + length
+        position = begin + length
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -164,7 +164,7 @@
         assert info.host == "10.0.0.9:1"
         assert info.executor_id == "i-1"
 
-    def test_an_executor_that_starts_again_has_another_id(self) -> None:
+    def test_a_restarted_executor_has_another_id(self) -> None:
         entry = WireEntry(service="s", address="10.0.0.9:1", state="ready", born=1785827525825)
         again = msgspec.structs.replace(entry, born=1785827577105)
         assert entry.to_info("i-1").executor_id != again.to_info("i-1").executor_id
@@ -307,7 +307,7 @@
         job = self.decode({"steps": [{"count": 1, "cpu": 500, "fills": True}]}).unwrap()
         assert job.steps[0].need.cores_milli == 0
 
-    def test_a_timed_job(self) -> None:
+    def test_a_recurring_job(self) -> None:
         body = {
             "steps": [{"count": 1}],
             "repetitions": 3,
