--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -1,6 +1,6 @@
 """Entry hosts as real processes on the platform's stand-in: kills, pauses and outages overlap.
 
-What the hosts' executors saw is judged, and what callers were told. Nothing is timed: each step
+Checks what the executors observed and which responses callers got. Nothing is timed: each step
 waits for its effect, within generous bounds.
 """
 
@@ -25,9 +25,9 @@
 from galenastall.state.resources import Resources
 from galenastall.transport.clock import TrioClock
 
-WITHIN_S: Final = 60.0
+TIMEOUT_S: Final = 60.0
 JOBS: Final = 24
-JOB_EVERY_S: Final = 0.15
+SUBMIT_INTERVAL_S: Final = 0.15
 ENDED: Final = frozenset({"completed", "failed"})
 ROUTE: Final = "q"
 
@@ -86,7 +86,7 @@
         return [host for host in self.hosts if host.name != name]
 
     async def submit(self, number: int) -> None:
-        """Hand a job in as a caller does: with retries, at any host."""
+        """Submit a job as a caller does: with retries, at any host."""
         job_id = f"{number:016x}"
         payload = make_payload(Random(number))
         was_rejected = True
@@ -105,10 +105,10 @@
         async with trio.open_nursery() as nursery:
             for number in range(first, first + JOBS):
                 nursery.start_soon(self.submit, number)
-                await trio.sleep(JOB_EVERY_S)
+                await trio.sleep(SUBMIT_INTERVAL_S)
 
     async def states(self) -> set[str]:
-        """Return how the accepted jobs stand, asked at any host."""
+        """Return the states of the accepted jobs, each queried at any host."""
         states = set()
         for job_id in self.accepted:
             states.add(await self.caller.state(self.rng.choice(self.hosts), ROUTE, job_id))
@@ -117,7 +117,7 @@
     async def wait_all_ended(self) -> None:
         async def ended() -> bool:
             states = await self.states()
-            assert "410" not in states, "an accepted job is not known"
+            assert "410" not in states, "an accepted job is unknown"
             return states <= ENDED
 
         await eventually(ended)
@@ -129,9 +129,9 @@
         await eventually(replaced)
 
 
-async def eventually(holds: Callable[[], Awaitable[bool]]) -> None:
-    with trio.fail_after(WITHIN_S):
-        while not await holds():  # noqa: ASYNC110 - what processes do has no event here
+async def eventually(condition: Callable[[], Awaitable[bool]]) -> None:
+    with trio.fail_after(TIMEOUT_S):
+        while not await condition():  # noqa: ASYNC110 - other processes set no event
             await trio.sleep(0.1)
 
 
@@ -150,7 +150,7 @@
         try:
             for host in fleet.hosts:
                 fleet.start(host)
-            with trio.fail_after(WITHIN_S):
+            with trio.fail_after(TIMEOUT_S):
                 for host in fleet.hosts:
                     await fleet.caller.wait_ready(host)
             yield fleet
@@ -167,7 +167,7 @@
 
 
 async def pause_the_leader(fleet: Fleet) -> None:
-    """Let a leader wake up again behind its successor."""
+    """Pause the leader, and resume it after another host has taken over."""
     leader = fleet.leader
     fleet.signal(leader, signal.SIGSTOP)
     await fleet.wait_for_other_leader(leader)
@@ -175,24 +175,24 @@
     fleet.signal(leader, signal.SIGCONT)
 
 
-async def refuse_the_store(fleet: Fleet) -> None:
-    """Kill the leader while the store serves nobody."""
-    fleet.standin.store.is_refusing = True
+async def stop_store_and_kill_leader(fleet: Fleet) -> None:
+    """Kill the leader while the store refuses all requests."""
+    fleet.standin.store.is_unavailable = True
     await trio.sleep(1.0)
     leader = fleet.leader
     fleet.signal(leader, signal.SIGKILL)
     await trio.sleep(1.0)
-    fleet.standin.store.is_refusing = False
+    fleet.standin.store.is_unavailable = False
     await fleet.wait_for_other_leader(leader)
     fleet.start(fleet.host(leader))
 
 
-async def forget_the_history(fleet: Fleet) -> None:
-    """Drop all records but the newest while a leader hands over."""
+async def compact_topics_during_handover(fleet: Fleet) -> None:
+    """Drop all but each key's newest record while a leader hands over."""
     leader = fleet.leader
     fleet.signal(leader, signal.SIGTERM)
     for topic in fleet.standin.store.topics.values():
-        topic.forget_history()
+        topic.compact()
     await fleet.wait_for_other_leader(leader)
     fleet.processes[leader].wait()
     fleet.start(fleet.host(leader))
@@ -200,7 +200,7 @@
 
 async def restart_executors(fleet: Fleet) -> None:
     """Restart executors under their names, one after the other, and one of them twice."""
-    for name in sorted(fleet.standin.world.executors):
+    for name in sorted(fleet.standin.simulation.executors):
         fleet.standin.restart(name)
         await trio.sleep(0.4)
     fleet.standin.restart(name)
@@ -220,27 +220,27 @@
             hazards = (
                 kill_the_leader,
                 pause_the_leader,
-                refuse_the_store,
-                forget_the_history,
+                stop_store_and_kill_leader,
+                compact_topics_during_handover,
                 restart_executors,
                 kill_all,
             )
-            for number, bring_about in enumerate(hazards):
+            for number, inject in enumerate(hazards):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(fleet.submit_some, number * JOBS)
-                    await trio.sleep(8 * JOB_EVERY_S)
-                    await bring_about(fleet)
+                    await trio.sleep(8 * SUBMIT_INTERVAL_S)
+                    await inject(fleet)
             await fleet.wait_all_ended()
-            world = fleet.standin.world
-            started = {task.job for task in world.starts_of}
-            assert world.violations == []
+            simulation = fleet.standin.simulation
+            started = {task.job for task in simulation.starts_of}
+            assert simulation.violations == []
             assert not fleet.refused & started
             assert len(fleet.accepted) > 4 * JOBS
 
 
 class TestStart:
-    def test_a_host_s_process_starts_without_the_metrics_library(self) -> None:
-        """It takes some 0.2 s to import, and nothing is served meanwhile."""
+    def test_an_entry_host_starts_without_the_metrics_library(self) -> None:
+        """Importing it takes about 0.2 s, during which nothing is served."""
         script = (
             "import sys; import galenastall.platform.process; "
             "print([name for name in sys.modules if name.startswith('opentelemetry')])"
