--- a/src/galenastall/coordination/cell/advice_planner.py
+++ b/src/galenastall/coordination/cell/advice_planner.py
@@ -1,10 +1,10 @@
-"""Which step the advisor is asked about, on which executors, and when.
+"""Decides for which step to request advice, on which executors, and when.
 
-Answers this load: advice that takes half a second and more a call, one call at a time for each
-entry host, approves of a third of the executors, and whose tickets last for 2.5 s. A question
-whose tickets would run out before there is room, or that can't give a gang all of its places, costs
-a host a call and brings nothing. So a gang's tickets are renewed for the moment at which the room
-planned for it is free, and no question is put that no host could take at once.
+Addresses this load: an advice call takes half a second and more, each entry host makes one call at
+a time, a third of the executors is approved, and tickets are valid for 2.5 s. A request whose
+tickets would expire before there is capacity, or that can't give a gang all of its places, costs a
+host a call and gains nothing. So a gang's tickets are renewed for the time at which its planned
+capacity is free, and no request is made that no host could send at once.
 """
 
 from typing import Final
@@ -21,33 +21,33 @@
 from galenastall.coordination.cell.wait_queue import WaitingStep
 
 RENEW_AHEAD_S: Final = 0.5
-"""Tickets of single tasks are renewed this long before room is expected."""
+"""Tickets of single tasks are renewed this long before capacity is expected."""
 GANG_RENEW_MARGIN_S: Final = 0.15
-"""A gang's tickets are asked for this much earlier than a call takes: expected ends are off by as
-much, and the tickets outlast it by far."""
+"""A gang's tickets are requested this much earlier than a call takes: expected ends are off by as
+much, and tickets are valid for far longer."""
 MAX_EXECUTORS_PER_CALL: Final = 100
-"""Executors that one call may name, as the platform states it."""
+"""Executors that one call may name, as specified by the platform."""
 SHORT_CALL_EXECUTORS: Final = 30
 """Executors that a short call names; each of them makes the call longer."""
 HOSTS_PER_SHORT_CALL: Final = 4
-"""Hosts that must be free for each of several short calls that take the place of a long one."""
+"""Hosts that must be free for each of several short calls that replace a long one."""
 CANDIDATE_FACTOR: Final = 2.0
-"""A first question names executors until the places expected to be approved are so many times those
-wanted: places get lost to other steps while the call takes its time."""
+"""A first request names executors until the expected approved places are this many times those
+wanted: other steps take some of the places during the call."""
 POLL_AFTER_REQUEST_S: Final = 4.0
-"""How long executors that a question names are polled without a pause: a call takes a second or
-two, and its tickets are good for as long."""
+"""How long executors named in a request are polled continuously: a call takes a second or two, and
+its tickets are valid for as long."""
 MIN_GANG_CANDIDATES: Final = 300
-"""Executors that the first question of a gang may name however narrow it is."""
+"""Executors that the first request of a gang may name however few members it has."""
 HOSTS_RESERVED_FOR_URGENT: Final = 2
-"""Hosts that calls for other work, which take many times longer, leave free."""
+"""Hosts left free by calls for other work, which take many times longer."""
 
 
 class AdvicePlanner:
-    """Puts questions into the tables, one a step at a time."""
+    """Adds advice requests to the tables, step by step."""
 
     def __init__(self, *, state: CellState, advice: AdviceTable, forecast: Forecast) -> None:
-        """Work on these tables."""
+        """Operate on these tables."""
         self._state = state
         self._advice = advice
         self._forecast = forecast
@@ -59,7 +59,7 @@
         usable: list[Executor],
         planned: PlannedStart | None,
     ) -> None:
-        """Ask about executors that were never asked, or again for the room that is planned."""
+        """Request advice on executors not yet named, or renew the tickets of a planned start."""
         if not self._free_hosts(waiting):
             return
         call_s = self._call_s(waiting, SHORT_CALL_EXECUTORS)
@@ -75,7 +75,7 @@
     def request_for_singles(
         self, waiting: WaitingStep, advice: StepAdvice, usable: list[Executor], left: int
     ) -> None:
-        """Ask about executors that were never asked, or again where room is near."""
+        """Request advice on executors not yet named, or renew tickets where capacity is near."""
         if not self._free_hosts(waiting):
             return
         wanted = self._worth_renewing(waiting, advice, usable) if advice.asked else []
@@ -86,11 +86,11 @@
             self._request_new(waiting, fresh[: self._candidate_count(waiting, fresh, left)])
 
     def can_request(self, waiting: WaitingStep) -> bool:
-        """Whether a host is free to ask about a step now."""
+        """Whether a host is free to request advice on a step now."""
         return self._free_hosts(waiting) > 0
 
     def _free_hosts(self, waiting: WaitingStep) -> int:
-        """Return through how many hosts a step may ask at once now."""
+        """Return how many hosts a step may use for calls now."""
         hosts = self._state.advice_calls_at_once
         if waiting.is_urgent:
             return max(hosts - self._advice.calls_under_way, 1)
@@ -100,14 +100,14 @@
 
     def _call_s(self, waiting: WaitingStep, named: int) -> float:
         timing = waiting.queue.advisor
-        assert timing is not None, "only steps of advised queues come here"
+        assert timing is not None, "only steps of queues with an advisor need advice"
         return timing.base_s + timing.per_executor_s * named
 
     def _request(self, waiting: WaitingStep, wanted: list[Executor]) -> None:
         if not wanted:
             return
         timing = waiting.queue.advisor
-        assert timing is not None, "only steps of advised queues come here"
+        assert timing is not None, "only steps of queues with an advisor need advice"
         ids = tuple(executor.executor_id for executor in wanted)
         for executor in wanted:
             self._state.keep_polled(executor, until=waiting.now + POLL_AFTER_REQUEST_S)
@@ -123,15 +123,15 @@
         )
 
     def _not_yet_named(self, advice: StepAdvice, usable: list[Executor]) -> list[Executor]:
-        """Return the executors never asked about, those with most room first."""
+        """Return the executors that no answered call named, those with most free cores first."""
         fresh = [e for e in usable if e.executor_id not in advice.asked]
         fresh.sort(key=lambda e: (-e.free.cores_milli, e.executor_id))
         return fresh
 
     def _request_new(self, waiting: WaitingStep, wanted: list[Executor]) -> None:
-        """Ask about executors never asked about, through several hosts where they are many.
+        """Request advice on executors not yet named, through several hosts if they are many.
 
-        With one call after the other the first tickets would run out before a gang has enough.
+        With one call after the other the first tickets would expire before a gang has enough.
         """
         if Mechanism.ADVICE_AT_ONCE in self._state.without:
             wanted = wanted[:SHORT_CALL_EXECUTORS]
@@ -140,13 +140,13 @@
             self._request(waiting, wanted[number::calls][:MAX_EXECUTORS_PER_CALL])
 
     def _max_gang_candidates(self, waiting: WaitingStep) -> int:
-        """Return how many executors a question of a gang may name: a few times what it can use."""
+        """Return how many executors a gang's request may name: a few times what it can use."""
         share = self._advice.approved_share(waiting.queue.name)
         wanted = CANDIDATE_FACTOR * waiting.step.step.count / share
         return max(int(wanted), MIN_GANG_CANDIDATES)
 
     def _candidate_count(self, waiting: WaitingStep, fresh: list[Executor], count: int) -> int:
-        """Return how many of the executors are to be named for `count` single tasks."""
+        """Return how many of the executors to name for `count` single tasks."""
         need = waiting.step.step.need
         share = self._advice.approved_share(waiting.queue.name)
         expected = 0.0
@@ -163,10 +163,10 @@
         usable: list[Executor],
         planned: PlannedStart,
     ) -> list[Executor]:
-        """Return the executors of a planned start, and other approved ones with room by then."""
+        """Return a planned start's executors, and other approved ones with capacity by then."""
         wanted = [slot.executor for slot in planned.slots]
         if len(wanted) > MAX_EXECUTORS_PER_CALL:
-            # A call can't name them all: those that it leaves out are named by the next one.
+            # One call can't name them all: the next call names those left out.
             wanted = [e for e in wanted if _expires(advice, e, planned)]
         named = {executor.executor_id for executor in wanted}
         need = waiting.step.step.need
@@ -184,17 +184,17 @@
     def _worth_renewing(
         self, waiting: WaitingStep, advice: StepAdvice, usable: list[Executor]
     ) -> list[Executor]:
-        """Return approved executors with room soon, if tickets of theirs ran out."""
+        """Return approved executors with capacity soon, if some of their tickets have expired."""
         soon = waiting.now + RENEW_AHEAD_S
-        roomy = [
+        candidates = [
             executor
             for executor in usable
             if executor.executor_id in advice.tickets_by_executor
             and may_add(executor, waiting.step)
             and self._has_capacity_by(executor, waiting, soon)
         ]
-        has_expired = any(waiting.ticket(e.executor_id) is None for e in roomy)
-        return roomy[:MAX_EXECUTORS_PER_CALL] if has_expired else []
+        has_expired = any(waiting.ticket(e.executor_id) is None for e in candidates)
+        return candidates[:MAX_EXECUTORS_PER_CALL] if has_expired else []
 
     def _has_capacity_by(self, executor: Executor, waiting: WaitingStep, at: float) -> bool:
         need = waiting.step.step.need
@@ -211,10 +211,10 @@
 
 
 def _calls_for(count: int, *, hosts_left: int) -> int:
-    """Return through how many hosts to ask about `count` executors that were never asked about.
+    """Return through how many hosts to request advice on `count` executors not yet named.
 
-    Short calls while hosts are idle, and as few as can name them all where others wait for hosts:
-    each call costs its base time besides.
+    Uses short calls while hosts are idle, and as few calls as can name them all while others wait
+    for hosts: each call has a base time besides its time per executor.
     """
     fewest = -(-count // MAX_EXECUTORS_PER_CALL)
     shortest = -(-count // SHORT_CALL_EXECUTORS)
@@ -223,6 +223,6 @@
 
 
 def _expires(advice: StepAdvice, executor: Executor, planned: PlannedStart) -> bool:
-    """Whether an executor's ticket runs out before a planned start."""
+    """Whether an executor's ticket expires before a planned start."""
     good_until = advice.good_until_by_executor.get(executor.executor_id, float("-inf"))
     return good_until < planned.at + TICKET_MARGIN_S
--- a/src/galenastall/coordination/cell/approved_capacity.py
+++ b/src/galenastall/coordination/cell/approved_capacity.py
@@ -1,4 +1,4 @@
-"""How much of a step the executors hold that may run it; for reports, not for decisions."""
+"""How many tasks of a step its approved executors can hold; for reports, not for decisions."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ApprovedCapacity:
-    """Executors that may run a step, and how many of its tasks they hold."""
+    """Executors that may run a step, and how many of its tasks they can hold."""
 
     executors: int
     open: int
     places_free: int
-    """On the open ones now, what is kept for others included."""
+    """On the open executors now, including what is reserved for others."""
     places_kept: int
-    """In what the last decision kept on the open ones."""
+    """In what the last decision reserved on the open executors."""
     places_open: int
-    """On the open ones if they were empty."""
+    """On the open executors if they were empty."""
     places: int
     """On all of them if they were empty."""
 
@@ -36,7 +36,7 @@
     closed_by_id: Mapping[str, Closed],
     plan: ReservationPlan,
 ) -> ApprovedCapacity:
-    """Return the room for a step; without an advisor all executors of its service may run it."""
+    """Return the capacity for a step; without an advisor its whole service is approved."""
     executors = opened = free = kept = empty_open = empty = 0
     for executor in _candidates(advice, executors_by_id):
         if not may_host(executor, step, service):
--- a/src/galenastall/coordination/cell/cell_state.py
+++ b/src/galenastall/coordination/cell/cell_state.py
@@ -1,4 +1,4 @@
-"""The leader's tables: jobs, executors, what waits, and what must be written next."""
+"""The leader's tables: jobs, executors, the wait queue, and changes to write next."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -23,18 +23,18 @@
 
 
 class CellState:
-    """Shared by the parts of the core; holds no rule of its own beyond consistency."""
+    """State shared by the parts of the core; it only keeps the tables consistent."""
 
     def __init__(
         self, *, timings: CellTimings, fenced_at: float, without: DisabledMechanisms = ALL_ON
     ) -> None:
-        """Create empty tables of a leader whose fence stands since `fenced_at`."""
+        """Create empty tables of a leader whose fence has been in place since `fenced_at`."""
         self.timings = timings
         self.without = without
-        """Parts of the policy that are switched off, to measure what they are worth."""
+        """Mechanisms that are switched off, to measure what each contributes."""
         self.fenced_at = fenced_at
         self.now = fenced_at
-        """Leader's time of the event in hand."""
+        """Leader's time of the current event."""
         self.jobs_by_id: dict[str, JobRun] = {}
         self.executors = ExecutorTable()
         self.queues_by_name: dict[str, Queue] = {}
@@ -42,27 +42,27 @@
         self.named_services: frozenset[str] | None = None
         """Services that the configuration names; None before the first configuration."""
         self.waiting_steps: set[StepKey] = set()
-        """Steps whose turn has come and that have tasks without a run."""
+        """Steps that are ready to run and have tasks without a run."""
         self.dirty_jobs: set[str] = set()
         self.noted_executors: set[str] = set()
-        """Executors with ends that were applied and are not yet durable."""
+        """Executors with run ends that were applied and are not yet durable."""
         self.new_starts: list[StartOrder] = []
         self.stopping: set[TaskKey] = set()
-        """Tasks whose runs are to be stopped and may not have ended."""
+        """Tasks whose runs are to be stopped and may still be running."""
         self.stops: list[StopOrder] = []
         self.stopped_by_rule: Counter[StopRule] = Counter()
-        """Runs that this leader has stopped; a gang's run counts once."""
+        """Number of runs that this leader has stopped; a gang's run counts once."""
         self.throttle_orders: list[ThrottleOrder] = []
         self.asks: list[AdviceRequest] = []
         self.notes: list[Note] = []
         self.wanted_listings: set[str] = set()
-        """Executors whose listing is needed now, without waiting for an end."""
+        """Executors whose listing is needed now, without waiting for a run to end."""
         self.suspect_members: set[TaskKey] = set()
-        """Members of gangs whose next runs are watched from their start."""
+        """Gang members whose next runs are monitored from their start."""
         self.newly_polled: set[str] = set()
-        """Executors that have to be polled without a pause from now on."""
+        """Executors that have to be polled continuously from now on."""
         self.advice_calls_at_once = 1
-        """Calls for advice that can be under way at a time: one for each entry host."""
+        """Number of advice calls that can be pending at a time: one for each entry host."""
         self._seq = 0
 
     @property
@@ -71,14 +71,14 @@
         return self.executors.by_id
 
     def next_seq(self) -> int:
-        """Return the next number of this leader's sends and receives, in their order."""
+        """Return the next sequence number for messages that this leader sends and receives."""
         self._seq += 1
         return self._seq
 
     def note(
         self, step: str, *subjects: str, cause: str = "", fields: dict[str, str] | None = None
     ) -> None:
-        """Keep a decision for the log."""
+        """Record a decision for the log."""
         self.notes.append(Note(step=step, subjects=subjects, cause=cause, fields=fields or {}))
 
     def find(self, key: TaskKey) -> tuple[JobRun, StepRun, TaskRun] | None:
@@ -93,19 +93,19 @@
         return job, step, step.tasks[key.number]
 
     def why_closed(self, executor: Executor) -> Closed | None:
-        """Return why an executor takes no new work now; None if it does."""
+        """Return why an executor accepts no new work now; None if it does."""
         timings = self.timings
         return executor.why_closed(
             now=self.now, reach_s=timings.reach_s, delisted_grace_s=timings.delisted_grace_s
         )
 
     def request_listing(self, executor: Executor) -> None:
-        """Have an executor asked for a listing now."""
+        """Request a listing from an executor now."""
         executor.wants_look = True
         self.wanted_listings.add(executor.executor_id)
 
     def keep_polled(self, executor: Executor, *, until: float) -> None:
-        """Have an executor polled without a pause until then, though it runs nothing."""
+        """Poll an executor continuously until the given time, even if it runs nothing."""
         executor.polled_until = max(executor.polled_until, until)
         self.newly_polled.add(executor.executor_id)
 
@@ -120,14 +120,14 @@
         return job.stops.by_rule[rule]
 
     def executor_on(self, host: str) -> Executor | None:
-        """Return the executor on a host, the one heard last if there are several."""
+        """Return the executor on a host; if there are several, the one that answered last."""
         found = self.executors.on_host(host)
         return max(found, key=lambda e: (e.answered_seq, e.executor_id), default=None)
 
     def find_ordered(self, order: StartOrder | StopOrder | ThrottleOrder) -> TaskRun | None:
-        """Return the task of an order, or None if the order's run is not its run any more.
+        """Return the task of an order, or None if the order is for an earlier run.
 
-        The executor counts too: a job that was withdrawn and handed in again begins at run 1.
+        The executor must match too: a job that is withdrawn and resubmitted restarts at run 1.
         """
         found = self.find(order.task)
         if found is None:
@@ -137,11 +137,11 @@
         return task if is_same and task.phase is TaskPhase.ASSIGNED else None
 
     def drop_starts(self, job_id: str) -> None:
-        """Drop the starts of a job that have not left."""
+        """Drop the start orders of a job that have not been sent."""
         self.new_starts = [order for order in self.new_starts if order.task.job != job_id]
 
     def queue_of(self, job: JobRun) -> Queue:
-        """Return the policy in force for a job; a dropped queue keeps its last one."""
+        """Return the policy in force for a job; a removed queue keeps its last one."""
         queue = self.queues_by_name.get(job.queue.name)
         if queue is not None and queue is not job.queue:
             job.queue = queue
@@ -150,7 +150,7 @@
     def assign(
         self, task: TaskRun, step: StepRun, executor: Executor, run: int, now: float
     ) -> None:
-        """Reserve room for a new run of a task and count it in the ledger."""
+        """Reserve capacity for a new run of a task and count the run in the ledger."""
         task.assign(run=run, executor_id=executor.executor_id, now=now)
         executor.take(step.step.need)
         executor.runs_by_task[task.key] = run
@@ -163,7 +163,7 @@
         self.workspaces.add(task.key, workspace=job.workspace, need=step.step.need)
 
     def free(self, task: TaskRun, step: StepRun) -> Executor | None:
-        """Give back the room of a task's run, which has ended; return its executor if known."""
+        """Release the capacity of a task's ended run; return its executor if known."""
         executor = self.executors_by_id.get(task.executor_id)
         if executor is not None and executor.runs_by_task.pop(task.key, None) is not None:
             executor.give_back(step.step.need)
@@ -172,10 +172,10 @@
         return executor
 
     def refresh_waiting(self, job: JobRun) -> None:
-        """Put the job's steps that have something to start into the queue, and take out others.
+        """Add the job's steps that have tasks to start to the wait queue, and remove the others.
 
-        A job whose acceptance is not durable yet is placed too: its first assignments go into the
-        same append, which saves 25 ms before its first start.
+        A job whose acceptance is not durable yet is placed too: its first assignments are written
+        in the same append, which saves 25 ms before its first start.
         """
         for occurrence in job.occurrences_by_number.values():
             for step in occurrence.steps:
@@ -191,5 +191,5 @@
                     self.waiting_steps.discard(step.key)
 
     def drop_waiting(self, steps: Iterable[StepKey]) -> None:
-        """Take steps out of the queue."""
+        """Remove steps from the wait queue."""
         self.waiting_steps.difference_update(steps)
--- a/src/galenastall/coordination/cell/commands.py
+++ b/src/galenastall/coordination/cell/commands.py
@@ -1,4 +1,4 @@
-"""What the leader's core asks its drivers to do."""
+"""Commands that the leader's core returns for its drivers to carry out."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartOrder:
-    """Start one run; leaves only after its assignment is durable."""
+    """Start one run; sent only after its assignment is durable."""
 
     task: TaskKey
     run: int
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopOrder:
-    """Stop one run; the executor rejects it from then on, also if it never got it."""
+    """Stop one run; the executor rejects it from then on, even if it never received its start."""
 
     task: TaskKey
     run: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ThrottleOrder:
-    """Let a run work at a share of its speed."""
+    """Limit a run to a percentage of its full speed."""
 
     task: TaskKey
     run: int
@@ -46,14 +46,14 @@
     executor_ids: tuple[str, ...]
     timing: AdvisorTiming
     queue_name: str = ""
-    """Queue of the step's job: advisors approve of more on one than on another."""
+    """Queue of the step's job; the share of executors that an advisor approves differs by queue."""
     is_urgent: bool = False
-    """Goes before calls for other work."""
+    """Sent before requests for other work."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Note:
-    """One decision for the log: what, about which ids, why, on what inputs."""
+    """One decision for the log: what was decided, for which ids, why, and on what inputs."""
 
     step: str
     subjects: tuple[str, ...]
@@ -63,13 +63,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Batch:
-    """Changes that become durable together, and what may be done once they are."""
+    """Changes that become durable together, and the orders that may be sent once they are."""
 
     values_by_key: dict[str, bytes]
-    """Rows to write; an empty value drops its key."""
+    """Rows to write; an empty value deletes its key."""
     starts: tuple[StartOrder, ...] = ()
     noted_by_executor: dict[str, int] = field(default_factory=dict)
-    """Positions in executors' lists of ends that the rows cover."""
+    """Positions in executors' lists of ended runs up to which the rows cover them."""
     job_ids: tuple[str, ...] = ()
-    """Jobs whose progress the rows hold."""
+    """Jobs whose progress is in the rows."""
     host_orders: tuple[HostOrder, ...] = ()
--- a/src/galenastall/coordination/cell/fitting.py
+++ b/src/galenastall/coordination/cell/fitting.py
@@ -1,4 +1,4 @@
-"""Which executors fit a step best; pure choices over their ledgers and what is kept there."""
+"""Chooses the executors that fit a step best; pure functions of their ledgers and reservations."""
 
 from collections.abc import Iterable
 from heapq import heapify, heappop, heappush
@@ -13,14 +13,14 @@
 
 
 def may_host(executor: Executor, step: Step, service: str) -> bool:
-    """Whether the executor is of the service and carries the label that the step requires."""
+    """Whether the executor belongs to the service and has the label that the step requires."""
     if executor.info.service != service:
         return False
     return not step.label or step.label in executor.info.labels
 
 
 def may_add(executor: Executor, step: StepRun) -> bool:
-    """Whether one more task of the step may share the executor."""
+    """Whether the step's limit per executor allows one more of its tasks on the executor."""
     most = step.step.most_per_executor
     if most <= 0:
         return True
@@ -31,10 +31,10 @@
 def choose(
     usable: Iterable[Executor], step: StepRun, task: TaskRun, plan: ReservationPlan
 ) -> Executor | None:
-    """Return the executor with the least room left that has some, near the data if possible.
+    """Return the best-fit executor, close to the data if possible; None if the task fits nowhere.
 
-    One on which the task has failed, stood still or been refused is the last choice: few attempts
-    are allowed, and the fault may be the executor's.
+    An executor on which the task has failed, stalled or been refused is the last choice: few
+    attempts are allowed, and the fault may be the executor's.
     """
     best: Executor | None = None
     best_key: Preference | None = None
@@ -49,13 +49,13 @@
 
 
 class SingleChoices:
-    """Chooses for the tasks of one step in turn as `choose` does, and looks at each executor once.
+    """Chooses for a step's tasks one by one as `choose` does, but evaluates each executor once.
 
-    Only the executor that was chosen last has changed since.
+    Only the executor that was chosen last is evaluated again: no other one has changed.
     """
 
     def __init__(self, usable: Iterable[Executor], step: StepRun, plan: ReservationPlan) -> None:
-        """Look at all executors once."""
+        """Evaluate all executors once."""
         self._usable = list(usable)
         self._step = step
         self._plan = plan
@@ -65,12 +65,12 @@
             self._rank(executor)
 
     def choose(self, task: TaskRun) -> Executor | None:
-        """Return the executor for a task; the one returned before has been given its task."""
+        """Return the executor for a task; the previously returned one must have its task by now."""
         if self._last is not None:
             self._rank(self._last)
             self._last = None
         if task.avoided or not self._ranked:
-            # What a task avoids is its own, and a search in vain tells how much room is kept.
+            # Avoided executors differ by task, and a failed search counts the withheld slots.
             return self._choose_alone(task)
         self._last = heappop(self._ranked)[1]
         return self._last
@@ -99,7 +99,7 @@
         return _fill(usable, step, count, plan)
     avoided = _avoided(step)
     sound = [e for e in usable if e.executor_id not in avoided]
-    # A rack that holds the gang without executors that it avoids goes before the first that fits.
+    # Prefer a rack that holds the gang without the executors that it avoids.
     for candidates in (sound, usable) if avoided else (usable,):
         for rack in sorted({e.info.rack for e in candidates}):
             chosen = _fill([e for e in candidates if e.info.rack == rack], step, count, plan)
@@ -117,7 +117,7 @@
 ) -> list[Executor] | None:
     plan.begin_search()
     fitting_by_id = {e.executor_id: _fitting(e, step, count, plan) for e in usable}
-    # Most gangs that wait don't fit: preferences are worked out for those only that do.
+    # Most waiting gangs don't fit, so preferences are computed only for those that do.
     fitting = sum(fitting_by_id.values())
     if fitting < count:
         plan.missing_slots = count - fitting
@@ -136,7 +136,7 @@
 
 
 def _fitting(executor: Executor, step: StepRun, count: int, plan: ReservationPlan) -> int:
-    """Return how many members of a gang an executor takes now, `count` at the highest."""
+    """Return how many members of a gang, up to `count`, an executor can start now."""
     fitting = plan.startable_count(executor, step.step, count)
     most = step.step.most_per_executor
     return min(fitting, most) if most > 0 else fitting
--- a/src/galenastall/coordination/cell/forecast.py
+++ b/src/galenastall/coordination/cell/forecast.py
@@ -1,4 +1,4 @@
-"""When room on executors comes free, by the pace of the runs there and what callers declared."""
+"""Predicts when capacity becomes free, from the progress of runs and their declared times."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -10,13 +10,13 @@
 from galenastall.state.resources import Resources
 
 OVERDUE_S: Final = 0.3
-"""A run that should have ended by now is taken to end this much later: declared times are off by
+"""A run that should have ended by now is expected to end this much later: declared times are off by
 a third and more, and listings come up to a second late."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """Room that a run gives back."""
+    """Capacity that a run releases when it ends."""
 
     at: float
     """Leader's time."""
@@ -24,7 +24,7 @@
 
 
 class Forecast:
-    """Expected ends of runs by executor; worked out again only where something has changed."""
+    """Expected ends of runs by executor; recomputed only for executors that have changed."""
 
     def __init__(self, *, state: CellState) -> None:
         """Read the runs of these tables."""
@@ -32,7 +32,7 @@
         self._releases_by_id: dict[str, tuple[int, tuple[Release, ...]]] = {}
 
     def releases(self, executor: Executor) -> tuple[Release, ...]:
-        """Return the expected ends on an executor, the next one first."""
+        """Return the expected ends on an executor, the earliest first."""
         version = executor.version
         known = self._releases_by_id.get(executor.executor_id)
         if known is None or known[0] != version:
@@ -51,12 +51,12 @@
         return tuple(releases)
 
     def forget(self) -> None:
-        """Drop what is known of executors that are gone."""
+        """Drop cached forecasts of executors that have been removed."""
         for gone in self._releases_by_id.keys() - self._state.executors_by_id.keys():
             del self._releases_by_id[gone]
 
 
 def expected_end(step: StepRun, task: TaskRun) -> float:
-    """Return when a run should end: by its pace once that shows, else by its declared time."""
+    """Return when a run should end: by its progress rate once known, else by its declared time."""
     by_pace = task.ends_at()
     return by_pace if by_pace is not None else task.percent_at + step.step.estimate_s
--- a/src/galenastall/coordination/cell/inherited_advice.py
+++ b/src/galenastall/coordination/cell/inherited_advice.py
@@ -1,8 +1,9 @@
-"""What a new leader takes over of the advice that earlier leaders asked for.
+"""Advice requested by earlier leaders that a new leader takes over.
 
-Answers this load: wide gangs wait for advice that takes a second a call, and the leader is lost.
-Which executors may run a step never changes, and the hosts that asked still hold the answers. A
-ticket is only taken with the time that its host has measured, from before that host was asked.
+Addresses this load: wide gangs wait for advice that takes a second a call, and the leader is lost.
+Whether an executor is approved for a step never changes, and the hosts that made the calls still
+hold the answers. A ticket is taken over only with the remaining validity that its host measured,
+counted from before that host was queried.
 """
 
 from collections.abc import Sequence
@@ -14,15 +15,15 @@
 
 
 class InheritedAdvice:
-    """Puts answers of earlier leaders' calls into the tables."""
+    """Adds answers to earlier leaders' calls to the tables."""
 
     def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
-        """Work on these tables."""
+        """Operate on these tables."""
         self._state = state
         self._advice = advice
 
     def wanted_steps(self) -> tuple[StepKey, ...]:
-        """Return the steps that wait and need advice."""
+        """Return the waiting steps that need advice."""
         return tuple(
             step for step in self._state.waiting_steps if self._request(step, ()) is not None
         )
@@ -35,7 +36,7 @@
         *,
         good_until: float,
     ) -> bool:
-        """Take an answer with tickets that are good until then; False if its step does not wait."""
+        """Add an answer with tickets valid until `good_until`; False if its step does not wait."""
         request = self._request(step, tuple(executor_ids))
         if request is None:
             return False
@@ -47,14 +48,14 @@
     def begin(
         self, step: StepKey, executor_ids: Sequence[str], *, now: float
     ) -> AdviceRequest | None:
-        """Count a call that is under way, so that it is not made again; None if nobody waits."""
+        """Count a pending call, so that it is not repeated; None if its step does not wait."""
         request = self._request(step, tuple(executor_ids))
         if request is not None:
             self._advice.begin(step, executor_ids, now)
         return request
 
     def _request(self, step: StepKey, executor_ids: tuple[str, ...]) -> AdviceRequest | None:
-        """Return the call about a step that waits and needs advice."""
+        """Return the request for a waiting step that needs advice; None for other steps."""
         job = self._state.jobs_by_id.get(step.job)
         if job is None or step not in self._state.waiting_steps:
             return None
--- a/src/galenastall/coordination/cell/job_rates.py
+++ b/src/galenastall/coordination/cell/job_rates.py
@@ -1,8 +1,8 @@
-"""Which jobs are within the rate of their workspace.
+"""Decides which jobs are within the rate of their workspace.
 
-Answers this load: one workspace hands in many times its usual, and all of it waits in one line with
-what others hand in. A workspace is owed `weight` jobs a second; what is beyond that runs where
-nothing that is owed wants the room.
+Addresses this load: one workspace submits many times its usual load, and all of it waits in one
+queue with the jobs of others. A workspace is entitled to `weight` jobs a second; jobs beyond that
+run where no job within its rate needs the capacity.
 """
 
 from dataclasses import dataclass
@@ -11,29 +11,29 @@
 from galenastall.state.cell.workspaces import Workspace
 
 BURST_S: Final = 5.0
-"""Seconds of its rate that a workspace may hand in at one moment."""
+"""Burst size of a workspace, in seconds of its rate."""
 MIN_BURST: Final = 1.0
-"""Jobs: a workspace of a small weight still hands in whole ones."""
+"""Minimum burst in jobs, so that a workspace of a small weight can submit one at all."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _TokenBucket:
-    """Jobs that a workspace may hand in at a time."""
+    """Jobs that a workspace may still submit at once."""
 
     jobs: float
     at: float
-    """Wall time in seconds of the last job."""
+    """Wall time of the last job, in seconds."""
 
 
 class JobRates:
-    """Keeps an account for each workspace, which fills with time and pays for jobs."""
+    """Keeps a token bucket for each workspace, refilled over time and charged for each job."""
 
     def __init__(self) -> None:
-        """Begin with full accounts."""
+        """Start with full buckets."""
         self._buckets_by_name: dict[str, _TokenBucket] = {}
 
     def is_within(self, workspace: Workspace, *, wall: float) -> bool:
-        """Charge a job that comes at `wall` seconds; False if it is beyond the workspace's rate."""
+        """Charge a job submitted at `wall` seconds; False if it is beyond the workspace's rate."""
         most = max(workspace.weight * BURST_S, MIN_BURST)
         full = _TokenBucket(jobs=most, at=wall)
         known = self._buckets_by_name.get(workspace.name, full)
--- a/src/galenastall/coordination/cell/mechanisms.py
+++ b/src/galenastall/coordination/cell/mechanisms.py
@@ -1,31 +1,31 @@
-"""Parts of the policy that can be switched off one by one, to measure what each is worth."""
+"""Scheduling mechanisms that can be switched off one by one, to measure what each contributes."""
 
 from enum import StrEnum
 
 
 class Mechanism(StrEnum):
-    """A part of the policy; all are on unless a measurement switches one off."""
+    """A scheduling mechanism; all are on unless a measurement switches one off."""
 
     RESERVATIONS = "reservations"
-    """Room kept for pressing steps while a decision is taken."""
+    """Reservation of capacity for blocked steps within a decision."""
     KEPT_ROOM_LAST = "kept-room-last"
-    """Other room first for work that may have room kept by the decision before."""
+    """Work that may use capacity reserved by the previous decision prefers other capacity."""
     ADVICE_AT_ONCE = "advice-at-once"
-    """Several calls for advice at once about a gang, through several hosts."""
+    """Several concurrent advice calls for a gang, through several hosts."""
     KEPT_ADVICE = "kept-advice"
-    """What hosts were told by the advisor for an earlier leader, taken over by the next one."""
+    """Advice that hosts obtained for an earlier leader is taken over by the next one."""
     DOUBTS = "doubts"
-    """Pauses of executors on which runs fail, stand still or crawl."""
+    """Pauses for executors on which runs fail, stall or progress slowly."""
     PROBATION = "probation"
-    """Tasks under which an executor has crashed begin apart from others."""
+    """Isolated starts for tasks under which an executor has crashed."""
     MOVES = "moves"
-    """Stopping runs that crawl or stand still, to start them elsewhere."""
+    """Stopping stalled or slow runs to restart them elsewhere."""
     PATH_DOUBTS = "path-doubts"
-    """Nothing new where a start got no answer."""
+    """No new work where a start got no answer."""
     URGENT_FIRST = "urgent-first"
     """Urgent queues before others."""
     LATE_LAST = "late-last"
-    """What is past its objective after what is not."""
+    """Work past its objective after work that is not."""
 
 
 DisabledMechanisms = frozenset[Mechanism]
--- a/src/galenastall/coordination/cell/objectives.py
+++ b/src/galenastall/coordination/cell/objectives.py
@@ -1,15 +1,15 @@
-"""When a job should be done, and in which order waiting steps are looked at."""
+"""When a job should be done, and how its lateness ranks waiting steps."""
 
 from typing import Final
 
 from galenastall.state.cell.jobs import Queue, Step
 
 ADVISED_EXECUTORS: Final = 30
-"""Executors that one call for advice names at most; the objective counts a call on as many."""
+"""Maximum executors that one advice call names by default; objectives assume calls of this size."""
 
 
 def longest_chain_s(steps: tuple[Step, ...], queue: Queue) -> float:
-    """Return the longest chain of declared run times, with a call for advice a step."""
+    """Return the longest chain of declared run times, including one advice call a step."""
     advice_s = 0.0
     if queue.advisor is not None:
         advice_s = queue.advisor.base_s + ADVISED_EXECUTORS * queue.advisor.per_executor_s
@@ -26,9 +26,9 @@
 
 
 def lateness_rank(*, objective: float, begins_at: float, now: float) -> int:
-    """Return 0 while the objective can be met, 1 once it has passed, 2 past three times of it.
+    """Return 0 up to the objective, 1 after it, 2 after three times the time that it allows.
 
-    Work that is past its objective earns a fifth, and past three times of it nothing.
+    Work past its objective earns a fifth of its value, and past three times the time nothing.
     """
     if now <= objective:
         return 0
--- a/src/galenastall/coordination/cell/placer.py
+++ b/src/galenastall/coordination/cell/placer.py
@@ -1,4 +1,4 @@
-"""Choose executors for waiting steps: the most pressing first, gangs whole or not at all."""
+"""Chooses executors for waiting steps in priority order; gangs start completely or not at all."""
 
 from itertools import takewhile
 from typing import Final
@@ -22,42 +22,42 @@
 from galenastall.state.resources import NOTHING, Resources
 
 TICKETED_SOON_S: Final = 1.5
-"""A start as near as this, in seconds, is planned where tickets are."""
+"""A gang start at most this far ahead, in seconds, is planned on executors with tickets."""
 
 OpenExecutors = dict[str, Executor]
-"""Executors that take new work, by id."""
+"""Executors that accept new work, by id."""
 PlaceableStep = tuple[WaitingStep, OpenExecutors]
 """A waiting step with the executors that may host it."""
 
 
 class Placer:
-    """Gives waiting tasks runs on executors with room, and asks for advice where it is needed."""
+    """Assigns waiting tasks to executors with free capacity, and requests advice where needed."""
 
     def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
-        """Work on these tables."""
+        """Operate on these tables."""
         self._state = state
         self._queue = WaitQueue(state=state, advice=advice)
         self._forecast = Forecast(state=state)
         self._planner = AdvicePlanner(state=state, advice=advice, forecast=self._forecast)
         self.plan = ReservationPlan(forecast=self._forecast, without=state.without)
-        """Room that the last decision kept."""
+        """Capacity that the last decision reserved."""
         self._probation = Probation(state=state)
         self.observations = WaitObservations()
-        """Why the last decision did not start what waits."""
+        """Reasons why the last decision did not start waiting steps."""
         self._step_rotation = StepRotation()
         self._gang_rotation = GangRotation()
         self._answered: set[StepKey] = set()
-        """Steps for which advice came since the last decision."""
+        """Steps for which advice arrived since the last decision."""
         self._overdue: StepKey | None = None
-        """The step that this decision brings forward."""
+        """The overdue step that this decision promotes."""
         self._overdue_rotation = OverdueRotation()
 
     def note_answer(self, step: StepKey) -> None:
-        """Have the next decision look at a step: with many ahead tickets don't last for a turn."""
+        """Consider a step next time: in a long queue its tickets expire before its rotation."""
         self._answered.add(step)
 
     def decide(self, *, now: float, wall: float) -> None:
-        """Place what fits; starts and questions to the advisor go into the tables."""
+        """Place what fits; start orders and advice requests are added to the tables."""
         open_executors = self._open_executors(now) if self._state.waiting_steps else []
         self._probation.begin(open_executors)
         self.plan.begin(now=now, fleet_size=len(open_executors))
@@ -74,7 +74,7 @@
     def _steps_to_place(
         self, usable: "_UsableExecutors", now: float, wall: float
     ) -> list[PlaceableStep]:
-        """Return the steps to look at, in their order, with the executors that may host each."""
+        """Return the steps to consider, in order, with the executors that may host each."""
         queue = self._promote_overdue(self._placeable_steps(usable, now, wall), usable, now)
         chosen = self._step_rotation.choose([waiting.step.key for waiting, _ in queue])
         chosen |= self._gang_rotation.in_turn | self._answered
@@ -84,7 +84,7 @@
     def _placeable_steps(
         self, usable: "_UsableExecutors", now: float, wall: float
     ) -> list[PlaceableStep]:
-        """Return what waits, in its order; a step that no open executor may host takes no place."""
+        """Return the waiting steps in order, without those that no open executor may host."""
         queue: list[PlaceableStep] = []
         for waiting in self._queue.in_order(now=now, wall=wall):
             hosting = usable.by(waiting)
@@ -97,7 +97,7 @@
     def _promote_overdue(
         self, queue: list[PlaceableStep], usable: "_UsableExecutors", now: float
     ) -> list[PlaceableStep]:
-        """Put one overdue step before all that is not urgent, unless the last look was in vain."""
+        """Move one overdue step ahead of all non-urgent ones, unless its last plan had no start."""
         overdue_keys = [
             waiting.step.key
             for waiting, _ in queue
@@ -142,7 +142,7 @@
                 self._place_singly(waiting, tasks, usable)
 
     def _within_quota(self, waiting: WaitingStep, tasks: list[TaskRun]) -> list[TaskRun]:
-        """Return the tasks that the workspace may start now, and note why others may not."""
+        """Return the tasks that the workspace may start now, and note why others may not start."""
         workspaces, step = self._state.workspaces, waiting.step.step
         name = waiting.job.job.workspace
         allowed = workspaces.startable(name, step, len(tasks))
@@ -201,11 +201,11 @@
         self.observations.note(waiting.step.key, reason)
 
     def _plan_gang(self, waiting: WaitingStep, usable: OpenExecutors) -> PlannedStart | None:
-        """Return where a gang could start soonest, and keep that room if it is its turn."""
+        """Return the earliest start of a gang, and reserve its capacity if the gang may reserve."""
         key, step = waiting.step.key, waiting.step.step
         approved = _approved(usable, waiting)
         if not could_hold(step, step.count, approved):
-            # Told from capacities alone, 40 us with 60 executors: it takes nobody's place.
+            # Checked on capacities alone, 40 us with 60 executors: it counts against no limit.
             self._gang_rotation.note_infeasible(key)
             return None
         if not self._gang_rotation.may_plan(key):
@@ -217,10 +217,10 @@
         return planned
 
     def _plan_on(self, waiting: WaitingStep, approved: list[Executor]) -> PlannedStart | None:
-        """Return the soonest start, where tickets are good or on their way if that is soon enough.
+        """Return the earliest start, on executors with valid or pending tickets if it is soon.
 
-        Otherwise the room planned changes with each run that ends elsewhere, and the tickets that
-        come are for other executors than those that have the room by then.
+        Otherwise the planned executors would change with each run that ends elsewhere, and tickets
+        would arrive for other executors than those that have the capacity by then.
         """
         step, advice, now = waiting.step.step, waiting.advice, waiting.now
         if advice is not None:
@@ -244,7 +244,7 @@
     def _start_on_probation(
         self, waiting: WaitingStep, suspects: list[TaskRun], usable: list[Executor]
     ) -> int:
-        """Start tasks that have to begin apart from others, and return how many are left."""
+        """Start tasks that must run in isolation at first, and return how many are left."""
         if not suspects:
             return 0
         usable_by_id = {executor.executor_id: executor for executor in usable}
@@ -316,7 +316,7 @@
 
 
 class _UsableExecutors:
-    """Open executors by what a step requires of them, listed once a decision."""
+    """Open executors grouped by a step's requirements, computed once a decision."""
 
     def __init__(self, executors: list[Executor]) -> None:
         self._executors = executors
@@ -334,7 +334,7 @@
         return usable
 
     def total(self, waiting: WaitingStep) -> Resources:
-        """Return what the executors that may host a step have together."""
+        """Return the total capacity of the executors that may host a step."""
         requirement = (waiting.queue.service, waiting.step.step.label)
         total = self._total_by_requirement.get(requirement)
         if total is None:
@@ -352,7 +352,7 @@
 
 
 def _approved(usable: OpenExecutors, waiting: WaitingStep) -> list[Executor]:
-    """Return the executors that may run a step, with a ticket that is good or a renewed one."""
+    """Return the executors approved for a step, whether or not their tickets are still valid."""
     advice = waiting.advice
     if advice is None:
         return list(usable.values())
--- a/src/galenastall/coordination/cell/reservation_plan.py
+++ b/src/galenastall/coordination/cell/reservation_plan.py
@@ -1,9 +1,10 @@
-"""Room that one decision keeps for steps that can't start yet, and what may still be put there.
+"""Capacity that one decision reserves for steps that can't start yet, with backfilling.
 
-Answers this load: wide gangs of large tasks wait while small tasks take each bit of room as it
-comes free. Each blocked step, in the order of the line, gets the room that is free soonest, for
-the moment at which all of it is; whatever ends before that moment, or fits beside it, starts.
-Nothing is kept beyond the decision, so steps that could only have a part keep nobody out.
+Addresses this load: wide gangs of large tasks wait while small tasks take any capacity as soon as
+it is free. Each blocked step, in queue order, reserves the capacity that is free soonest, for the
+time at which all of it is; tasks that end before that time, or that fit beside the reservation,
+start. No reservation outlasts the decision, so steps that could only get part of their capacity
+block nothing.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,32 +18,33 @@
 from galenastall.state.resources import NOTHING, Resources
 
 MAX_RESERVED_SHARE: Final = 0.4
-"""Share of the executors on which room may be kept at once; the rest goes to whoever fits."""
+"""Share of the executors that may hold reservations at once; the rest is open to all steps."""
 MAX_RESERVED_SINGLES: Final = 2
-"""Tasks of a step that is no gang for which room is kept: each starts on its own."""
+"""Tasks of a non-gang step for which capacity is reserved: each starts on its own."""
 RUN_MARGIN: Final = 1.5
-"""A run counts as over before a moment if this many times its declared time is."""
+"""A run counts as finished before a given time if this multiple of its declared time fits until
+then."""
 RESERVE_AHEAD_S: Final = 0.7
-"""Room that is needed later is kept for the first in the line only: it would lie idle for longer
-than what could use it meanwhile runs."""
+"""Capacity that is needed later is reserved only for the head of the queue: it would be idle for
+longer than the tasks that could use it meanwhile run."""
 HORIZON_S: Final = 30.0
-"""Room that comes free later, in seconds, is not planned with."""
+"""Capacity that becomes free later than this, in seconds, is not planned with."""
 
 
 @dataclass(slots=True)
 class _Reservation:
-    """What is kept on one executor."""
+    """Capacity reserved on one executor."""
 
     at: float
     """When it is needed."""
     amount: Resources
     spare: Resources
-    """What will be free beside it then; runs that go on beyond that moment share it."""
+    """Capacity that will be free beside it then, shared by runs that continue past that time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Slot:
-    """Room for some tasks of a step on an executor."""
+    """Capacity for some tasks of a step on an executor."""
 
     executor: Executor
     count: int
@@ -57,10 +59,10 @@
 
 
 class ReservationPlan:
-    """Keeps room while one decision is taken."""
+    """Holds the reservations of the current decision."""
 
     def __init__(self, *, forecast: Forecast, without: DisabledMechanisms = ALL_ON) -> None:
-        """Plan with these expected ends."""
+        """Plan with the expected ends of this forecast."""
         self._avoids_reserved = Mechanism.KEPT_ROOM_LAST not in without
         self._forecast = forecast
         self._reservations_by_id: dict[str, _Reservation] = {}
@@ -69,29 +71,30 @@
         self._max_reserved = 0
         self._closed_ids: frozenset[str] = frozenset()
         self.withheld = 0
-        """Places that the last search for room did not get, as they are kept for others."""
+        """Slots that the last search for capacity could not use because they are reserved for
+        others."""
         self.missing_slots = 0
-        """Places that the last search for a gang did not find."""
+        """Slots that the last search for a gang did not find."""
 
     @property
     def reserved_count(self) -> int:
-        """On how many executors room is kept."""
+        """Number of executors with a reservation."""
         return len(self._reservations_by_id)
 
     @property
     def kept_cores_milli(self) -> int:
-        """How many thousandths of cores are kept."""
+        """Reserved cores, in thousandths."""
         return sum(
             reservation.amount.cores_milli for reservation in self._reservations_by_id.values()
         )
 
     def kept_on(self, executor: Executor) -> Resources:
-        """Return what is kept on an executor."""
+        """Return the capacity reserved on an executor."""
         reservation = self._reservations_by_id.get(executor.executor_id)
         return NOTHING if reservation is None else reservation.amount
 
     def begin(self, *, now: float, fleet_size: int) -> None:
-        """Begin a decision for which nothing is kept."""
+        """Begin a decision without reservations."""
         self._reserved_before = (
             frozenset(self._reservations_by_id) if self._avoids_reserved else frozenset()
         )
@@ -104,18 +107,19 @@
         self._closed_ids = executor_ids
 
     def begin_search(self) -> None:
-        """Begin to look for room for a task or a gang."""
+        """Begin a search for capacity for a task or a gang."""
         self.withheld = self.missing_slots = 0
 
     def was_reserved(self, executor: Executor) -> bool:
-        """Whether the decision before kept room on an executor.
+        """Whether the previous decision reserved capacity on an executor.
 
-        More pressing work may have that room, and takes other room where there is some.
+        Work of higher priority may use that capacity, but prefers other capacity where there is
+        some.
         """
         return executor.executor_id in self._reserved_before
 
     def startable_count(self, executor: Executor, step: Step, most: int) -> int:
-        """Return how many tasks of a step may start on an executor now, `most` at the highest."""
+        """Return how many tasks of a step, up to `most`, may start on an executor now."""
         if executor.executor_id in self._closed_ids:
             return 0
         fitting = executor.room_for(step.need, most)
@@ -129,13 +133,13 @@
         return allowed
 
     def use(self, executor: Executor, step: Step) -> None:
-        """Note that a task of a step was given room."""
+        """Note that a task of a step was assigned to an executor."""
         reservation = self._reservations_by_id.get(executor.executor_id)
         if reservation is not None and self._now + RUN_MARGIN * step.estimate_s > reservation.at:
             reservation.spare = reservation.spare - step.need
 
     def reserve_for_gang(self, planned: PlannedStart, step: Step) -> None:
-        """Keep the room of a planned start, unless it is far ahead or too much is kept already."""
+        """Reserve a planned start, unless it is far ahead or too much is reserved."""
         if self._reservations_by_id and planned.at > self._now + RESERVE_AHEAD_S:
             return
         if not self._may_reserve_on({slot.executor.executor_id for slot in planned.slots}):
@@ -144,7 +148,7 @@
             self._reserve(slot.executor, step.need.times(slot.count), planned.at)
 
     def reserve_for_singles(self, step: Step, wanted: int, candidates: Iterable[Executor]) -> None:
-        """Keep room for some tasks that start one by one, where they fit soonest."""
+        """Reserve capacity for some tasks that start one by one, where they fit soonest."""
         left = min(wanted, MAX_RESERVED_SINGLES)
         usable = [e for e in candidates if self._fits_with_reservation(e, step.need)]
         usable.sort(key=lambda e: (-_fit_ratio(self._unreserved(e), step.need), e.executor_id))
@@ -168,7 +172,7 @@
 
         None if it does not within `within_s`.
 
-        One pass over the expected ends of all candidates, in the order of time.
+        Takes one pass over the expected ends of all candidates, in time order.
         """
         unreserved_by_id = {e.executor_id: self._unreserved(e) for e in candidates}
         slots_by_id = {
@@ -200,7 +204,7 @@
         return _slots_in(unreserved_by_id[executor.executor_id], step, count)
 
     def _unreserved(self, executor: Executor) -> Resources:
-        """Return what is free now and not kept; may be negative."""
+        """Return the capacity that is free now and not reserved; may be negative."""
         reservation = self._reservations_by_id.get(executor.executor_id)
         return executor.free if reservation is None else executor.free - reservation.amount
 
@@ -215,13 +219,13 @@
         return at
 
     def _may_reserve_on(self, executor_ids: set[str]) -> bool:
-        """Whether room may be kept there; the first in the line may whatever its size."""
+        """Whether these executors may hold reservations; the first step may reserve any number."""
         if not self._reservations_by_id:
             return True
         return len(self._reservations_by_id.keys() | executor_ids) <= self._max_reserved
 
     def _fits_with_reservation(self, executor: Executor, need: Resources) -> bool:
-        """Whether the executor, once empty, holds what is kept there and `need`."""
+        """Whether the executor, once empty, holds its reservation and `need` together."""
         reservation = self._reservations_by_id.get(executor.executor_id)
         wanted = need if reservation is None else reservation.amount + need
         return wanted.fits_in(executor.info.capacity)
@@ -256,7 +260,7 @@
 
 
 def _slots_in(room: Resources, step: Step, most: int) -> int:
-    """Return how many members of a gang fit into an executor's room, `most` at the highest."""
+    """Return how many members of a gang, up to `most`, fit into an executor's capacity."""
     fitting = step.need.count_in(room, most)
     return min(fitting, step.most_per_executor) if step.most_per_executor > 0 else fitting
 
@@ -264,7 +268,7 @@
 def _planned(
     at: float, candidates: Sequence[Executor], slots_by_id: dict[str, int], count: int
 ) -> PlannedStart:
-    """Return the slots to use: those on executors that hold most, so that few are kept."""
+    """Return the slots to use, on as few executors as possible."""
     slots: list[Slot] = []
     left = count
     for executor in sorted(candidates, key=lambda e: (-slots_by_id[e.executor_id], e.executor_id)):
@@ -277,7 +281,7 @@
 
 
 def _fit_ratio(free: Resources, need: Resources) -> float:
-    """Return how near free room is to holding one task; 1 and more if it does."""
+    """Return how much of one task's need the free capacity covers; 1 or more if the task fits."""
     shares = [
         have / wanted
         for have, wanted in (
--- a/src/galenastall/coordination/cell/rotation.py
+++ b/src/galenastall/coordination/cell/rotation.py
@@ -1,4 +1,4 @@
-"""Turns for what is beyond a decision's limits, so that each waiting step is looked at in time."""
+"""Rotates through steps beyond a decision's limits, so that none is starved."""
 
 from collections import Counter
 from collections.abc import Collection, Sequence
@@ -7,34 +7,34 @@
 from galenastall.state.cell.jobs import StepKey
 
 STEPS_PER_DECISION: Final = 120
-"""Waiting steps looked at in one decision, beside those that a call for advice was answered for."""
+"""Waiting steps considered in one decision, besides those for which an advice call was answered."""
 ROTATED_STEPS: Final = 20
-"""Those of them that are taken in turn from behind the first."""
+"""How many of them are picked in rotation from behind the head of the queue."""
 MAX_PLANNED_GANGS: Final = 12
-"""Gangs for which a decision finds when they could start; those behind them keep no room yet."""
+"""Gangs for which a decision finds a start; those behind them reserve no capacity yet."""
 MAX_FAILED_PLANS: Final = 8
-"""Looks for a gang's start that may be in vain in one decision: so many at gangs for which the last
-look was in vain too, and so many at others."""
+"""Plans in one decision that may find no start: this many for gangs whose last plan found none
+either, and this many for others."""
 ROTATED_GANGS: Final = 4
-"""Gangs beyond these limits for which a start is looked for in turn: without one their tickets are
-not renewed."""
+"""Gangs beyond these limits that are planned in rotation: without a plan their tickets are not
+renewed."""
 
 OVERDUE_TURN_S: Final = 10.0
-"""For how long one overdue step is brought forward."""
+"""How long one overdue step is promoted."""
 OVERDUE_PAUSE_S: Final = 5.0
-"""Between two turns of overdue steps, for work that still earns something."""
+"""Pause between promotions of overdue steps, for work that still has value."""
 
 
 class Rotation:
-    """Picks some keys at a time, those first that have waited longest for it."""
+    """Picks a fixed number of keys at a time, those first that have waited longest."""
 
     def __init__(self, *, batch_size: int) -> None:
-        """Pick so many at a time."""
+        """Pick up to `batch_size` keys at a time."""
         self._batch_size = batch_size
         self._queue: list[StepKey] = []
 
     def pick(self, keys: Collection[StepKey]) -> frozenset[StepKey]:
-        """Return the keys whose turn it is; new ones come after all that were there."""
+        """Return the keys whose turn it is; new keys go to the back."""
         present, known = set(keys), set(self._queue)
         queue = [key for key in self._queue if key in present]
         queue += [key for key in keys if key not in known]
@@ -44,14 +44,14 @@
 
 
 class StepRotation:
-    """Chooses the waiting steps that a decision looks at."""
+    """Chooses the waiting steps that a decision considers."""
 
     def __init__(self) -> None:
-        """Begin with nobody's turn."""
+        """Start with an empty rotation."""
         self._rotation = Rotation(batch_size=ROTATED_STEPS)
 
     def choose(self, queue: Sequence[StepKey]) -> frozenset[StepKey]:
-        """Return the first in the line, and some of the others in turn."""
+        """Return the steps at the head of the queue, and some of the others in rotation."""
         if len(queue) <= STEPS_PER_DECISION:
             return frozenset(queue)
         first = STEPS_PER_DECISION - ROTATED_STEPS
@@ -59,21 +59,21 @@
 
 
 class OverdueRotation:
-    """Chooses the one overdue step that is brought forward.
+    """Chooses the one overdue step that is promoted.
 
-    It has its turn for a while only, since it may wait for advice that does not come. The next
-    begins after a pause.
+    A promotion is limited in time, since the step may wait for advice that does not come. The next
+    one begins after a pause.
     """
 
     def __init__(self) -> None:
-        """Begin with nobody's turn."""
+        """Start with no step promoted."""
         self._turn: StepKey | None = None
         self._until = float("-inf")
         self._next_at = float("-inf")
         self._had_turn: dict[StepKey, None] = {}
 
     def choose(self, overdue: Sequence[StepKey], *, now: float) -> StepKey | None:
-        """Return the step whose turn it is; `overdue` are those that may start, in their order."""
+        """Return the promoted step; `overdue` are the steps that may start, in queue order."""
         if self._turn is not None and (self._turn not in overdue or now >= self._until):
             self._had_turn[self._turn] = None
             self._turn = None
@@ -88,25 +88,26 @@
 
 
 class GangRotation:
-    """Chooses the gangs for which a decision looks for a start: `may_look` first, then `note`.
+    """Chooses the gangs that a decision plans: call `may_plan` first, then `note`.
 
-    Gangs that have a start count against PLANNED_GANGS, those that have none against
-    FRUITLESS_PLANS: gangs that can't start where they are approved must not keep those behind them
-    from having their tickets renewed. Gangs beyond the limits are left out, and have their turn.
+    Gangs for which a start is found count against MAX_PLANNED_GANGS, the others against
+    MAX_FAILED_PLANS: gangs that can't start where they are approved must not prevent those behind
+    them from having their tickets renewed. Gangs beyond the limits are deferred and planned in
+    rotation.
     """
 
     def __init__(self) -> None:
-        """Begin with nobody's turn."""
+        """Start with no gang deferred."""
         self._rotation = Rotation(batch_size=ROTATED_GANGS)
         self.in_turn: frozenset[StepKey] = frozenset()
-        """Gangs whose turn it is in this decision."""
+        """Deferred gangs that this decision plans."""
         self._deferred: dict[StepKey, None] = {}
-        """Gangs beyond the limits, in the order in which they came to be."""
+        """Gangs beyond the limits, in the order in which they were deferred."""
         self._without_start: set[StepKey] = set()
-        """Gangs for which the last look found no start."""
+        """Gangs for which the last plan found no start."""
         self._found = 0
         self._failed_plans = Counter[bool]()
-        """Looks in vain, by whether the look before was one too."""
+        """Plans without a start, by whether the gang's previous plan had none either."""
 
     def begin(self, waiting: Collection[StepKey]) -> None:
         """Begin a decision in which these steps wait."""
@@ -117,7 +118,7 @@
         self._failed_plans.clear()
 
     def may_plan(self, key: StepKey) -> bool:
-        """Whether to look for a gang's start now; if not, its turn will come."""
+        """Whether to plan a gang now; if not, it is planned later in rotation."""
         if self._is_among_first(key):
             self._deferred.pop(key, None)
             return True
@@ -125,20 +126,20 @@
         return key in self.in_turn
 
     def is_deferred(self, key: StepKey) -> bool:
-        """Whether a gang is beyond the limits, and it is not its turn either."""
+        """Whether a gang is beyond the limits and not planned by this decision."""
         return key in self._deferred and key not in self.in_turn
 
     def note_infeasible(self, key: StepKey) -> None:
-        """Note that a gang would not fit on empty executors either: there is no need to look."""
+        """Note that a gang would not fit on empty executors either: planning it is useless."""
         self._without_start.add(key)
         self._deferred.pop(key, None)
 
     def had_no_start(self, key: StepKey) -> bool:
-        """Whether no start was found when it was last looked for."""
+        """Whether the gang's last plan found no start."""
         return key in self._without_start
 
     def note(self, key: StepKey, *, is_found: bool) -> bool:
-        """Count a look; return whether the gang is among the first, which may keep room."""
+        """Count a plan; return whether the gang is within the limits and may reserve capacity."""
         is_first = self._is_among_first(key)
         if is_found:
             self._found += 1
--- a/src/galenastall/coordination/cell/scheduler.py
+++ b/src/galenastall/coordination/cell/scheduler.py
@@ -1,4 +1,4 @@
-"""The core of a cell's leader: typed events in, batches and orders out."""
+"""The scheduling core of a cell's leader: takes typed events, returns batches and orders."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -48,16 +48,16 @@
 from galenastall.state.resources import Resources
 
 CLEANUP_INTERVAL_S: Final = 1.0
-"""Between two looks through all jobs; a thousand of them take half a millisecond."""
+"""Interval between scans of all jobs; scanning a thousand of them takes half a millisecond."""
 
 
 class CellScheduler:
-    """All decisions of one term of leadership; `now` is trio's time, `wall` is since 1970."""
+    """All decisions of one term of leadership; `now` is trio's clock, `wall` is since 1970."""
 
     def __init__(
         self, *, timings: CellTimings, fenced_at: float, without: DisabledMechanisms = ALL_ON
     ) -> None:
-        """Create the core of a leader whose fence at the store stands since `fenced_at`."""
+        """Create the core of a leader that has been fenced at the store since `fenced_at`."""
         self._state = CellState(timings=timings, fenced_at=fenced_at, without=without)
         self._advice = AdviceTable()
         self._doubts = Doubts(state=self._state)
@@ -67,7 +67,7 @@
             state=self._state, ends=self._ends, advice=self._advice, doubts=self._doubts
         )
         self.inherited_advice = InheritedAdvice(state=self._state, advice=self._advice)
-        """Advice that earlier leaders asked for."""
+        """Advice that earlier leaders requested."""
         self._placer = Placer(state=self._state, advice=self._advice)
         self._waiting = WaitingReport(
             state=self._state, advice=self._advice, sight=self._placer.observations, plan=self.plan
@@ -85,12 +85,12 @@
         )
         self._rates = JobRates()
         self._recurring_jobs: set[str] = set()
-        """Live jobs whose steps run several times."""
+        """Live jobs with a recurrence."""
         self._cleaned_up_at = float("-inf")
 
     @property
     def timings(self) -> CellTimings:
-        """Times that this leader goes by."""
+        """Timeouts and intervals of this leader."""
         return self._state.timings
 
     @property
@@ -100,40 +100,40 @@
 
     @property
     def executors_version(self) -> int:
-        """Rises whenever an executor comes into the table or leaves it."""
+        """Incremented whenever an executor is added to the table or removed from it."""
         return self._state.executors.version
 
     @property
     def jobs_by_id(self) -> dict[str, JobRun]:
-        """Jobs that are known, ended ones included for as long as callers may ask."""
+        """Known jobs, including ended ones for as long as callers may query them."""
         return self._state.jobs_by_id
 
     @property
     def plan(self) -> ReservationPlan:
-        """Room that the last decision kept."""
+        """Capacity that the last decision reserved."""
         return self._placer.plan
 
     @property
     def waiting_by_reason(self) -> dict[WaitReason, int]:
-        """Waiting steps by what kept them from starting, as last reported."""
+        """Number of waiting steps by the reason why they did not start, as last reported."""
         return dict(self._waiting.steps_by_reason)
 
     @property
     def used_by_workspace(self) -> dict[str, Resources]:
-        """What each workspace may have running now."""
+        """Resources of all runs of each workspace that may still be running."""
         return dict(self._state.workspaces.used_by_name)
 
     @property
     def stopped_by_rule(self) -> dict[StopRule, int]:
-        """Runs that this leader has stopped so far."""
+        """Number of runs that this leader has stopped so far, by rule."""
         return dict(self._state.stopped_by_rule)
 
     def next_seq(self) -> int:
-        """Return the next number of this leader's sends and receives."""
+        """Return the next sequence number for messages that this leader sends and receives."""
         return self._state.next_seq()
 
     def restore(self, rows: Rows, *, wall: float) -> None:
-        """Take over what the store keeps."""
+        """Load the state from the rows in the store."""
         for key in rows.unreadable:
             cause = "a stored row can't be decoded"
             self._state.note("rows.unreadable", cause=cause, fields={"key": key})
@@ -168,11 +168,11 @@
         self._state.jobs_by_id[job_id] = run
 
     def set_queues(self, queues: Iterable[Queue]) -> None:
-        """Take the queues of a newer configuration."""
+        """Apply the queues of a newer configuration."""
         self._state.queues_by_name = {queue.name: queue for queue in queues}
 
     def set_workspaces(self, workspaces: Iterable[Workspace]) -> None:
-        """Take the workspaces of a newer configuration; what a lower limit forbids is held back."""
+        """Apply the workspaces of a newer configuration; a lowered limit withholds starts."""
         for changed in self._state.workspaces.set_workspaces(workspaces):
             fields = {
                 "weight": f"{changed.weight:g}",
@@ -184,15 +184,15 @@
         self._fleet.stop_unanswered_over_limits()
 
     def set_services(self, services: frozenset[str]) -> None:
-        """Take the services of a newer configuration; executors of others are not used."""
+        """Apply the services of a newer configuration; executors of other services are not used."""
         self._state.named_services = services
 
     def set_advice_calls_at_once(self, count: int) -> None:
-        """Note through how many entry hosts the advisor can be asked now."""
+        """Set how many advice calls can be pending at once: one for each entry host."""
         self._state.advice_calls_at_once = count
 
     def submit(self, job: CellJob, *, wall: float) -> JobRun:
-        """Return the job of this id, taking it in if it is new; durable with the next batch."""
+        """Return the job of this id, adding it if it is new; it is durable with the next batch."""
         known = self._state.jobs_by_id.get(job.job_id)
         if known is not None:
             return known
@@ -214,7 +214,7 @@
             self._state.note("job.beyond_rate", run.job.job_id, fields=fields)
 
     def withdraw(self, job_id: str) -> bool:
-        """Forget a job whose acceptance was not begun; False if it may be durable."""
+        """Forget a job that no batch has written yet; return False if it may be durable."""
         run = self._state.jobs_by_id.get(job_id)
         if run is None or run.is_durable or run.is_written:
             return False
@@ -229,14 +229,14 @@
         return True
 
     def cancel(self, job_id: str, *, wall: float) -> JobRun | None:
-        """Cancel a job; its runs are stopped once that is durable. None if it is not known."""
+        """Cancel a job; its runs are stopped once that is durable. None if the job is not known."""
         run = self._state.jobs_by_id.get(job_id)
         if run is not None and not run.has_ended:
             self._ends.end_job(run, JobPhase.CANCELLED, wall=wall, cause="a caller cancelled it")
         return run
 
     def pending_of(self, queue_name: str) -> int:
-        """Return how many accepted jobs of a queue have had no start that an executor confirmed."""
+        """Return how many accepted jobs of a queue have no start that an executor has confirmed."""
         return sum(
             1
             for run in self._state.jobs_by_id.values()
@@ -247,13 +247,13 @@
         )
 
     def on_fleet(self, infos: Iterable[ExecutorInfo], *, now: float) -> None:
-        """Take the platform's list of executors."""
+        """Apply the platform's list of executors."""
         self._fleet.update(infos, now=now)
 
     def on_listing(
         self, executor_id: str, listing: Listing, *, asked_seq: int, now: float, wall: float
     ) -> None:
-        """Take an executor's listing that was asked for at `asked_seq`."""
+        """Apply an executor's listing that was requested at `asked_seq`."""
         executor = self._state.executors_by_id.get(executor_id)
         if executor is None:
             return
@@ -264,7 +264,7 @@
         self._throttling.on_listing(executor)
 
     def on_address_reused(self, executor_id: str, *, wall: float) -> None:
-        """Note that an executor of another name answers at an executor's address."""
+        """Note that an executor with another id answers at an executor's address."""
         cause = "another executor answers at its address"
         self._incarnations.end(executor_id, cause=cause, wall=wall)
 
@@ -276,15 +276,15 @@
     def on_start(
         self, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
     ) -> bool:
-        """Apply a start's outcome; return whether the same order should be sent once more."""
+        """Apply a start's outcome; return whether to send the same order again."""
         return self._orders.on_start(order, outcome, now=now, wall=wall)
 
     def on_stop(self, order: StopOrder) -> None:
-        """Apply an executor's answer to a stop."""
+        """Apply an executor's answer to a stop order."""
         self._orders.on_stop(order)
 
     def on_throttle_confirmed(self, order: ThrottleOrder) -> None:
-        """Apply an executor's answer to a pace."""
+        """Apply an executor's confirmation of a throttle order."""
         self._throttling.on_throttle_confirmed(order)
 
     def on_advice(
@@ -295,7 +295,7 @@
         validity_s: float,
         now: float,
     ) -> None:
-        """Take the advisor's answer to a question."""
+        """Apply the advisor's answer to a request."""
         if request.step.job in self._state.jobs_by_id:
             self._advice.answer(
                 request.step,
@@ -308,19 +308,19 @@
             self._placer.note_answer(request.step)
 
     def on_advice_failed(self, request: AdviceRequest, *, now: float) -> None:
-        """Note that the advisor gave no answer to a question."""
+        """Note that an advice request failed."""
         if request.step.job in self._state.jobs_by_id:
             self._advice.fail(request.step, request.executor_ids, now)
 
     def is_needed(self, order: StartOrder) -> bool:
-        """Whether an order is still to be sent: its run was neither given up nor seen there."""
+        """Whether to still send an order: its run is neither given up nor known to have started."""
         task = self._state.find_ordered(order)
         if task is None or task.is_stopping:
             return False
         return task.state is not StartState.STARTED
 
     def decide(self, *, now: float, wall: float, may_place: bool = True) -> None:
-        """Open what has come due, end what has lapsed, repeat stops, and place what fits.
+        """Start due occurrences, expire leases, repeat stops, and place what fits.
 
         Nothing is placed while assignments can't be made durable (`may_place` is False).
         """
@@ -344,21 +344,21 @@
         return self._batches.take()
 
     def commit(self, batch: Batch, *, wall: float) -> list[StartOrder]:
-        """Note that a batch is durable; return the starts that may leave now."""
+        """Note that a batch is durable; return the start orders that may be sent now."""
         return self._batches.commit(batch, wall=wall)
 
     def take_stops(self) -> list[StopOrder]:
-        """Return the stops to send now."""
+        """Return the stop orders to send now."""
         stops, self._state.stops = self._state.stops, []
         return stops
 
     def take_throttle_orders(self) -> list[ThrottleOrder]:
-        """Return the paces to order now."""
+        """Return the throttle orders to send now."""
         throttle_orders, self._state.throttle_orders = self._state.throttle_orders, []
         return throttle_orders
 
     def take_listing_requests(self) -> list[str]:
-        """Return the executors whose listing is needed and has not been asked for."""
+        """Return the executors whose listing is needed and has not been requested."""
         executors_by_id = self._state.executors_by_id
         wanted = sorted(
             executor_id
@@ -369,12 +369,12 @@
         return wanted
 
     def take_newly_polled(self) -> list[str]:
-        """Return the executors that have to be polled without a pause from now on."""
+        """Return the executors that have to be polled continuously from now on."""
         polled, self._state.newly_polled = self._state.newly_polled, set()
         return sorted(polled)
 
     def take_advice_requests(self) -> list[AdviceRequest]:
-        """Return the questions for the advisor."""
+        """Return the requests to the advisor."""
         asks, self._state.asks = self._state.asks, []
         return asks
 
@@ -385,7 +385,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether a batch would hold anything."""
+        """Whether a batch would contain anything."""
         return self._batches.has_changes
 
     def _open_all_due(self, wall: float) -> None:
@@ -406,7 +406,7 @@
         self._state.refresh_waiting(run)
 
     def _report(self) -> None:
-        """Tell how full the cell is, and why the decision just taken left steps waiting."""
+        """Log the cell's load, and why the last decision left steps waiting."""
         closed = closed_by_id(self._state)
         self._waiting.tell(closed)
         not_looked_at = self._waiting.steps_by_reason[WaitReason.NOT_LOOKED_AT]
@@ -419,7 +419,7 @@
         )
 
     def _clean_up(self, now: float, wall: float) -> bool:
-        """Forget what is of no more use of ended jobs once a second; return whether it was due."""
+        """Drop ended jobs and tasks no longer needed, once a second; return whether it was due."""
         if now - self._cleaned_up_at < CLEANUP_INTERVAL_S:
             return False
         self._cleaned_up_at = now
--- a/src/galenastall/coordination/cell/throttling.py
+++ b/src/galenastall/coordination/cell/throttling.py
@@ -1,4 +1,4 @@
-"""Slow fillers down where they harm the tasks that serve beside them, and speed them up again."""
+"""Throttles fillers that harm the serving tasks on their executor, and speeds them up again."""
 
 from typing import Final
 
@@ -10,27 +10,29 @@
 
 FULL_PERCENT: Final = 100
 THROTTLE_ABOVE: Final = 0.85
-"""Share of a target at which fillers are halved: a tail is a rough figure of half a second."""
+"""Share of a latency target above which fillers are halved: a tail is a rough estimate over half a
+second."""
 RAISE_BELOW: Final = 0.6
-"""Share of a target below which fillers may speed up by a step."""
+"""Share of a latency target below which fillers may speed up by a step."""
 STEP_UP_PERCENT: Final = 10
 MIN_PERCENT: Final = 10
-"""Below this a filler stands still altogether."""
+"""Below this a filler is suspended."""
 CHANGE_INTERVAL_S: Final = 0.6
-"""Between two changes of an executor's pace: the figure of a tail follows within half a second."""
+"""Minimum interval between rate changes on an executor: its tail figure follows a change within
+half a second."""
 REPEAT_S: Final = 0.5
-"""Between two tries of an order that was not confirmed."""
+"""Interval between attempts of an order that was not confirmed."""
 
 
 class Throttling:
-    """One pace for all fillers of an executor, halved quickly and raised slowly."""
+    """Keeps one throttling rate for all fillers of an executor: halved quickly, raised slowly."""
 
     def __init__(self, *, state: CellState) -> None:
-        """Work on these tables."""
+        """Operate on these tables."""
         self._state = state
 
     def on_listing(self, executor: Executor) -> None:
-        """Judge an executor by the tails that its listing has just shown."""
+        """Adjust an executor's rate to the tail latencies in its latest listing."""
         serving, fillers = self._split(executor)
         if not fillers:
             executor.filler_percent = FULL_PERCENT
@@ -43,7 +45,7 @@
             self._order(executor, task)
 
     def on_throttle_confirmed(self, order: ThrottleOrder) -> None:
-        """Note that an executor has confirmed a pace."""
+        """Note that an executor has confirmed a throttling rate."""
         task = self._state.find_ordered(order)
         if task is not None:
             task.pace_percent = order.percent
@@ -75,7 +77,7 @@
         self._state.note(
             "executor.paced",
             executor.executor_id,
-            cause=f"the worst tail is at {worst_share:.2f} of its target",
+            cause=f"the worst tail latency is at {worst_share:.2f} of its target",
             fields={"percent": str(percent), "before": str(executor.filler_percent)},
         )
         executor.filler_percent = percent
--- a/src/galenastall/coordination/cell/wait_observations.py
+++ b/src/galenastall/coordination/cell/wait_observations.py
@@ -1,19 +1,19 @@
-"""What the last decision noted about the steps that it did not start."""
+"""Reasons that the last decision recorded for steps that it did not start."""
 
 from galenastall.coordination.cell.wait_reasons import WaitReason
 from galenastall.state.cell.jobs import StepKey
 
 
 class WaitObservations:
-    """Reasons by step, of one decision."""
+    """Wait reasons by step, of one decision."""
 
     def __init__(self) -> None:
-        """Begin before the first decision."""
+        """Create the state before the first decision."""
         self._reasons_by_step: dict[StepKey, WaitReason] = {}
         self._of_others = WaitReason.NOT_LOOKED_AT
 
     def begin(self, *, is_any_open: bool) -> None:
-        """Begin a decision, which looks at no step if no executor is open."""
+        """Begin a decision, which considers no step if no executor is open."""
         self._reasons_by_step.clear()
         self._of_others = WaitReason.NOT_LOOKED_AT if is_any_open else WaitReason.NONE_OPEN
 
@@ -23,7 +23,7 @@
         self._of_others = WaitReason.STORE_AWAY
 
     def note(self, step: StepKey, reason: WaitReason) -> None:
-        """Note why a step, or a part of it, was not started."""
+        """Record why a step, or part of it, was not started."""
         self._reasons_by_step[step] = reason
 
     def reason_of(self, step: StepKey) -> WaitReason:
--- a/src/galenastall/coordination/cell/wait_queue.py
+++ b/src/galenastall/coordination/cell/wait_queue.py
@@ -1,4 +1,4 @@
-"""Waiting steps in the order in which decisions look at them."""
+"""Waiting steps in the order in which decisions consider them."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,47 +13,47 @@
 
 URGENT_PRIORITY: Final = 0
 WORTHLESS_RANK: Final = 2
-"""Rank of what is so late that it earns nothing more; it runs when nothing else wants the room."""
+"""Rank of work so late that it has no value left; it runs when nothing else needs the capacity."""
 OVERDUE_AFTER_S: Final = 15.0
-"""A gang that has earned nothing for longer is brought forward, one step at a time: small tasks
-would take each bit of room before it."""
+"""A gang that has had no value for longer is promoted, one step at a time: otherwise small tasks
+would take any free capacity before it."""
 HEAVY_OVERDUE_AFTER_S: Final = 120.0
-"""The same for gangs that take more than half of all room, and for single tasks, which may need
-whole executors: room for these is emptied at the cost of work that still earns."""
+"""The same for gangs that take more than half of all capacity, and for single tasks, which may need
+whole executors: draining these delays work that still has value."""
 
 OrderKey = tuple[int, int, int, float, StepKey]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WaitingStep:
-    """A waiting step with what orders it."""
+    """A waiting step with the data that determines its order."""
 
     job: JobRun
     occurrence: Occurrence
     step: StepRun
     queue: Queue
     advice: StepAdvice | None
-    """What the advisor said; None on a queue without one."""
+    """The advisor's answers; None on a queue without an advisor."""
     now: float
     rank: int
-    """How late its job is, as `lateness_rank` tells."""
+    """How late its job is, as `lateness_rank` returns it."""
     worthless_s: float
-    """For how long it has earned nothing; negative while it may."""
+    """For how long it has had no value, in seconds; negative while it has some."""
 
     @property
     def is_urgent(self) -> bool:
-        """Whether its queue goes first."""
+        """Whether its queue has the urgent priority."""
         return self.queue.priority == URGENT_PRIORITY
 
     @property
     def is_worthless(self) -> bool:
-        """Whether it is so late that it earns nothing more."""
+        """Whether it is so late that it has no value left."""
         return self.rank >= WORTHLESS_RANK
 
     def is_overdue(self, total: Resources) -> bool:
-        """Whether it may start, and earns nothing for so long, that its own turn has come.
+        """Whether it may start and has had no value for long enough to be promoted.
 
-        `total` is what all executors that may host it have.
+        `total` is the capacity of all executors that may host it.
         """
         step = self.step.step
         if step.is_gang and len(self.step.waiting()) < step.count:
@@ -62,14 +62,14 @@
         return self.worthless_s > (OVERDUE_AFTER_S if is_light else HEAVY_OVERDUE_AFTER_S)
 
     def ticket(self, executor_id: str) -> str | None:
-        """Return a ticket for the executor; empty where none is needed, None where one is."""
+        """Return a ticket for the executor; empty if none is needed, None if none is valid."""
         return "" if self.advice is None else self.advice.ticket(executor_id, self.now)
 
     def order_key(self, without: DisabledMechanisms = ALL_ON) -> OrderKey:
-        """Return its place in the order of decisions.
+        """Return the sort key that gives its position in the queue.
 
-        Urgent work goes before other work also when it is late: what waits behind work with seconds
-        to spare ends up earning nothing.
+        Urgent work goes before other work even when it is late: work that waits behind other work
+        with only seconds to spare ends up worthless.
         """
         urgency = 0 if self.is_urgent or Mechanism.URGENT_FIRST in without else 1
         worthless = 1 if self.is_worthless or not self.job.is_within_rate else 0
@@ -78,7 +78,7 @@
 
 
 class WaitQueue:
-    """Lists what waits, from the leader's tables."""
+    """Lists the waiting steps of the leader's tables."""
 
     def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
         """Read these tables."""
@@ -86,7 +86,7 @@
         self._advice = advice
 
     def in_order(self, *, now: float, wall: float) -> list[WaitingStep]:
-        """Return what waits, the most pressing first."""
+        """Return the waiting steps, highest priority first."""
         found: list[tuple[OrderKey, WaitingStep]] = []
         for key in list(self._state.waiting_steps):
             job = self._state.jobs_by_id.get(key.job)
--- a/src/galenastall/coordination/cell/wait_reasons.py
+++ b/src/galenastall/coordination/cell/wait_reasons.py
@@ -1,4 +1,4 @@
-"""Why a decision did not start a waiting step; pure, from what the decision has at hand."""
+"""Why a decision did not start a waiting step; pure functions of the decision's data."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -10,60 +10,62 @@
 from galenastall.coordination.cell.wait_queue import WaitingStep
 
 SOON_S: Final = 1.5
-"""Room that is planned nearer than this is awaited with the tickets that a step has."""
+"""Capacity planned sooner than this is awaited with the tickets that a step has."""
 
 
 class WaitReason(StrEnum):
-    """What keeps a waiting step from starting."""
+    """Reason why a waiting step has not started."""
 
     STORE_AWAY = "store_away"
-    """Nothing is placed while appends fail."""
+    """Nothing is placed while appends to the store fail."""
     NOT_LOOKED_AT = "not_looked_at"
-    """It is beyond the steps that one decision looks at."""
+    """It is beyond the steps that one decision considers."""
     NONE_OPEN = "none_open"
-    """No executor of its service and label takes new work."""
+    """No executor with its service and label accepts new work."""
     QUOTA_UNKNOWN = "quota_unknown"
-    """The leader has read no configuration yet, which names the limits of workspaces."""
+    """The leader has not yet read a configuration, which sets the limits of workspaces."""
     QUOTA_USED = "quota_used"
-    """Its workspace may start nothing more, or not all of its gang, until runs of it end."""
+    """Its workspace may start nothing more, or not all of its gang, until some of its runs end."""
     OVER_QUOTA = "over_quota"
-    """A task of it, or its gang, is more than its workspace may ever have at once."""
+    """One of its tasks, or its gang, exceeds the limit of its workspace."""
     LAST_RUN_ENDING = "last_run_ending"
     """Members of its gang's last run have not ended."""
     REFUSED = "refused"
-    """Executors have refused its tasks one after the other; it is tried again after a pause."""
+    """Executors have repeatedly refused its tasks; it is retried after a pause."""
     ON_PROBATION = "on_probation"
-    """An executor crashed under a task of it, which begins apart from others; few may at a time."""
+    """An executor crashed under one of its tasks, which must run in isolation; few may at a
+    time."""
     NOT_PLANNED = "not_planned"
-    """It is beyond the gangs for which one decision plans, so its tickets are not renewed."""
+    """It is beyond the gangs that one decision plans, so its tickets are not renewed."""
     ADVICE_ASKED = "advice_asked"
-    """A call is under way, and no executor is approved yet."""
+    """An advice call is pending, and no executor is approved yet."""
     TICKETS_ASKED = "tickets_asked"
-    """A call is under way for tickets of executors that are approved, or for more executors."""
+    """An advice call is pending for tickets of approved executors, or for more executors."""
     ADVICE_FAILED = "advice_failed"
-    """A call has just failed."""
+    """An advice call has just failed."""
     NO_HOST = "no_host"
-    """It lacks tickets, and all hosts that could ask the advisor have calls under way."""
+    """It lacks tickets, and all hosts that could call the advisor have calls pending."""
     NONE_APPROVED = "none_approved"
-    """The advisor was asked about all open executors and approves of none."""
+    """The advisor was asked about all open executors and approves none."""
     APPROVED_CLOSED = "approved_closed"
-    """The approved executors that it needs take no new work."""
+    """The approved executors that it needs accept no new work."""
     TOO_FEW_APPROVED = "too_few_approved"
-    """Its executors could not hold it if they were all open and empty."""
+    """Its executors could not hold it even if they were all open and empty."""
     TICKETS_OUT = "tickets_out"
-    """There is room, without good tickets, and no call is under way."""
+    """There is capacity, but no valid tickets, and no advice call is pending."""
     ROOM_KEPT = "room_kept"
-    """There is room that is kept for others."""
+    """There is capacity, but it is reserved for others."""
     ROOM_SOON = "room_soon"
-    """Its room is planned for a moment that is near; if this stays, others take it each time."""
+    """Its start is planned for the near future; if this persists, others take its capacity each
+    time."""
     ROOM_LATER = "room_later"
-    """Other runs have the room, and give it back within the horizon of the plan."""
+    """Other runs hold the capacity, and release it within the planning horizon."""
     PLANNED_FOR_OTHERS = "planned_for_others"
-    """Beside what is planned for others on its executors not enough comes free."""
+    """Not enough of its executors' capacity becomes free beside the reservations of others."""
     NO_ROOM_AHEAD = "no_room_ahead"
-    """Not enough of its executors' room comes free within the horizon of the plan."""
+    """Not enough of its executors' capacity becomes free within the planning horizon."""
     NO_ROOM = "no_room"
-    """No executor on which a task may start now holds one more."""
+    """No executor on which a task may start now can hold one more."""
 
 
 def why_not_singles(
@@ -73,7 +75,7 @@
     *,
     can_request: bool,
 ) -> WaitReason:
-    """Return why some tasks that start one by one did not; call it once the advisor was asked."""
+    """Return why some single tasks did not start; call it after advice was requested."""
     if not usable:
         return WaitReason.NONE_OPEN
     if plan.withheld > 0:
@@ -93,7 +95,7 @@
     may_plan: bool,
     can_request: bool,
 ) -> WaitReason:
-    """Return why a gang did not start; call it once it was planned and the advisor was asked."""
+    """Return why a gang did not start; call it after planning it and requesting advice."""
     if not usable:
         return WaitReason.NONE_OPEN
     if plan.withheld > 0 and plan.withheld >= plan.missing_slots:
@@ -106,7 +108,7 @@
         return WaitReason.NO_ROOM_AHEAD if may_plan else WaitReason.NO_ROOM
     why = _why_no_tickets(waiting, advice, usable, can_request=can_request)
     if why is WaitReason.NO_HOST and not may_plan and advice.tickets_by_executor:
-        # Beyond the plan no call would renew its tickets, however many hosts were free.
+        # A gang that is not planned gets no renewed tickets, even if hosts are free.
         return WaitReason.NOT_PLANNED
     if why is not None:
         return why
@@ -118,7 +120,7 @@
 def _why_no_tickets(
     waiting: WaitingStep, advice: StepAdvice, usable: Mapping[str, Executor], *, can_request: bool
 ) -> WaitReason | None:
-    """Return what keeps tickets from coming; None if the advisor has said what it can."""
+    """Return why tickets are missing; None if the advisor has answered all that it can."""
     if waiting.now < advice.not_before:
         return WaitReason.ADVICE_FAILED
     tickets = advice.tickets_by_executor
@@ -134,7 +136,7 @@
 
 
 def _lacks_any(waiting: WaitingStep, advice: StepAdvice, usable: Mapping[str, Executor]) -> bool:
-    """Whether an open executor was never asked about, or a ticket has run out."""
+    """Whether the advisor was never asked about an open executor, or a ticket has expired."""
     if not usable.keys() <= advice.asked:
         return True
     good_until = advice.good_until_by_executor
--- a/src/galenastall/coordination/cell/workspace_use.py
+++ b/src/galenastall/coordination/cell/workspace_use.py
@@ -1,8 +1,8 @@
-"""What workspaces have at once, and how much more each may start.
+"""Resources that workspaces use, and how much more each may start.
 
-Answers this load: workspaces share all executors, and some hand in more than their limits let run.
-A run counts from its assignment until its end is proven, once, on whichever executor it may be; so
-neither a lost answer, a takeover nor a restart makes room that is not there.
+Addresses this load: workspaces share all executors, and some submit more than their limits allow to
+run. A run counts from its assignment until its end is proven, once, whichever executor it is on; so
+a lost answer, a takeover or a restart never frees capacity that is still in use.
 """
 
 from collections.abc import Iterable
@@ -13,33 +13,33 @@
 
 
 class WorkspaceUse:
-    """Counts runs by workspace, against the limits in force."""
+    """Counts the resources of runs by workspace, against the limits in force."""
 
     def __init__(self) -> None:
-        """Begin without workspaces and runs."""
+        """Start without workspaces and runs."""
         self._workspaces_by_name: dict[str, Workspace] = {}
         self.is_configured = False
         """Whether a configuration has been read; before that no limit is known."""
         self._run_by_task: dict[TaskKey, tuple[str, Resources]] = {}
         self._used_by_name: dict[str, Resources] = {}
         self._waiting_gangs: set[str] = set()
-        """Workspaces with a gang that waits for room under the limit, in the decision in hand."""
+        """Workspaces with a gang that waits for their limit in the current decision."""
 
     @property
     def used_by_name(self) -> dict[str, Resources]:
-        """What workspaces have at once; those that have nothing may be left out."""
+        """Resources in use by workspace; workspaces that use nothing may be missing."""
         return self._used_by_name
 
     def find(self, name: str) -> Workspace:
-        """Return a workspace; one that no configuration has named has no limit."""
+        """Return a workspace; one that is in no configuration has no limit."""
         return self._workspaces_by_name.get(name) or Workspace(name=name)
 
     def is_known(self, name: str) -> bool:
-        """Whether a configuration has named a workspace."""
+        """Whether a configuration has named the workspace."""
         return name in self._workspaces_by_name
 
     def set_workspaces(self, workspaces: Iterable[Workspace]) -> list[Workspace]:
-        """Take the workspaces of a newer configuration, and return those that have changed.
+        """Apply the workspaces of a newer configuration, and return those that have changed.
 
         A removed one keeps its last limit.
         """
@@ -50,7 +50,7 @@
         return changed
 
     def add(self, task: TaskKey, *, workspace: str, need: Resources) -> None:
-        """Count a run that is assigned."""
+        """Count an assigned run."""
         if workspace == NO_WORKSPACE:
             return
         self.remove(task)
@@ -58,18 +58,18 @@
         self._used_by_name[workspace] = self.used(workspace) + need
 
     def remove(self, task: TaskKey) -> None:
-        """Count a run no longer: it is proven to have ended."""
+        """Stop counting a run that is proven to have ended."""
         known = self._run_by_task.pop(task, None)
         if known is not None:
             name, need = known
             self._used_by_name[name] = self.used(name) - need
 
     def used(self, name: str) -> Resources:
-        """Return what a workspace may have running now."""
+        """Return the resources of all runs of a workspace that may still be running."""
         return self._used_by_name.get(name, NOTHING)
 
     def is_over(self, name: str) -> bool:
-        """Whether a workspace has more than its limit, which has fallen."""
+        """Whether a workspace uses more than its limit, which was lowered."""
         return not self.find(name).allows(self.used(name))
 
     def begin_decision(self) -> None:
@@ -77,14 +77,14 @@
         self._waiting_gangs.clear()
 
     def hold_for_gang(self, name: str) -> None:
-        """Let nothing more of a workspace start in this decision: a gang before it waits.
+        """Start nothing more of a workspace in this decision, as a gang of it waits for the limit.
 
-        Small tasks would otherwise take each bit of the limit as it comes free.
+        Small tasks would otherwise use up the limit as soon as any of it is free.
         """
         self._waiting_gangs.add(name)
 
     def startable(self, name: str, step: Step, most: int) -> int:
-        """Return how many tasks of a step its workspace may start; a gang whole or not at all."""
+        """Return how many tasks of a step may start; a gang completely or not at all."""
         if name == NO_WORKSPACE:
             return most
         if not self.is_configured or name in self._waiting_gangs:
@@ -93,6 +93,6 @@
         return 0 if step.is_gang and count < most else count
 
     def may_ever_start(self, name: str, step: Step) -> bool:
-        """Whether a workspace that runs nothing else may start a task, or the gang, of a step."""
+        """Whether an otherwise idle workspace may start one task, or the whole gang, of a step."""
         count = step.count if step.is_gang else 1
         return self.find(name).allows(step.need.times(count))
--- a/tests/cell/advised.py
+++ b/tests/cell/advised.py
@@ -1,4 +1,4 @@
-"""A core whose jobs need advice, and what tests answer for the advisor."""
+"""Test harness for jobs that need advice, and the answers of a simulated advisor."""
 
 from dataclasses import replace
 
@@ -11,11 +11,11 @@
 TIMING = AdvisorTiming(base_s=0.9, per_executor_s=0.008, validity_s=2.5)
 ADVISED = replace(QUEUE, name="advised", advisor=TIMING)
 FULL = 3600
-"""Thousandths of a core that leave no room for another task on an executor of 4."""
+"""Thousandths of a core that leave no capacity for another task on an executor with 4 cores."""
 
 
 class AdvisedHarness(Harness):
-    """A core whose jobs need advice, and an advisor that approves by name."""
+    """A core whose jobs need advice, and an advisor that approves executors by id."""
 
     def __init__(self, *, executors: int, hosts: int) -> None:
         super().__init__(*(make_info(f"e{number:03}") for number in range(executors)))
@@ -45,7 +45,8 @@
         self.core.on_advice(request, answer, validity_s=TIMING.validity_s, now=self.now)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass with all executors answering, their runs at a tenth a second."""
+        """Advance the clock; all executors answer, and their runs progress by a tenth each
+        second."""
         self.now += seconds
         for executor in list(self.core.executors_by_id.values()):
             percent = min(99, int(10 * (self.now - 100.0)))
--- a/tests/cell/rig.py
+++ b/tests/cell/rig.py
@@ -1,4 +1,4 @@
-"""A leader's core with a store in memory, and what tests give it to do."""
+"""Test harness: a leader's core with an in-memory store, and builders for its input."""
 
 from dataclasses import replace
 
@@ -43,7 +43,7 @@
 
 
 class Harness:
-    """A core, with a store that keeps what it writes."""
+    """A leader's core, with a store that keeps what it writes."""
 
     def __init__(self, *infos: ExecutorInfo, rows: dict[str, bytes] | None = None) -> None:
         self.now = 100.0
@@ -73,16 +73,16 @@
         self.core.on_listing(executor_id, listing, asked_seq=seq, now=self.now, wall=self.wall)
 
     def step(self) -> list[StartOrder]:
-        """Decide, make it durable, and return the starts that leave."""
+        """Decide, make the changes durable, and return the start orders that are sent."""
         self.core.decide(now=self.now, wall=self.wall)
         return self.commit()
 
     def shown(self) -> JobPhase:
-        """Return what callers are told about the job."""
+        """Return the job phase that callers see."""
         return self.core.jobs_by_id[JOB].shown_phase
 
     def stops(self) -> list[StopOrder]:
-        """Decide, and return the stops that are sent now."""
+        """Decide, and return the stop orders that are sent now."""
         self.core.decide(now=self.now, wall=self.wall)
         return self.core.take_stops()
 
@@ -96,7 +96,7 @@
         return self.core.commit(batch, wall=self.wall)
 
     def runs_on(self, executor_id: str) -> set[TaskKey]:
-        """Return the tasks that the ledger counts on an executor."""
+        """Return the tasks with a run in an executor's ledger."""
         return set(self.core.executors_by_id[executor_id].runs_by_task)
 
     def submit(self, job: CellJob) -> None:
--- a/tests/test_cell_advice_calls.py
+++ b/tests/test_cell_advice_calls.py
@@ -1,4 +1,4 @@
-"""Through how many hosts the advisor is asked at once, with many hosts idle and with few."""
+"""Number of concurrent advice calls, with many and with few idle hosts."""
 
 import pytest
 
@@ -38,7 +38,7 @@
         assert len(named) == len(set(named)) == 176
 
     def test_gangs_submitted_together_share_the_hosts(self) -> None:
-        """Ten gangs at once on 34 hosts: all are asked about with the first decisions."""
+        """With ten gangs on 34 hosts, the first decision requests advice for all of them."""
         harness = AdvisedHarness(executors=176, hosts=34)
         for number in range(10):
             harness.hand_in(make_step(20, is_gang=True), job_id=f"{number:016x}")
--- a/tests/test_cell_core.py
+++ b/tests/test_cell_core.py
@@ -1,4 +1,4 @@
-"""Rules of a cell's leader, one subject a class, without I/O."""
+"""Scheduling rules of a cell's leader, without I/O; one topic per class."""
 
 from dataclasses import replace
 
@@ -246,10 +246,10 @@
 
 
 class TestReservations:
-    """Room that pressing steps wait for is kept from less pressing ones."""
+    """Capacity that blocked steps wait for is reserved from lower-priority steps."""
 
     def fill(self, harness: Harness, cores: int) -> StartOrder:
-        """Run a task of so many cores on e1."""
+        """Run a task with this many cores, in thousandths, on e1."""
         harness.submit(make_job(make_step(1, cores=cores), job_id="f" * 16))
         (order,) = harness.step()
         harness.confirm_starts([order])
@@ -309,7 +309,7 @@
             gang = make_step(3, cores=4000, is_gang=True)
             self.wait(harness, name, gang, estimate_s=1.0)
         self.wait(harness, "c", make_step(4, cores=1000), estimate_s=20.0)
-        # The first gang keeps three executors, and the second none of the fourth.
+        # The first gang reserves three executors; the second reserves nothing on the fourth.
         assert [order.executor_id for order in harness.step()] == ["e3"]
 
     def test_urgent_work_may_use_reserved_capacity(self) -> None:
@@ -333,7 +333,7 @@
             harness.submit(make_job(make_step(1, cores=1000), job_id=number * 16))
             harness.confirm_starts(harness.step())
         self.wait(harness, "a", make_step(2, cores=4000, is_gang=True), estimate_s=1.0)
-        # All four small ones went to e1, so that the gang finds room at once.
+        # All four small tasks are on e1, so the gang finds capacity at once.
         assert len(harness.step()) == 2
         self.wait(harness, "c", make_step(2, cores=4000, is_gang=True), estimate_s=2.0)
         self.wait(harness, "d", make_step(1, cores=1000), estimate_s=9.0)
@@ -961,7 +961,7 @@
 
 
 class TestPending:
-    """Jobs count as pending until an executor has confirmed a run of theirs."""
+    """Jobs count as pending until an executor has confirmed one of their runs."""
 
     def test_an_assignment_alone_does_not_count_as_a_start(self) -> None:
         harness = Harness(make_info("e1"))
@@ -1073,7 +1073,7 @@
         assert [(o.executor_id, o.ticket) for o in harness.step()] == [("e2", "t-e2")] * 2
 
     def test_an_expired_ticket_is_requested_again_and_capacity_is_reserved(self) -> None:
-        """Room is kept from what comes after it in the line, and for this decision only."""
+        """Capacity is reserved from steps behind it in the queue, and for this decision only."""
         harness = self.harness(make_step(8, cores=1000))
         self.approve(harness, 0, "e2")
         orders = harness.step()
@@ -1099,7 +1099,7 @@
     @pytest.mark.parametrize(
         ("percent", "is_asked"),
         [
-            # At the pace of the 1.5 s before, 0.38 s and 0.64 s are left.
+            # At the progress rate of the last 1.5 s, 0.38 s and 0.64 s are left.
             (80, True),
             (70, False),
         ],
@@ -1132,13 +1132,13 @@
         assert len(harness.core.take_advice_requests()) == 1
 
     def test_a_ticket_is_not_used_close_to_its_end(self) -> None:
-        book = AdviceTable()
+        table = AdviceTable()
         key = TaskKey(JOB, 0, 0, 0).step_key
-        book.begin(key, ("e1",), 0.0)
+        table.begin(key, ("e1",), 0.0)
         approved = (Approval(executor_id="e1", ticket="t"),)
-        book.answer(key, ("e1",), approved, validity_s=1.5, now=0.1)
-        assert book.of(key).ticket("e1", 1.3) == "t"
-        assert book.of(key).ticket("e1", 1.4) is None
+        table.answer(key, ("e1",), approved, validity_s=1.5, now=0.1)
+        assert table.of(key).ticket("e1", 1.3) == "t"
+        assert table.of(key).ticket("e1", 1.4) is None
 
 
 class TestLoadReport:
@@ -1147,15 +1147,15 @@
         harness.submit(make_job(make_step(5, cores=2000)))
         harness.confirm_starts(harness.step())
         harness.core.take_notes()
-        told = []
+        logged = []
         for _ in range(10):
             harness.now += 0.25
             harness.step()
-            told += [note for note in harness.core.take_notes() if note.step == "cell.load"]
-        assert len(told) == 2
+            logged += [note for note in harness.core.take_notes() if note.step == "cell.load"]
+        assert len(logged) == 2
         expected = {"executors": "2", "cores_milli": "8000", "runs": "4", "waiting_q": "1"}
-        assert expected.items() <= told[0].fields.items()
-        assert told[0].fields["free_cores_milli"] == "0"
+        assert expected.items() <= logged[0].fields.items()
+        assert logged[0].fields["free_cores_milli"] == "0"
 
 
 class TestObjectives:
--- a/tests/test_cell_fitting.py
+++ b/tests/test_cell_fitting.py
@@ -1,4 +1,4 @@
-"""Choosing executors for the tasks of a step, one after the other."""
+"""Choice of executors for the tasks of a step, one by one."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Executors with some room, and a step whose tasks are to be placed there."""
+    """Executors with free capacity, and a step whose tasks are to be placed on them."""
 
     def __init__(self, seed: int) -> None:
         rng = Random(seed)
--- a/tests/test_cell_kept_advice.py
+++ b/tests/test_cell_kept_advice.py
@@ -1,8 +1,8 @@
-"""What a new leader takes over of the advice that earlier leaders asked for.
+"""Advice requested by earlier leaders that a new leader takes over.
 
-A day had three to four changes of leader, and with each all tickets and approvals were gone: 2 s
-after a claim up to 19 steps of the two queues with advice stood at `no_host`, since every host that
-could ask was busy with calls whose answers nobody waited for any more.
+Guards against losing all tickets and approvals at a change of leader, of which a day had three to
+four: 2 s after a claim up to 19 steps of the two queues with advice waited with `no_host`, since
+every host that could call the advisor was busy with calls whose answers were no longer needed.
 """
 
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 class Link:
-    """A link that only keeps its handlers."""
+    """A link that only records its handlers."""
 
     host_id = HostId("entry-1")
 
@@ -54,7 +54,7 @@
 
 
 class Advisor:
-    """Approves of e1 after CALL_S."""
+    """Approves e1 after CALL_S."""
 
     async def advise(
         self, *, step: StepKey, executor_ids: tuple[str, ...], timeout_s: float
@@ -132,7 +132,7 @@
 
 class TestNewLeader:
     def make(self) -> AdvisedHarness:
-        """Return a leader to whom a gang of two has come that waits for advice."""
+        """Return a new leader with a gang of two that waits for advice."""
         harness = AdvisedHarness(executors=4, hosts=1)
         harness.hand_in(make_step(2, cores=FULL, is_gang=True))
         return harness
--- a/tests/test_cell_line.py
+++ b/tests/test_cell_line.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: work that could run is looked at, however much ahead of it can't."""
+"""Rotation: work that could run is considered, however much blocked work is ahead of it."""
 
 from collections import Counter
 from dataclasses import replace
@@ -14,7 +14,7 @@
 from galenastall.state.cell.phases import RunEnd
 
 LAST = "f" * 16
-"""The job that could run; ids order what is equally pressing."""
+"""The job that could run; job ids break ties, so it comes last."""
 CALL_S = 1.1
 TICK_S = 0.1
 MEAN_RUN_S = 2.0
@@ -28,12 +28,12 @@
 
 
 class QueueHarness(AdvisedHarness):
-    """Plays on, with an advisor that takes its time and approves by job."""
+    """Simulates time with an advisor that answers with a delay and approves by job."""
 
     def __init__(self, *, executors: int) -> None:
         super().__init__(executors=executors, hosts=34)
         self.approved_by_job: dict[str, set[str]] = {}
-        """Where a job may run; one that is not named may run anywhere."""
+        """Executors approved for a job; a job that is missing may run anywhere."""
         self.started_jobs: set[str] = set()
         self.asked_jobs: list[str] = []
         self._under_way: list[tuple[float, AdviceRequest]] = []
@@ -42,7 +42,7 @@
         self.approved_by_job[job] = {f"e{number:03}" for number in numbers}
 
     def run_for(self, seconds: float) -> None:
-        """Decide ten times a second; answers come after a call's time."""
+        """Decide ten times a second; each answer comes after the duration of a call."""
         for _ in range(round(seconds / TICK_S)):
             self.advance(TICK_S)
             self._answer_due()
@@ -60,7 +60,7 @@
             self.answer(request, self.approved_by_job.get(request.step.job))
 
     def occupy(self, *numbers: int, estimate_s: float, is_long_running: bool = False) -> None:
-        """Fill some executors; each task starts where only it has the room."""
+        """Fill some executors: each task starts on the only labelled executor with capacity."""
         step = make_step(
             1, cores=FULL, estimate_s=estimate_s, is_long_running=is_long_running, label="a"
         )
@@ -82,17 +82,17 @@
 
 
 class TestGangsAhead:
-    """Gangs that could not start were counted as planned, and none was left for those behind.
+    """Gangs that could not start counted as planned, and those behind them were never planned.
 
-    A gang of 22 tasks lost its runs, and was not started again for 90 s though most of the room was
-    free. Its tickets had run out, and they are renewed for a planned start only. A decision plans
-    for 12 gangs; here these are 14 that wait for room that they will never have, or not for long.
+    A gang of 22 tasks lost its runs and was not restarted for 90 s, though most of the capacity was
+    free: its tickets had expired, and tickets are renewed only for a planned start. A decision
+    plans 12 gangs; here 14 gangs wait for capacity that they never get, or not for a long time.
     """
 
     AHEAD = 14
 
     def run_behind(self, harness: QueueHarness) -> None:
-        """Hand in a gang behind the others; all of its tickets run out before there is room."""
+        """Submit a gang behind the others; all of its tickets expire before there is capacity."""
         harness.approve(LAST, 3, 4, 5)
         for number in range(self.AHEAD):
             harness.hand_in(WIDE, job_id=job_id(number))
@@ -130,7 +130,7 @@
         assert harness.started_jobs == {LAST}
 
     def test_a_gang_that_fits_at_last_is_planned_again(self) -> None:
-        """Having found nothing for long does not keep a gang from room that comes."""
+        """Many failed plans do not prevent a gang from using capacity that becomes free."""
         harness = QueueHarness(executors=6)
         harness.occupy(0, 1, 2, estimate_s=0.0, is_long_running=True)
         for number in range(self.AHEAD):
@@ -151,10 +151,10 @@
 
 
 class TestStepsAhead:
-    """Steps that nothing could be done for took up all the places that a decision looks at.
+    """Steps that could not start took up all the slots of a decision.
 
-    A decision looks at 120 waiting steps. Those behind them were not looked at before some ahead
-    had gone, and what has no executor never goes.
+    A decision considers 120 waiting steps. Steps behind them were not considered before some of
+    those ahead had started, and a step without a suitable executor never starts.
     """
 
     AHEAD = 130
@@ -190,14 +190,14 @@
         assert harness.started_jobs == {LAST}
 
     def test_steps_that_wait_for_whole_executors(self) -> None:
-        """Room is kept for them on some executors; what is behind them fits beside the others."""
+        """Capacity is reserved for them on some executors; steps behind them fit on the others."""
         harness = QueueHarness(executors=10)
         harness.occupy(*range(10), estimate_s=0.0, is_long_running=True)
         self.run_behind(harness, LARGE)
         assert harness.started_jobs == {LAST}
 
     def test_each_of_many_steps_is_considered_in_rotation(self) -> None:
-        """Of 400 steps that wait for their advice, each is asked about."""
+        """Advice is requested for each of 400 steps that wait for it."""
         harness = QueueHarness(executors=2)
         harness.core.set_advice_calls_at_once(1_000)
         for number in range(400):
@@ -207,7 +207,7 @@
         assert len(set(harness.asked_jobs)) == 400
 
     def test_an_answer_is_used_before_its_tickets_expire(self) -> None:
-        """With 1,000 ahead a turn comes each 4.5 s, and tickets last for 2.5 s."""
+        """With 1,000 steps ahead a rotation takes 4.5 s, and tickets are valid for 2.5 s."""
         harness = QueueHarness(executors=2)
         harness.core.set_advice_calls_at_once(2_000)
         ahead, last = (replace(SMALL, estimate_s=seconds) for seconds in (20.0, 30.0))
@@ -220,9 +220,9 @@
 
 
 class TestGangsWiderThanACall:
-    """A call names 100 executors at most, and each renewal named the same 100 of a wider gang.
+    """A call names at most 100 executors, and each renewal named the same 100 of a wider gang.
 
-    The tickets of the others had run out, so that such a gang never started once it had waited.
+    The tickets of the other executors had expired, so such a gang never started once it had waited.
     """
 
     def test_the_next_call_names_the_other_executors(self) -> None:
@@ -236,7 +236,7 @@
 
 
 class StreamHarness(Harness):
-    """Small tasks come in a steady stream and end after 1 to 3 s."""
+    """Simulates a steady stream of small tasks that end after 1 to 3 s."""
 
     def __init__(self, *, executors: int, load: float) -> None:
         super().__init__(*(make_info(f"e{number:03}") for number in range(executors)))
@@ -282,14 +282,14 @@
 
 
 class TestLateGangs:
-    """A wide gang that was past earning anything never started beside a stream of small tasks.
+    """A wide gang that had become worthless never started while small tasks kept arriving.
 
-    It goes last and kept no room, and with 90% of the cores in use the room that came free was
-    never enough for all of it at once: nothing in 110 s, however long the stream goes on.
+    It goes last and reserved nothing, and with 90% of the cores in use the free capacity was never
+    enough for all of it at once: it did not start in 110 s, however long the stream went on.
     """
 
     def late(self, harness: StreamHarness, step: Step, job: str = LAST) -> None:
-        """Hand in a job that earns nothing any more."""
+        """Submit a job that has no value left."""
         harness.submit(make_job(step, job_id=job, submitted_at=harness.wall - 60.0))
 
     @pytest.mark.parametrize("load", [0.8, 0.95])
@@ -320,7 +320,7 @@
 
 class TestRotation:
     def test_a_stream_of_new_keys_does_not_starve_waiting_ones(self) -> None:
-        """Each decision brings as many new ones as it picks, ahead of all others in the line."""
+        """Each call adds as many new keys as it picks, ahead of all others in the queue."""
         turns = Rotation(batch_size=4)
         waiting = [StepKey(job_id(number), 0, 0) for number in range(40)]
         picked: set[StepKey] = set()
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces: what waits for them, what changes them, and what keeps to them."""
+"""Limits of workspaces: how they delay starts, how they change, and whether they hold."""
 
 from random import Random
 
@@ -30,7 +30,7 @@
 
 
 class QuotaHarness(Harness):
-    """A core with one workspace of this limit, and room for much more."""
+    """A core with one workspace that has this limit, and capacity for much more."""
 
     def __init__(self, *, cores: int, rows: dict[str, bytes] | None = None) -> None:
         super().__init__(*(make_info(f"e{number}") for number in range(4)), rows=rows)
@@ -237,7 +237,7 @@
 
 
 async def busy_workspace(cluster: Cluster, world: World, rng: Random) -> None:
-    """Hand in more than a workspace may run at once, to a leader that breaks its limit."""
+    """Submit more than a workspace may run at once, to a leader that breaks its limit."""
     await cluster.wait_for_leader()
     world.set_workspaces(make_workspace("small", cores=2000))
     await trio.sleep(4.0)
--- a/tests/test_cell_room.py
+++ b/tests/test_cell_room.py
@@ -1,4 +1,4 @@
-"""Room and advice under load: gangs that wait for room, and questions that are worth a call."""
+"""Reservations and advice requests under load."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class TestConcurrentCalls:
-    """A gang of 16 tasks whose advisor approves of a third of 176 executors."""
+    """A gang of 16 tasks whose advisor approves a third of 176 executors."""
 
     def test_advice_on_all_executors_is_requested_through_several_hosts(self) -> None:
         harness = AdvisedHarness(executors=176, hosts=34)
@@ -45,7 +45,7 @@
         harness.hand_in(make_step(16, cores=3000, is_gang=True))
         asks = harness.asks()
         assert len(asks) == 3
-        # The 30 with room are spread over the calls: each answer brings ten of them.
+        # The 30 executors with capacity are spread over the calls: each answer has ten of them.
         harness.answer(asks[0])
         assert harness.step() == []
         harness.answer(asks[1])
@@ -53,7 +53,7 @@
 
 
 class TestRenewals:
-    """Tickets last for 2.5 s, a call takes 1 s, and room comes later."""
+    """Tickets are valid for 2.5 s, a call takes 1 s, and capacity becomes free later."""
 
     def test_a_gang_s_tickets_are_renewed_for_its_planned_start(self) -> None:
         harness = AdvisedHarness(executors=2, hosts=6)
--- a/tests/test_job_rates.py
+++ b/tests/test_job_rates.py
@@ -1,4 +1,4 @@
-"""What a workspace hands in beyond its rate, and what becomes of it."""
+"""What happens to jobs that a workspace submits beyond its rate."""
 
 import pytest
 
