--- a/src/galenastall/bench/cell_load/surroundings.py
+++ b/src/galenastall/bench/cell_load/surroundings.py
@@ -196,11 +196,11 @@
         """Return the limit of one append."""
         return APPEND_BYTES
 
-    async def claim(self, *, host_id: str, address: str, tip: int) -> Result[int, StepError]:
+    async def claim(self, *, host_id: str, address: str, log_end: int) -> Result[int, StepError]:
         """Not used: the lab names the leader."""
         raise NotImplementedError
 
-    async def look(self) -> Result[StoreView, StepError]:
+    async def poll(self) -> Result[StoreView, StepError]:
         """Not used: the lab names the leader."""
         raise NotImplementedError
 
@@ -250,7 +250,7 @@
         """Not used: no wave or pool asks for it."""
         raise NotImplementedError
 
-    async def tell_wave(self, *_: Any, **__: Any) -> Any:
+    async def report_wave(self, *_: Any, **__: Any) -> Any:
         """Not used: there are no waves."""
         raise NotImplementedError
 
@@ -274,7 +274,7 @@
         verdict = executor.stop(order, token)
         return Success(OrderAnswer(verdict=verdict, clock_ms=int(executor.clock_ms())))
 
-    async def pace(
+    async def throttle(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Confirm a pace; the lab's workloads have no fillers."""
--- a/src/galenastall/cli/log_files.py
+++ b/src/galenastall/cli/log_files.py
@@ -8,9 +8,9 @@
 import typer
 
 from galenastall.cli.output import fail_usage
-from galenastall.coordination.cell.explain_logs import LogLine, parse_lines, tell
-from galenastall.coordination.cell.explain_reasons import reasons_by_queue, tell_reasons
-from galenastall.coordination.cell.explain_waiting import tell_waits, waits_of
+from galenastall.coordination.cell.explain_logs import LogLine, explain_job, parse_lines
+from galenastall.coordination.cell.explain_reasons import format_reasons, reasons_by_queue
+from galenastall.coordination.cell.explain_waiting import format_waits, waits_of
 
 LONGEST_WAITS: Final = 10
 """Jobs told one by one after the sums by queue."""
@@ -26,7 +26,7 @@
 
 def show_explanation(job: str, logs: list[str]) -> None:
     """Say what became of a job: the cause first, then delays, then all lines."""
-    story = tell(_read(logs), job)
+    story = explain_job(_read(logs), job)
     typer.echo(story.verdict)
     for delay in story.delays:
         typer.echo(f"  {delay}")
@@ -36,14 +36,14 @@
 def show_waits(logs: list[str]) -> None:
     """Say by queue what jobs waited for, which waited longest, and what the leader told of it."""
     lines = _read(logs)
-    told = tell_reasons(reasons_by_queue(lines))
-    for text in [*told, *tell_waits(waits_of(lines), longest=LONGEST_WAITS)]:
+    told = format_reasons(reasons_by_queue(lines))
+    for text in [*told, *format_waits(waits_of(lines), longest=LONGEST_WAITS)]:
         typer.echo(text)
 
 
 def show_lines(job: str, logs: list[str]) -> None:
     """Show a job's lines, and what happened to leaders and the store meanwhile."""
-    _show(tell(_read(logs), job).lines)
+    _show(explain_job(_read(logs), job).lines)
 
 
 def _show(lines: tuple[LogLine, ...]) -> None:
--- a/src/galenastall/coordination/cell/availability.py
+++ b/src/galenastall/coordination/cell/availability.py
@@ -7,7 +7,7 @@
 from galenastall.coordination.cell.task_runs import WHOLE_PERCENT, StartState, TaskRun
 from galenastall.state.cell.phases import TaskPhase
 
-SETTLED_S: Final = 5.0
+AVAILABLE_AFTER_S: Final = 5.0
 """A task counts as away until it has been at work for so long: whoever counts absences over the
 last 4.5 s still sees it as missing before."""
 
@@ -19,18 +19,20 @@
         """Read these tables."""
         self._state = state
 
-    def may_take_away(self, step: StepRun, task: TaskRun) -> bool:
+    def may_stop(self, step: StepRun, task: TaskRun) -> bool:
         """Whether a task may be stopped without leaving more away than its step declares."""
-        most = step.step.most_unavailable
-        if most <= 0:
+        limit = step.step.most_unavailable
+        if limit <= 0:
             return True
-        away = sum(1 for other in step.tasks if other is not task and self._is_away(other))
-        return away < most
+        unavailable = sum(
+            1 for other in step.tasks if other is not task and self._is_unavailable(other)
+        )
+        return unavailable < limit
 
-    def _is_away(self, task: TaskRun) -> bool:
+    def _is_unavailable(self, task: TaskRun) -> bool:
         if task.phase is not TaskPhase.ASSIGNED or task.state is not StartState.STARTED:
             return True
         if task.is_stopping or task.percent < WHOLE_PERCENT:
             return True
         # `percent_at` is when the last percent was gained, so when it began to work in full.
-        return self._state.now - task.percent_at < SETTLED_S
+        return self._state.now - task.percent_at < AVAILABLE_AFTER_S
--- a/src/galenastall/coordination/cell/batches.py
+++ b/src/galenastall/coordination/cell/batches.py
@@ -5,7 +5,7 @@
 from galenastall.coordination.cell.advice import AdviceBook
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import Batch, StartOrder
-from galenastall.coordination.cell.host_care import HostCare
+from galenastall.coordination.cell.host_operations import HostOperations
 from galenastall.coordination.cell.job_runs import JobRun
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.stop_rules import StopRule
@@ -23,7 +23,7 @@
     """Collects changes for one append, and acts on it once it is durable."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, hosts: HostCare
+        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, hosts: HostOperations
     ) -> None:
         """Work on these tables; `hosts` adds its rows and orders."""
         self._state = state
--- a/src/galenastall/coordination/cell/config_age.py
+++ b/src/galenastall/coordination/cell/config_age.py
@@ -15,11 +15,11 @@
 """What a host says that does not tell its version."""
 
 
-def is_outdated(*, version: int, own_version: int, own_for_s: float) -> bool:
+def is_outdated(*, version: int, own_version: int, held_for_s: float) -> bool:
     """Whether a call let in by `version` must be looked at anew.
 
     `own_for_s` is for how long the host that is asked has had its own version.
     """
     if version in {UNKNOWN_VERSION, own_version}:
         return False
-    return version < own_version and own_for_s >= OUTDATED_AFTER_S
+    return version < own_version and held_for_s >= OUTDATED_AFTER_S
--- a/src/galenastall/coordination/cell/election.py
+++ b/src/galenastall/coordination/cell/election.py
@@ -13,33 +13,33 @@
 from galenastall.coordination.cell.succession import is_light
 from galenastall.coordination.cell.timings import CellTimings
 
-LOOKS_IN_A_ROW: Final = 3
+MAX_POLL_GAP_INTERVALS: Final = 3
 """Looks at the store further apart than so many of their intervals show no stillness."""
 
 
-class Move(Enum):
+class ElectionAction(Enum):
     """What a standby should do next."""
 
     WAIT = auto()
-    LOOK = auto()
+    POLL_STORE = auto()
     """Look at the store for signs of the leader."""
     CLAIM = auto()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeardBeat:
+class ReceivedHeartbeat:
     """The last heartbeat of the leader with the highest token."""
 
     token: int
     leader: str
-    heard_at: float
+    received_at: float
     confirm_age_s: float
     heaviest: float = 0.0
     """Weight of the heaviest host besides the leader that could lead."""
 
     def confirm_age_at(self, now: float) -> float:
         """Return how long ago the store confirmed the leader, at least."""
-        return self.confirm_age_s + (now - self.heard_at)
+        return self.confirm_age_s + (now - self.received_at)
 
 
 class Election:
@@ -55,21 +55,21 @@
         self._claimed_weight = 0.0
         """Weight of the host that made the newest claim seen at the store."""
         self._may_start = may_start
-        self._beat: HeardBeat | None = None
+        self._heartbeat: ReceivedHeartbeat | None = None
         self._token = 0
         self._claimed_token = 0
         """The newest claim seen at the store; whoever made it may never have learned of it."""
-        self._looked_at = float("-inf")
-        self._seen_at = float("-inf")
+        self._polled_at = float("-inf")
+        self._viewed_at = float("-inf")
         """When the store last showed anything."""
-        self._tip: int | None = None
-        self._tip_moved_at = 0.0
+        self._log_end: int | None = None
+        self._log_end_moved_at = 0.0
         self._not_before = 0.0
 
     @property
     def leader(self) -> str:
         """Host that beats with the highest token; empty if none has been heard."""
-        return self._beat.leader if self._beat else ""
+        return self._heartbeat.leader if self._heartbeat else ""
 
     @property
     def token(self) -> int:
@@ -82,41 +82,41 @@
         return max(self._token, self._claimed_token)
 
     @property
-    def tip(self) -> int | None:
+    def log_end(self) -> int | None:
         """The state's end as the last look showed it; a claim comes right there."""
-        return self._tip
+        return self._log_end
 
-    def is_heard(self, now: float) -> bool:
+    def has_recent_heartbeat(self, now: float) -> bool:
         """Whether the leader's beats go on."""
-        if self._beat is None:
+        if self._heartbeat is None:
             return False
-        return now - self._beat.heard_at <= self._timings.beat_silence_s
+        return now - self._heartbeat.received_at <= self._timings.beat_silence_s
 
     def is_confirmed(self, now: float, longest_s: float) -> bool:
         """Whether the leader is heard and the store has confirmed it within `longest_s`."""
-        if self._beat is None or not self.is_heard(now):
+        if self._heartbeat is None or not self.has_recent_heartbeat(now):
             return False
-        return self._beat.confirm_age_at(now) <= longest_s
+        return self._heartbeat.confirm_age_at(now) <= longest_s
 
-    def on_beat(self, beat: HeardBeat) -> bool:
+    def on_heartbeat(self, heartbeat: ReceivedHeartbeat) -> bool:
         """Take a heartbeat; False if a newer leader is known."""
-        if beat.token < self._token:
+        if heartbeat.token < self._token:
             return False
-        self._token = beat.token
-        self._beat = beat
-        if beat.confirm_age_s < self._timings.confirm_doubt_s:
-            self._tip = None
+        self._token = heartbeat.token
+        self._heartbeat = heartbeat
+        if heartbeat.confirm_age_s < self._timings.confirm_doubt_s:
+            self._log_end = None
         return True
 
     def withdraw(self, until: float) -> None:
         """Make no claim before `until`."""
         self._not_before = until
 
-    def on_look(
+    def on_store_view(
         self,
         *,
         token: int,
-        tip: int,
+        log_end: int,
         now: float,
         is_orphaned: bool = False,
         claimed_weight: float = 0.0,
@@ -131,60 +131,60 @@
         What stood between looks that failed is not known: a leader takes a moment to be confirmed
         again after an outage, and claims at its end cost it 0.7 s and all its tickets.
         """
-        if now - self._seen_at > LOOKS_IN_A_ROW * self._timings.tip_every_s:
-            self._tip = None
-        self._seen_at = now
+        if now - self._viewed_at > MAX_POLL_GAP_INTERVALS * self._timings.tip_every_s:
+            self._log_end = None
+        self._viewed_at = now
         self._claimed_weight = claimed_weight
         if token > self.newest_token:
             # A newer leader may not have reached this host yet. Until it is heard, the one before
             # counts: a claim whose answer was lost has no leader, and fences nobody.
             self._claimed_token = token
-            self._tip_moved_at = now
-            self._tip = tip
-        elif self._tip is None or tip != self._tip:
-            self._tip = tip
-            self._tip_moved_at = now
+            self._log_end_moved_at = now
+            self._log_end = log_end
+        elif self._log_end is None or log_end != self._log_end:
+            self._log_end = log_end
+            self._log_end_moved_at = now
         if is_orphaned:
-            self._tip_moved_at = min(self._tip_moved_at, now - self._still_for_s)
+            self._log_end_moved_at = min(self._log_end_moved_at, now - self._required_stall_s)
         if token == 0 and self._may_start:
-            still_s = self._still_for_s - self._jitter_s
-            self._tip_moved_at = min(self._tip_moved_at, now - still_s)
+            stalled_s = self._required_stall_s - self._jitter_s
+            self._log_end_moved_at = min(self._log_end_moved_at, now - stalled_s)
 
-    def next_move(self, now: float) -> Move:
+    def next_action(self, now: float) -> ElectionAction:
         """Return what to do now."""
-        if not self._is_doubtful(now):
-            return Move.WAIT
-        if self._tip is not None and self._is_silent(now):
-            still_s = now - self._tip_moved_at
-            is_still = still_s >= self._still_for_s
-            is_fresh = now - self._looked_at <= LOOKS_IN_A_ROW * self._timings.tip_every_s
-            if is_still and is_fresh and now >= self._not_before:
-                return Move.CLAIM
-        if now - self._looked_at >= self._timings.tip_every_s:
-            self._looked_at = now
-            return Move.LOOK
-        return Move.WAIT
+        if not self._is_leader_suspected(now):
+            return ElectionAction.WAIT
+        if self._log_end is not None and self._is_leader_unresponsive(now):
+            stalled_s = now - self._log_end_moved_at
+            is_stalled = stalled_s >= self._required_stall_s
+            is_fresh = now - self._polled_at <= MAX_POLL_GAP_INTERVALS * self._timings.tip_every_s
+            if is_stalled and is_fresh and now >= self._not_before:
+                return ElectionAction.CLAIM
+        if now - self._polled_at >= self._timings.tip_every_s:
+            self._polled_at = now
+            return ElectionAction.POLL_STORE
+        return ElectionAction.WAIT
 
     @property
-    def _still_for_s(self) -> float:
+    def _required_stall_s(self) -> float:
         """How long the state's end must stand still before this host claims."""
         timings = self._timings
         # A host that has heard nobody yet can't tell silence: it would come before all others.
-        silence_s = timings.tip_silence_s if self._beat is not None else timings.beat_silence_s
-        heaviest = self._beat.heaviest if self._beat is not None else self._claimed_weight
+        silence_s = timings.tip_silence_s if self._heartbeat is not None else timings.beat_silence_s
+        heaviest = self._heartbeat.heaviest if self._heartbeat is not None else self._claimed_weight
         light_s = timings.light_delay_s if is_light(self._weight, heaviest) else 0.0
         return silence_s + self._jitter_s + light_s
 
-    def _is_doubtful(self, now: float) -> bool:
+    def _is_leader_suspected(self, now: float) -> bool:
         timings = self._timings
-        if self._beat is None:
+        if self._heartbeat is None:
             return True
-        if now - self._beat.heard_at > timings.beat_doubt_s:
+        if now - self._heartbeat.received_at > timings.beat_doubt_s:
             return True
-        return self._beat.confirm_age_at(now) > timings.confirm_doubt_s
+        return self._heartbeat.confirm_age_at(now) > timings.confirm_doubt_s
 
-    def _is_silent(self, now: float) -> bool:
+    def _is_leader_unresponsive(self, now: float) -> bool:
         timings = self._timings
-        if self._beat is None or now - self._beat.heard_at > timings.beat_silence_s:
+        if self._heartbeat is None or now - self._heartbeat.received_at > timings.beat_silence_s:
             return True
-        return self._beat.confirm_age_at(now) > timings.stale_confirm_s
+        return self._heartbeat.confirm_age_at(now) > timings.stale_confirm_s
--- a/src/galenastall/coordination/cell/explain_logs.py
+++ b/src/galenastall/coordination/cell/explain_logs.py
@@ -10,7 +10,7 @@
 from galenastall.state.cell.executor_ids import executor_name
 
 _OWN_FIELDS: Final = frozenset({"at", "process", "event", "subjects", "cause", "peer", "level"})
-_AROUND: Final = frozenset(
+_CONTEXT_EVENTS: Final = frozenset(
     {
         "leader.claimed",
         "leader.lost",
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LogStory:
+class JobSummary:
     """What became of a job."""
 
     verdict: str
@@ -93,19 +93,21 @@
     )
 
 
-def tell(lines: Sequence[LogLine], job_id: str) -> LogStory:
+def explain_job(lines: Sequence[LogLine], job_id: str) -> JobSummary:
     """Return the story of a job; its verdict says so if no line is about it."""
     own = [line for line in lines if any(_is_about(each, job_id) for each in line.subjects)]
     if not own:
         verdict = f"no line is about {job_id}: it reached no host, or its lines are not here"
-        return LogStory(verdict=verdict, delays=(), lines=())
+        return JobSummary(verdict=verdict, delays=(), lines=())
     first, last = own[0].at_s, own[-1].at_s
-    around = [
-        line for line in lines if line.event in _AROUND and first - 2.0 <= line.at_s <= last + 2.0
+    context = [
+        line
+        for line in lines
+        if line.event in _CONTEXT_EVENTS and first - 2.0 <= line.at_s <= last + 2.0
     ]
-    together = sorted([*own, *around], key=lambda line: (line.at_s, line.counter))
-    return LogStory(
-        verdict=_verdict(own), delays=tuple(_delays(own, around)), lines=tuple(together)
+    merged = sorted([*own, *context], key=lambda line: (line.at_s, line.counter))
+    return JobSummary(
+        verdict=_verdict(own), delays=tuple(_delays(own, context)), lines=tuple(merged)
     )
 
 
@@ -144,7 +146,7 @@
     return verdict
 
 
-def _delays(own: Sequence[LogLine], around: Sequence[LogLine]) -> list[str]:
+def _delays(own: Sequence[LogLine], context: Sequence[LogLine]) -> list[str]:
     """Return the long gaps of a job with what happened in them, and its restarts."""
     gaps = [(after.at_s - before.at_s, before, after) for before, after in pairwise(own)]
     gaps.sort(key=lambda gap: -gap[0])
@@ -154,11 +156,11 @@
             break
         meanwhile = [
             f"{line.event} on {line.process}"
-            for line in around
+            for line in context
             if before.at_s <= line.at_s <= after.at_s
         ]
-        told = f"{gap_s:.3f} s between {before.event} and {after.event}"
-        delays.append(f"{told}; meanwhile {', '.join(meanwhile)}" if meanwhile else told)
+        text = f"{gap_s:.3f} s between {before.event} and {after.event}"
+        delays.append(f"{text}; meanwhile {', '.join(meanwhile)}" if meanwhile else text)
     restarts = [
         f"{_run(line)} ended as {line.cause}"
         for line in own
--- a/src/galenastall/coordination/cell/explain_reasons.py
+++ b/src/galenastall/coordination/cell/explain_reasons.py
@@ -19,7 +19,7 @@
     return dict(sums)
 
 
-def tell_reasons(sums: dict[str, Counter[str]]) -> list[str]:
+def format_reasons(sums: dict[str, Counter[str]]) -> list[str]:
     """Return a line of text for each queue, the most frequent reason first."""
     return [
         f"{queue}: steps that waited, summed over the seconds: "
--- a/src/galenastall/coordination/cell/explain_restarts.py
+++ b/src/galenastall/coordination/cell/explain_restarts.py
@@ -30,23 +30,23 @@
     """What the job's own lines name as reasons, with their counts, the most frequent first."""
 
 
-def restarts_of(own: Sequence[LogLine], *, log_ends: float) -> Restarts:
+def restarts_of(own: Sequence[LogLine], *, log_end_s: float) -> Restarts:
     """Return the restarts of the job that `own` lines, in their order, are about."""
     waits, open_waits = _waits(own)
-    ended = next((line.at_s for line in own if line.event == "job.ended"), log_ends)
-    told = {_step(line) for line in own if line.event == "job.waiting"}
+    ended = next((line.at_s for line in own if line.event == "job.ended"), log_end_s)
+    reported = {_step(line) for line in own if line.event == "job.waiting"}
     done = {_run(line) for line in own if line.event == "run.ended" and line.cause == _DONE}
-    left = [
+    unfinished = [
         (line.at_s, max(ended, line.at_s))
         for line in open_waits
-        if _step(line) in told or _run(line) not in done
+        if _step(line) in reported or _run(line) not in done
     ]
     reasons = Counter(line.fields.get("reason", "") for line in own if line.event == "job.waiting")
     runs = [line.fields.get("run", "") for line in own if line.event == "run.assigned"]
     return Restarts(
         runs=max((int(run) for run in runs if run.isdigit()), default=0),
-        waits=tuple(sorted([*waits, *left])),
-        is_waiting=bool(left),
+        waits=tuple(sorted([*waits, *unfinished])),
+        is_waiting=bool(unfinished),
         stops=tuple(_stops(own)),
         reasons=tuple(reasons.most_common()),
     )
@@ -93,7 +93,7 @@
     return _step(line), line.fields.get("run", "")
 
 
-def tell_restarts(restarts: Restarts) -> list[str]:
+def format_restarts(restarts: Restarts) -> list[str]:
     """Return what is worth telling of a job's restarts as lines of text."""
     lines: list[str] = []
     if restarts.waits:
--- a/src/galenastall/coordination/cell/explain_waiting.py
+++ b/src/galenastall/coordination/cell/explain_waiting.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from galenastall.coordination.cell.explain_logs import LogLine
-from galenastall.coordination.cell.explain_restarts import Restarts, restarts_of, tell_restarts
+from galenastall.coordination.cell.explain_restarts import Restarts, format_restarts, restarts_of
 
 Span = tuple[float, float]
 _OUTAGE_BEGINS: Final = frozenset({"store.lost", "leader.lost"})
@@ -24,7 +24,7 @@
     """No leader whom the store confirms."""
     advice_s: float
     """A call for advice was under way."""
-    room_s: float
+    capacity_s: float
     """The rest: no room, not for all of a gang, or room kept for what comes before it."""
 
     restarts: Restarts
@@ -33,10 +33,10 @@
     @property
     def total_s(self) -> float:
         """Return the whole wait for the first start."""
-        return self.store_s + self.advice_s + self.room_s
+        return self.store_s + self.advice_s + self.capacity_s
 
     @property
-    def again_s(self) -> float:
+    def restart_wait_s(self) -> float:
         """Return the time after the first start in which some task waited for its next run."""
         return _length(self.restarts.waits)
 
@@ -55,11 +55,11 @@
         for job_id, own in lines_by_job.items()
         if (wait := _wait_of(job_id, own, outages, lines[-1].at_s)) is not None
     ]
-    return sorted(waits, key=lambda wait: (-wait.total_s - wait.again_s, wait.job_id))
+    return sorted(waits, key=lambda wait: (-wait.total_s - wait.restart_wait_s, wait.job_id))
 
 
 def _wait_of(
-    job_id: str, own: Sequence[LogLine], outages: list[Span], log_ends: float
+    job_id: str, own: Sequence[LogLine], outages: list[Span], log_end_s: float
 ) -> JobWait | None:
     accepted = next((line for line in own if line.event == "job.accepted"), None)
     if accepted is None:
@@ -67,9 +67,9 @@
     first = next((line for line in own if line.event == "run.assigned"), None)
     ended = next((line for line in own if line.event == "job.ended"), None)
     until = first or ended
-    whole = (accepted.at_s, max(until.at_s if until else log_ends, accepted.at_s))
-    store = _clip(outages, whole)
-    advice = _clip(_advice_spans(own), whole)
+    window = (accepted.at_s, max(until.at_s if until else log_end_s, accepted.at_s))
+    store = _clip(outages, window)
+    advice = _clip(_advice_spans(own), window)
     store_s = _length(store)
     advice_s = _length([*store, *advice]) - store_s
     return JobWait(
@@ -78,8 +78,8 @@
         has_started=first is not None,
         store_s=store_s,
         advice_s=advice_s,
-        room_s=max(whole[1] - whole[0] - store_s - advice_s, 0.0),
-        restarts=restarts_of(own, log_ends=log_ends),
+        capacity_s=max(window[1] - window[0] - store_s - advice_s, 0.0),
+        restarts=restarts_of(own, log_end_s=log_end_s),
     )
 
 
@@ -108,8 +108,8 @@
     return int(text) / 1000.0 if text.isdigit() else 0.0
 
 
-def _clip(spans: Iterable[Span], whole: Span) -> list[Span]:
-    clipped = [(max(begin, whole[0]), min(end, whole[1])) for begin, end in spans]
+def _clip(spans: Iterable[Span], window: Span) -> list[Span]:
+    clipped = [(max(begin, window[0]), min(end, window[1])) for begin, end in spans]
     return [(begin, end) for begin, end in clipped if end > begin]
 
 
@@ -123,14 +123,14 @@
     return covered
 
 
-def tell_waits(waits: Sequence[JobWait], *, longest: int) -> list[str]:
+def format_waits(waits: Sequence[JobWait], *, longest: int) -> list[str]:
     """Return the sums by queue and the longest waits as lines of text."""
     waits_by_queue: defaultdict[str, list[JobWait]] = defaultdict(list)
     for wait in waits:
         waits_by_queue[wait.queue].append(wait)
     lines = [_queue_line(queue, own) for queue, own in sorted(waits_by_queue.items())]
     for wait in waits[:longest]:
-        lines += [_job_line(wait), *tell_restarts(wait.restarts)]
+        lines += [_job_line(wait), *format_restarts(wait.restarts)]
     return lines
 
 
@@ -139,12 +139,12 @@
     started = sum(1 for wait in waits if wait.has_started)
     store_s = sum(wait.store_s for wait in waits) / count
     advice_s = sum(wait.advice_s for wait in waits) / count
-    room_s = sum(wait.room_s for wait in waits) / count
-    again_s = sum(wait.again_s for wait in waits) / count
+    capacity_s = sum(wait.capacity_s for wait in waits) / count
+    restart_wait_s = sum(wait.restart_wait_s for wait in waits) / count
     return (
         f"{queue}: {count} jobs accepted, {started} started; waited on average for the store"
-        f" {store_s:.3f} s, for advice {advice_s:.3f} s, for room {room_s:.3f} s, and between runs"
-        f" {again_s:.3f} s"
+        f" {store_s:.3f} s, for advice {advice_s:.3f} s, for room {capacity_s:.3f} s, and between"
+        f" runs {restart_wait_s:.3f} s"
     )
 
 
@@ -152,6 +152,6 @@
     until = "first start" if wait.has_started else "never started"
     return (
         f"  {wait.job_id} of {wait.queue}: {wait.total_s:.3f} s, {until}; store"
-        f" {wait.store_s:.3f} s, advice {wait.advice_s:.3f} s, room {wait.room_s:.3f} s;"
-        f" between runs {wait.again_s:.3f} s"
+        f" {wait.store_s:.3f} s, advice {wait.advice_s:.3f} s, room {wait.capacity_s:.3f} s;"
+        f" between runs {wait.restart_wait_s:.3f} s"
     )
--- a/src/galenastall/coordination/cell/host_care.py
+++ b/src/galenastall/coordination/cell/host_operations.py
@@ -18,7 +18,7 @@
 from galenastall.state.cell.rows import Rows
 
 
-class HostCare:
+class HostOperations:
     """What the leader does to hosts; all of it is written ahead."""
 
     def __init__(self, *, state: CellState, ends: RunEnds) -> None:
@@ -28,7 +28,7 @@
         self._ready: list[HostOrder] = []
 
     @property
-    def wants_list(self) -> bool:
+    def needs_host_list(self) -> bool:
         """Whether the platform's list of hosts is needed."""
         return self._maintenance.is_active or self._pools.is_active
 
@@ -41,7 +41,7 @@
         """Take over what the store keeps; open orders are repeated first."""
         self._maintenance.restore(rows.waves)
         self._pools.restore(rows.moves)
-        self._ready.extend(self._pools.open_orders())
+        self._ready.extend(self._pools.unresolved_orders())
 
     def set_standby(self, services: frozenset[str]) -> None:
         """Take the names of the pools whose hosts are off."""
@@ -67,13 +67,13 @@
             return self._pools.on_order(order, outcome)
         return self._maintenance.on_order(order, outcome, wall=wall)
 
-    def to_tell(self) -> dict[int, bool]:
+    def unreported_waves(self) -> dict[int, bool]:
         """Return whether each wave is completed whose state the operator was not told yet."""
-        return self._maintenance.to_tell()
+        return self._maintenance.unreported_waves()
 
-    def on_told(self, number: int, *, is_completed: bool) -> None:
+    def on_wave_reported(self, number: int, *, is_completed: bool) -> None:
         """Note that the operator was told of a wave's state."""
-        self._maintenance.on_told(number, is_completed=is_completed)
+        self._maintenance.on_wave_reported(number, is_completed=is_completed)
 
     def take_values(self) -> dict[str, bytes]:
         """Return the rows to write; an empty value drops its key."""
--- a/src/galenastall/coordination/cell/maintenance.py
+++ b/src/galenastall/coordination/cell/maintenance.py
@@ -18,13 +18,13 @@
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.state.cell.hosts import HostState, MaintenanceWave, PoolHost, WaveRow
 
-TIME_FOR_WAVE: Final = 0.8
+WAVE_START_SHARE: Final = 0.8
 """Share of a wave's time after which all its hosts should have begun; the rest is a margin."""
-SEEN_UP_S: Final = 1.0
+STALE_LIST_MARGIN_S: Final = 1.0
 """How long a host counts as down beyond its maintenance: lists may be read before it began."""
 GONE_AFTER_S: Final = 5.0
 """A host counts as gone once lists have lacked it for so long; pages of a list are no snapshot."""
-LEAST_PATIENCE_S: Final = 1.0
+MIN_PATIENCE_S: Final = 1.0
 """How long a host's runs may go on at least before those that need not are stopped."""
 
 
@@ -39,10 +39,10 @@
     begun: set[str] = field(default_factory=set)
     begun_at: dict[str, float] = field(default_factory=dict)
     """Wall time at which this leader learned that a host's maintenance began."""
-    emptying_since: dict[str, float] = field(default_factory=dict)
+    draining_since: dict[str, float] = field(default_factory=dict)
     """Wall time since which a host gets nothing new."""
     is_completed: bool = False
-    is_told: bool = False
+    is_reported: bool = False
     """Whether the operator was told of this state."""
 
     def row(self) -> WaveRow:
@@ -61,8 +61,8 @@
         `down_s` is how long each is down for.
         """
         rounds = ceil(len(self.wave.hosts) / max(self.wave.most_down, 1))
-        spare_s = self.wave.duration_s * TIME_FOR_WAVE - rounds * down_s
-        return max(spare_s / rounds, LEAST_PATIENCE_S)
+        spare_s = self.wave.duration_s * WAVE_START_SHARE - rounds * down_s
+        return max(spare_s / rounds, MIN_PATIENCE_S)
 
 
 class Maintenance:
@@ -94,7 +94,7 @@
 
     def set_waves(self, waves: Iterable[MaintenanceWave], *, wall: float) -> list[HostOrder]:
         """Take the operator's waves; return the orders that an earlier leader left open."""
-        left_open: list[HostOrder] = []
+        unresolved: list[HostOrder] = []
         for wave in waves:
             known = self._progress_by_number.get(wave.number)
             if known is not None:
@@ -102,8 +102,8 @@
                 continue
             progress = self._progress_by_number[wave.number] = self._begin(wave, wall)
             self.ahead.mark(wave.number)
-            left_open += [HostOrder(host=h, wave=wave.number) for h in sorted(progress.ordered)]
-        return left_open
+            unresolved += [HostOrder(host=h, wave=wave.number) for h in sorted(progress.ordered)]
+        return unresolved
 
     def _begin(self, wave: MaintenanceWave, wall: float) -> WaveProgress:
         row = self._rows_by_number.get(wave.number)
@@ -144,30 +144,30 @@
                 self._advance(progress, wall)
 
     def _advance(self, progress: WaveProgress, wall: float) -> None:
-        left = [host for host in progress.wave.hosts if self._is_left(progress, host)]
+        left = [host for host in progress.wave.hosts if self._is_remaining(progress, host)]
         if not left and not progress.ordered:
             progress.is_completed = True
-            progress.is_told = False
+            progress.is_reported = False
             self.ahead.mark(progress.wave.number)
             self._state.note("wave.completed", str(progress.wave.number))
             return
         down = self._count_down(progress, wall)
-        room = progress.wave.most_down - down - len(progress.emptying_since)
+        room = progress.wave.most_down - down - len(progress.draining_since)
         for host in self._next_hosts(progress, left)[: max(room, 0)]:
-            progress.emptying_since[host] = wall
+            progress.draining_since[host] = wall
             self._state.note("host.emptied", host, cause=f"wave {progress.wave.number}")
         patience_s = progress.patience_s(self._down_s)
-        for host, since in list(progress.emptying_since.items()):
+        for host, since in list(progress.draining_since.items()):
             if host not in self._hosts_by_id:
-                del progress.emptying_since[host]
+                del progress.draining_since[host]
             else:
-                self._empty(progress, host, is_pressing=wall - since >= patience_s)
+                self._drain(progress, host, is_overdue=wall - since >= patience_s)
 
     @property
     def _down_s(self) -> float:
-        return self._state.timings.maintenance_s + SEEN_UP_S
+        return self._state.timings.maintenance_s + STALE_LIST_MARGIN_S
 
-    def _is_left(self, progress: WaveProgress, host: str) -> bool:
+    def _is_remaining(self, progress: WaveProgress, host: str) -> bool:
         is_open = host not in progress.begun and host not in progress.ordered
         return is_open and not self._is_gone(host)
 
@@ -184,7 +184,7 @@
 
     def _next_hosts(self, progress: WaveProgress, left: list[str]) -> list[str]:
         """Return hosts that are up, those with the fewest runs first."""
-        up = [host for host in left if host not in progress.emptying_since and self._is_up(host)]
+        up = [host for host in left if host not in progress.draining_since and self._is_up(host)]
         return sorted(up, key=lambda host: (self._run_count(host), host))
 
     def _is_up(self, host: str) -> bool:
@@ -195,7 +195,7 @@
         executor = self._state.executor_on(host)
         return len(executor.runs_by_task) if executor is not None else 0
 
-    def _empty(self, progress: WaveProgress, host: str, *, is_pressing: bool) -> None:
+    def _drain(self, progress: WaveProgress, host: str, *, is_overdue: bool) -> None:
         """Take work off a host, and order its maintenance once nothing is left there."""
         executor = self._state.executor_on(host)
         if executor is None:
@@ -211,9 +211,9 @@
                 continue
             _, step, task = found
             if step.step.is_long_running:
-                if self._availability.may_take_away(step, task):
+                if self._availability.may_stop(step, task):
                     self._stop(task)
-            elif is_pressing:
+            elif is_overdue:
                 self._stop(task)
 
     def _stop(self, task: TaskRun) -> None:
@@ -221,7 +221,7 @@
         self._ends.stop(task, rule=StopRule.MAINTENANCE, cause=cause)
 
     def _order(self, progress: WaveProgress, host: str) -> None:
-        progress.emptying_since.pop(host, None)
+        progress.draining_since.pop(host, None)
         progress.ordered.add(host)
         number = progress.wave.number
         self.ahead.mark(number, HostOrder(host=host, wave=number))
@@ -248,16 +248,16 @@
         """Return the progress to store."""
         return {number: self._progress_by_number[number].row() for number in self.ahead.take_keys()}
 
-    def to_tell(self) -> dict[int, bool]:
+    def unreported_waves(self) -> dict[int, bool]:
         """Return whether each wave is completed whose state the operator was not told yet."""
         return {
             number: progress.is_completed
             for number, progress in self._progress_by_number.items()
-            if not progress.is_told
+            if not progress.is_reported
         }
 
-    def on_told(self, number: int, *, is_completed: bool) -> None:
+    def on_wave_reported(self, number: int, *, is_completed: bool) -> None:
         """Note that the operator was told of a wave's state."""
         progress = self._progress_by_number.get(number)
         if progress is not None and progress.is_completed == is_completed:
-            progress.is_told = True
+            progress.is_reported = True
--- a/src/galenastall/coordination/cell/pools.py
+++ b/src/galenastall/coordination/cell/pools.py
@@ -29,7 +29,7 @@
         self._standby: frozenset[str] = frozenset()
         self._moves_by_host: dict[str, MoveRow] = {}
         self._waits_since: dict[StepKey, float] = {}
-        self._low_since: dict[str, float] = {}
+        self._low_load_since: dict[str, float] = {}
         """Since when a service's load has been low."""
         self._moved_at: dict[str, float] = {}
         """When a service last got a host."""
@@ -57,13 +57,13 @@
         """Order the moves that are worth it now."""
         if not self._standby or not self._hosts_by_id:
             return
-        self._note_waits(now)
+        self._track_waits(now)
         short = self._short_services(now)
         for service, step in short.items():
             self._grow(service, step, now)
         self._shrink(now, short)
 
-    def _note_waits(self, now: float) -> None:
+    def _track_waits(self, now: float) -> None:
         for key in self._waits_since.keys() - self._state.waiting_steps:
             del self._waits_since[key]
         for key in self._state.waiting_steps:
@@ -105,7 +105,7 @@
                 continue
             executor.cordons.add(Cordon.POOL)
             if not executor.runs_by_task:
-                self._low_since.pop(row.pool, None)
+                self._low_load_since.pop(row.pool, None)
                 back = MoveRow(host=host, home=row.home, pool=row.home)
                 self._move(back, "its service has room without it")
             return
@@ -115,11 +115,11 @@
         total = sum(e.info.capacity.cores_milli for e in executors)
         free = sum(e.free.cores_milli for e in executors)
         if is_short or not total or 1.0 - free / total >= LOW_LOAD:
-            self._low_since.pop(service, None)
+            self._low_load_since.pop(service, None)
             for executor in executors:
                 executor.cordons.discard(Cordon.POOL)
             return False
-        return now - self._low_since.setdefault(service, now) >= SHRINK_AFTER_S
+        return now - self._low_load_since.setdefault(service, now) >= SHRINK_AFTER_S
 
     def _move(self, row: MoveRow, cause: str) -> None:
         self._moves_by_host[row.host] = row
@@ -142,7 +142,7 @@
             del self._moves_by_host[order.host]
         return False
 
-    def open_orders(self) -> list[HostOrder]:
+    def unresolved_orders(self) -> list[HostOrder]:
         """Return the orders whose fate an earlier leader left open."""
         return [
             HostOrder(host=row.host, pool=row.pool)
--- a/src/galenastall/coordination/cell/scheduler.py
+++ b/src/galenastall/coordination/cell/scheduler.py
@@ -18,7 +18,7 @@
 from galenastall.coordination.cell.doubts import Doubts
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.fleet import Fleet
-from galenastall.coordination.cell.host_care import HostCare
+from galenastall.coordination.cell.host_operations import HostOperations
 from galenastall.coordination.cell.incarnations import Incarnations
 from galenastall.coordination.cell.job_rates import JobRates
 from galenastall.coordination.cell.job_runs import JobRun
@@ -70,7 +70,7 @@
         """Advice that earlier leaders asked for."""
         self._placer = Placer(state=self._state, advice=self._advice)
         self._waiting = WaitingReport(
-            state=self._state, advice=self._advice, sight=self._placer.sight, plan=self.plan
+            state=self._state, advice=self._advice, observations=self._placer.sight, plan=self.plan
         )
         crashes = CrashJudge(state=self._state)
         self._incarnations = Incarnations(state=self._state, ends=self._ends, crashes=crashes)
@@ -79,7 +79,7 @@
         )
         self._moves = RunMoves(state=self._state, ends=self._ends, doubts=self._doubts)
         self._pacing = Pacing(state=self._state)
-        self.hosts = HostCare(state=self._state, ends=self._ends)
+        self.hosts = HostOperations(state=self._state, ends=self._ends)
         self._batches = Batches(
             state=self._state, ends=self._ends, advice=self._advice, hosts=self.hosts
         )
@@ -403,7 +403,7 @@
     def _report(self) -> None:
         """Tell how full the cell is, and why the decision just taken left steps waiting."""
         closed = closed_by_id(self._state)
-        self._waiting.tell(closed)
+        self._waiting.report(closed)
         not_looked_at = self._waiting.steps_by_reason[WaitReason.NOT_LOOKED_AT]
         report_load(
             self._state,
--- a/src/galenastall/coordination/cell/waiting_report.py
+++ b/src/galenastall/coordination/cell/waiting_report.py
@@ -18,12 +18,12 @@
 LONG_WAIT_S: Final = 5.0
 """A job that has waited for longer without a start gets a line of its own: twice what tickets last,
 so that a wait for one round of advice is passed over."""
-TELL_AGAIN_S: Final = 10.0
+JOB_REPORT_INTERVAL_S: Final = 10.0
 """Least time between two lines of one job."""
-LINES_AT_ONCE: Final = 10
+MAX_JOB_LINES: Final = 10
 """Lines of single jobs in one report, so a second: a 15th of what the log takes of one kind. With
 TELL_AGAIN_S a hundred jobs that wait are told in turn."""
-MOST_COUNTS: Final = 60
+MAX_COUNTS: Final = 60
 """Counts by queue and reason that one line holds; smaller ones are added up as `others`."""
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Since:
+class _WaitStart:
     """A step as an earlier report found it."""
 
     at: float
@@ -51,28 +51,28 @@
     """Tells the reasons of the last decision; once a second."""
 
     def __init__(
-        self, *, state: CellState, advice: AdviceBook, sight: WaitSight, plan: RoomPlan
+        self, *, state: CellState, advice: AdviceBook, observations: WaitSight, plan: RoomPlan
     ) -> None:
         """Read these tables."""
         self._plan = plan
         self._state = state
         self._advice = advice
-        self._sight = sight
-        self._since_by_step: dict[StepKey, _Since] = {}
-        self._told_at_by_job: dict[str, float] = {}
+        self._observations = observations
+        self._since_by_step: dict[StepKey, _WaitStart] = {}
+        self._reported_at_by_job: dict[str, float] = {}
         self.steps_by_reason: Counter[WaitReason] = Counter()
         """Waiting steps at the last report."""
 
-    def tell(self, closed_by_id: Mapping[str, Closed]) -> None:
+    def report(self, closed_by_id: Mapping[str, Closed]) -> None:
         """Note the lines for the log; `closed_by_id` names the executors that are not open."""
-        waits = [self._sharpened(wait, closed_by_id) for wait in self._waits()]
+        waits = [self._refined(wait, closed_by_id) for wait in self._waits()]
         self.steps_by_reason = Counter(wait.reason for wait in waits)
-        self._tell_counts(waits)
-        self._tell_jobs(waits, closed_by_id)
+        self._report_counts(waits)
+        self._report_jobs(waits, closed_by_id)
 
     def _waits(self) -> list[_Wait]:
         waits: list[_Wait] = []
-        since_by_step: dict[StepKey, _Since] = {}
+        since_by_step: dict[StepKey, _WaitStart] = {}
         for key in self._state.waiting_steps:
             job = self._state.jobs_by_id.get(key.job)
             step = job.find_step(key) if job is not None else None
@@ -80,19 +80,19 @@
                 continue
             since = self._since(key, step)
             since_by_step[key] = since
-            reason = self._sight.reason_of(key)
+            reason = self._observations.reason_of(key)
             waits.append(_Wait(job=job, step=step, since=since.at, reason=reason))
         self._since_by_step = since_by_step
         return waits
 
-    def _since(self, key: StepKey, step: StepRun) -> _Since:
+    def _since(self, key: StepKey, step: StepRun) -> _WaitStart:
         runs = sum(task.run for task in step.tasks)
         known = self._since_by_step.get(key)
         if known is not None and known.runs == runs:
             return known
-        return _Since(at=self._state.now, runs=runs)
+        return _WaitStart(at=self._state.now, runs=runs)
 
-    def _sharpened(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> _Wait:
+    def _refined(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> _Wait:
         """Return a gang's wait with what a decision has no time to find out.
 
         Only gangs for which a decision looks for a start come here, and the limits of `turns` bound
@@ -100,32 +100,36 @@
         """
         if wait.reason not in {WaitReason.ROOM_LATER, WaitReason.NO_ROOM_AHEAD}:
             return wait
-        return replace(wait, reason=sharper(wait.reason, wait.step, self._room(wait, closed_by_id)))
+        return replace(
+            wait, reason=refine_reason(wait.reason, wait.step, self._room(wait, closed_by_id))
+        )
 
-    def _tell_counts(self, waits: list[_Wait]) -> None:
+    def _report_counts(self, waits: list[_Wait]) -> None:
         counts = Counter(f"{wait.job.queue.name}:{wait.reason}" for wait in waits)
         if not counts:
             return
-        fields = {name: str(count) for name, count in counts.most_common(MOST_COUNTS)}
+        fields = {name: str(count) for name, count in counts.most_common(MAX_COUNTS)}
         others = counts.total() - sum(map(int, fields.values()))
         if others:
             fields["others"] = str(others)
         self._state.note("cell.waiting", fields=fields)
 
-    def _tell_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, Closed]) -> None:
+    def _report_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, Closed]) -> None:
         now = self._state.now
-        oldest = now - TELL_AGAIN_S
-        self._told_at_by_job = {i: at for i, at in self._told_at_by_job.items() if at > oldest}
+        oldest = now - JOB_REPORT_INTERVAL_S
+        self._reported_at_by_job = {
+            i: at for i, at in self._reported_at_by_job.items() if at > oldest
+        }
         longest_by_job: dict[str, _Wait] = {}
         for wait in sorted(waits, key=lambda each: (each.since, each.step.key)):
             job_id = wait.job.job.job_id
-            if now - wait.since >= LONG_WAIT_S and job_id not in self._told_at_by_job:
+            if now - wait.since >= LONG_WAIT_S and job_id not in self._reported_at_by_job:
                 longest_by_job.setdefault(job_id, wait)
-        for job_id, wait in list(longest_by_job.items())[:LINES_AT_ONCE]:
-            self._told_at_by_job[job_id] = now
-            self._tell_job(wait, self._room(wait, closed_by_id))
+        for job_id, wait in list(longest_by_job.items())[:MAX_JOB_LINES]:
+            self._reported_at_by_job[job_id] = now
+            self._report_job(wait, self._room(wait, closed_by_id))
 
-    def _tell_job(self, wait: _Wait, room: ApprovedRoom) -> None:
+    def _report_job(self, wait: _Wait, room: ApprovedRoom) -> None:
         key = wait.step.key
         stops = wait.job.stops.by_rule
         workspace = self._state.workspaces.find(wait.job.job.workspace)
@@ -171,7 +175,7 @@
         )
 
 
-def sharper(reason: WaitReason, step: StepRun, room: ApprovedRoom) -> WaitReason:
+def refine_reason(reason: WaitReason, step: StepRun, room: ApprovedRoom) -> WaitReason:
     """Return why a gang has no room now, from all the room of its executors."""
     wanted = step.step.count
     if room.places < wanted:
--- a/src/galenastall/coordination/cell/workspace_use.py
+++ b/src/galenastall/coordination/cell/workspace_use.py
@@ -89,7 +89,7 @@
             return most
         if not self.is_told or name in self._waiting_gangs:
             return 0
-        count = self.find(name).room_for(step.need, used=self.used(name), most=most)
+        count = self.find(name).max_additional(step.need, used=self.used(name), most=most)
         return 0 if step.is_gang and count < most else count
 
     def may_ever_start(self, name: str, step: Step) -> bool:
--- a/src/galenastall/demo/platform_path.py
+++ b/src/galenastall/demo/platform_path.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from galenastall.coordination.cell.explain_logs import LogLine, tell
+from galenastall.coordination.cell.explain_logs import LogLine, explain_job
 from galenastall.platform.process import EntryProcess
 from galenastall.platform.settings import load_settings
 from galenastall.platform.standin.callers import StandinCaller
@@ -171,5 +171,5 @@
         for event in ring
     ]
     lines.sort(key=lambda line: (line.at_s, line.counter))
-    story = tell(lines, job_id)
+    story = explain_job(lines, job_id)
     return [story.verdict, *(line.text(story.lines[0].at_s) for line in story.lines)]
--- a/src/galenastall/node/cell/advice_proxy.py
+++ b/src/galenastall/node/cell/advice_proxy.py
@@ -10,9 +10,9 @@
 from galenastall.protocol.cell.messages import (
     AdviceAnswer,
     AwaitAdvice,
-    CallUnderWay,
+    CachedAdvice,
     GetAdvice,
-    KeptAnswer,
+    PendingAdviceCall,
     RecoverAdvice,
     RecoveredAdvice,
 )
@@ -91,7 +91,7 @@
         wanted = set(message.steps)
         now = trio.current_time()
         answers = tuple(
-            KeptAnswer(
+            CachedAdvice(
                 step=kept.message.step,
                 executor_ids=kept.message.executor_ids,
                 approved=kept.answer.approved,
@@ -102,12 +102,12 @@
         )
         return RecoveredAdvice(answers=answers, under_way=self._under_way(now))
 
-    def _under_way(self, now: float) -> CallUnderWay | None:
+    def _under_way(self, now: float) -> PendingAdviceCall | None:
         call = self._call
         if call is None:
             return None
         message = call.message
-        return CallUnderWay(
+        return PendingAdviceCall(
             step=message.step, executor_ids=message.executor_ids, left_s=call.until - now
         )
 
--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -11,8 +11,8 @@
 from galenastall.protocol.cell.messages import (
     AdviceAnswer,
     AwaitAdvice,
-    CallUnderWay,
-    KeptAnswer,
+    CachedAdvice,
+    PendingAdviceCall,
     RecoverAdvice,
     RecoveredAdvice,
 )
@@ -93,7 +93,7 @@
         event, self._answered = self._answered, trio.Event()
         event.set()
 
-    def _adopt(self, answers: tuple[KeptAnswer, ...], *, asked_at: float) -> None:
+    def _adopt(self, answers: tuple[CachedAdvice, ...], *, asked_at: float) -> None:
         """Take a host's answers; it measured the tickets' time after it was asked."""
         for kept in answers:
             self._adopted += self._context.core.kept_advice.adopt(
@@ -105,7 +105,7 @@
         if answers:
             self._context.wake()
 
-    async def _await_call(self, host: HostId, call: CallUnderWay) -> None:
+    async def _await_call(self, host: HostId, call: PendingAdviceCall) -> None:
         core = self._context.core
         ask = core.kept_advice.begin(call.step, call.executor_ids, now=trio.current_time())
         with self._desk.holding(host):
--- a/src/galenastall/node/cell/caller_desk.py
+++ b/src/galenastall/node/cell/caller_desk.py
@@ -12,9 +12,9 @@
 from galenastall.node.cell.leader_desk import SHARE_OF_PATIENCE, LeaderDesk
 from galenastall.node.cell.standing import Standing
 from galenastall.protocol.cell.messages import (
-    AskJob,
     CancelJob,
     CountPending,
+    GetJob,
     JobAnswer,
     PendingAnswer,
     SubmitAnswer,
@@ -39,7 +39,7 @@
 RETRY_S: Final = 0.05
 RETRY_AFTER_S: Final = 1.0
 """When callers are told to come back: by then a takeover is mostly over."""
-_Call = TypeVar("_Call", SubmitJob, AskJob, CancelJob, CountPending)
+_Call = TypeVar("_Call", SubmitJob, GetJob, CancelJob, CountPending)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -100,7 +100,7 @@
         self._link = link
         self._standing = standing
         link.handle(SubmitJob, self._on_submit)
-        link.handle(AskJob, self._on_ask)
+        link.handle(GetJob, self._on_ask)
         link.handle(CancelJob, self._on_cancel)
         link.handle(CountPending, self._on_count)
 
@@ -160,7 +160,7 @@
         CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
         """
         return await self._ask(
-            AskJob,
+            GetJob,
             job_id,
             patience_s=patience_s,
             workspace=workspace,
@@ -200,14 +200,14 @@
 
     async def _ask(
         self,
-        kind: type[AskJob] | type[CancelJob],
+        kind: type[GetJob] | type[CancelJob],
         job_id: str,
         *,
         patience_s: float,
         workspace: str,
         config_version: int,
     ) -> Result[JobPhase | None, StepError]:
-        def build(left_s: float) -> AskJob | CancelJob:
+        def build(left_s: float) -> GetJob | CancelJob:
             return kind(
                 job_id=job_id,
                 patience_s=left_s,
@@ -253,7 +253,7 @@
     async def _on_submit(self, sender: HostId, message: SubmitJob) -> Any:
         return await self._serve(sender, message, LeaderDesk.submit)
 
-    async def _on_ask(self, sender: HostId, message: AskJob) -> Any:
+    async def _on_ask(self, sender: HostId, message: GetJob) -> Any:
         return await self._serve(sender, message, LeaderDesk.ask)
 
     async def _on_cancel(self, sender: HostId, message: CancelJob) -> Any:
--- a/src/galenastall/node/cell/config_keeper.py
+++ b/src/galenastall/node/cell/config_keeper.py
@@ -53,8 +53,8 @@
 
     def is_outdated(self, version: int) -> bool:
         """Whether a call that was let in by an older version must be looked at anew."""
-        own_for_s = trio.current_time() - self._in_force_since
-        return is_outdated(version=version, own_version=self.version, own_for_s=own_for_s)
+        held_for_s = trio.current_time() - self._in_force_since
+        return is_outdated(version=version, own_version=self.version, held_for_s=held_for_s)
 
     def hear_of(self, version: int, host: HostId | None) -> None:
         """Note that a host has this version."""
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -260,7 +260,7 @@
         """Send a pace; the core repeats it until it is confirmed."""
         context, executor = self._context, self._executor
         token = context.token_of(executor.executor_id)
-        answer = await context.executors.pace(
+        answer = await context.executors.throttle(
             address=executor.info.address,
             order=order,
             token=token,
--- a/src/galenastall/node/cell/handover.py
+++ b/src/galenastall/node/cell/handover.py
@@ -72,7 +72,7 @@
             lag_s=self._lag.seconds,
             leads_for_s=now - self._begun_at,
             store_refuses_s=self._term.store_refuses_s,
-            store_silent_s=self._term.store_away_s,
+            store_failing_s=self._term.store_away_s,
         )
         contenders = [
             contender
@@ -88,7 +88,7 @@
         """
         found: list[bool] = []
         async with trio.open_nursery() as nursery:
-            if handover.is_turned_away:
+            if handover.is_rejected_by_store:
                 nursery.start_soon(self._look_here, found)
             can_lead = await self._can_lead(handover.successor)
         return can_lead and not any(found)
@@ -109,7 +109,7 @@
         return False
 
     def _carry_out(self, handover: Handover) -> None:
-        if handover.is_behind:
+        if handover.is_overloaded:
             self._on_behind()
         self._recorder.record("leader.hands_over", peer=handover.successor, cause=handover.cause)
         self._term.give_up(handover.cause)
--- a/src/galenastall/node/cell/heard_hosts.py
+++ b/src/galenastall/node/cell/heard_hosts.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from galenastall.coordination.cell.succession import Contender, successor_of
+from galenastall.coordination.cell.succession import Candidate, successor_of
 from galenastall.protocol.cell.messages import Hello
 from galenastall.state.ids import HostId
 
@@ -58,10 +58,10 @@
         best = successor_of(self.contenders(now))
         return HostId(best.host) if best is not None else None
 
-    def contenders(self, now: float) -> list[Contender]:
+    def contenders(self, now: float) -> list[Candidate]:
         """Return the fit hosts as they last described themselves."""
         return [
-            Contender(
+            Candidate(
                 host=host,
                 weight=heard.weight,
                 uptime_s=now - heard.started_at,
--- a/src/galenastall/node/cell/hosts_desk.py
+++ b/src/galenastall/node/cell/hosts_desk.py
@@ -33,9 +33,9 @@
         care = self._context.core.hosts
         while True:
             care.set_waves(self._hosts.waves(), wall=self._context.wall())
-            if care.wants_list:
+            if care.needs_host_list:
                 await self._list()
-            for number, is_completed in care.to_tell().items():
+            for number, is_completed in care.unreported_waves().items():
                 await self._tell(number, is_completed=is_completed)
             await trio.sleep(LOOK_EVERY_S)
 
@@ -55,14 +55,14 @@
         await self._context.committed.wait()
         self._sequence += 1
         while True:
-            answer = await self._hosts.tell_wave(
+            answer = await self._hosts.report_wave(
                 number,
                 is_completed=is_completed,
                 token=self._context.token,
                 sequence=self._sequence,
             )
             if not isinstance(answer, Failure):
-                self._context.core.hosts.on_told(number, is_completed=is_completed)
+                self._context.core.hosts.on_wave_reported(number, is_completed=is_completed)
                 return
             self._end_term_if_fenced(answer.failure())
             await trio.sleep(RETRY_S)
--- a/src/galenastall/node/cell/leader_desk.py
+++ b/src/galenastall/node/cell/leader_desk.py
@@ -8,9 +8,9 @@
 from galenastall.coordination.cell.job_runs import JobRun
 from galenastall.node.cell.leader_term import LeaderTerm
 from galenastall.protocol.cell.messages import (
-    AskJob,
     CancelJob,
     CountPending,
+    GetJob,
     JobAnswer,
     PendingAnswer,
     SubmitAnswer,
@@ -18,7 +18,7 @@
     SubmitVerdict,
 )
 from galenastall.state.cell.phases import ENDED_PHASES
-from galenastall.state.cell.workspaces import may_see
+from galenastall.state.cell.workspaces import may_access
 from galenastall.state.errors import Reason, StepError
 
 BEGIN_WITHIN_S: Final = 0.7
@@ -49,7 +49,7 @@
         if term.store_away_s > STORE_AWAY_S and message.job.job_id not in term.core.jobs_by_id:
             return self._not_taken()
         run = term.core.submit(message.job, wall=term.context.wall())
-        if not may_see(owner=run.job.workspace, workspace=message.job.workspace):
+        if not may_access(owner=run.job.workspace, workspace=message.job.workspace):
             return SubmitAnswer(verdict=SubmitVerdict.TAKEN, cause="another workspace has this id")
         term.want_commit()
         patience_s = SHARE_OF_PATIENCE * message.patience_s
@@ -83,7 +83,7 @@
             while not run.is_durable and not self._term.loss:
                 await self._term.context.committed.wait()
 
-    async def ask(self, message: AskJob) -> JobAnswer | StepError:
+    async def ask(self, message: GetJob) -> JobAnswer | StepError:
         """Return a job's durable phase."""
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
@@ -117,10 +117,10 @@
             return JobAnswer(phase=run.shown_phase)
         return self._error(Reason.TIMEOUT, "cancelled, and not yet durable")
 
-    def _find(self, message: AskJob | CancelJob) -> JobRun | None:
+    def _find(self, message: GetJob | CancelJob) -> JobRun | None:
         """Return the job that is asked for; None if the caller's workspace has none of that id."""
         run = self._term.core.jobs_by_id.get(message.job_id)
-        if run is None or not may_see(owner=run.job.workspace, workspace=message.workspace):
+        if run is None or not may_access(owner=run.job.workspace, workspace=message.workspace):
             return None
         return run
 
--- a/src/galenastall/node/cell/leader_search.py
+++ b/src/galenastall/node/cell/leader_search.py
@@ -7,7 +7,7 @@
 import trio
 from returns.result import Failure
 
-from galenastall.protocol.cell.messages import AskLeader, LeaderAnswer
+from galenastall.protocol.cell.messages import GetLeader, LeaderAnswer
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.ids import HostId
 
@@ -54,7 +54,7 @@
         self._link = link
         self._view = view
         self._asked_last: str = link.host_id
-        link.handle(AskLeader, self._on_ask)
+        link.handle(GetLeader, self._on_ask)
 
     async def run(self) -> None:
         """Search until cancelled."""
@@ -79,10 +79,10 @@
 
     async def _ask(self, host: str) -> None:
         answer = await self._link.call(
-            peer=HostId(host), message=AskLeader(), timeout_s=ASK_TIMEOUT_S
+            peer=HostId(host), message=GetLeader(), timeout_s=ASK_TIMEOUT_S
         )
         if not isinstance(answer, Failure):
             self._view.take_sight(answer.unwrap())
 
-    async def _on_ask(self, _: HostId, __: AskLeader) -> Any:
+    async def _on_ask(self, _: HostId, __: GetLeader) -> Any:
         return self._view.sight()
--- a/src/galenastall/node/cell/membership.py
+++ b/src/galenastall/node/cell/membership.py
@@ -9,7 +9,7 @@
 from galenastall.node.cell.heard_hosts import HeardHosts
 from galenastall.node.cell.heartbeats import ToldAddresses
 from galenastall.node.cell.loop_lag import LoopLag
-from galenastall.protocol.cell.messages import Beat, Hello
+from galenastall.protocol.cell.messages import Heartbeat, Hello
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.ids import HostId
 
@@ -76,7 +76,7 @@
         """Begin to send heartbeats: this host has told nobody anything yet."""
         self._told = ToldAddresses()
 
-    def send_beats(self, plain: Beat) -> None:
+    def send_beats(self, plain: Heartbeat) -> None:
         """Send a heartbeat to all other hosts; some are told all addresses with it."""
         known = {**self.heard.addresses_by_host(), self._link.host_id: self.address}
         self._told.set_current({str(host): address for host, address in known.items()})
@@ -85,7 +85,7 @@
             message = replace(plain, addresses_by_host=told) if told else plain
             self._link.send(peer=host, message=message)
 
-    def take_addresses(self, leader: HostId, beat: Beat) -> None:
+    def take_addresses(self, leader: HostId, beat: Heartbeat) -> None:
         """Take all addresses, if a heartbeat carries them, and its leader's in any case."""
         if beat.addresses_by_host:
             self._addresses_by_host = {**beat.addresses_by_host, str(leader): beat.address}
--- a/src/galenastall/node/cell/standing.py
+++ b/src/galenastall/node/cell/standing.py
@@ -6,7 +6,7 @@
 import trio
 from returns.result import Failure
 
-from galenastall.coordination.cell.election import Election, HeardBeat, Move
+from galenastall.coordination.cell.election import Election, ElectionAction, ReceivedHeartbeat
 from galenastall.coordination.cell.stop_rules import StopRule
 from galenastall.coordination.cell.succession import heaviest_of
 from galenastall.coordination.cell.timings import CellTimings
@@ -17,7 +17,7 @@
 from galenastall.node.cell.leader_term import LeaderTerm, TermParts
 from galenastall.node.cell.membership import Membership
 from galenastall.protocol.cell.config import CellConfig
-from galenastall.protocol.cell.messages import Beat, CanLead, LeaderAnswer, TakeOver
+from galenastall.protocol.cell.messages import CanLead, Heartbeat, LeaderAnswer, TakeOver
 from galenastall.protocol.cell.ports import StoreView
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.errors import Reason, StepError
@@ -65,7 +65,7 @@
         self.term: LeaderTerm | None = None
         """The term of this host, if it leads."""
         self.desk: LeaderDesk | None = None
-        self._link.handle(Beat, self._on_beat)
+        self._link.handle(Heartbeat, self._on_beat)
         self._link.handle(TakeOver, self._on_take_over)
         self._link.handle(CanLead, self._on_can_lead)
 
@@ -79,7 +79,7 @@
     @property
     def is_heard(self) -> bool:
         """Whether this host leads or hears who does."""
-        return self.term is not None or self._election.is_heard(trio.current_time())
+        return self.term is not None or self._election.has_recent_heartbeat(trio.current_time())
 
     @property
     def last_leader(self) -> str:
@@ -184,13 +184,13 @@
             self._is_asked_to_claim = False
             await self._take_over(nursery)
             return
-        move = self._election.next_move(trio.current_time())
-        if move is Move.LOOK:
+        move = self._election.next_action(trio.current_time())
+        if move is ElectionAction.POLL_STORE:
             nursery.start_soon(self._look)
-        elif move is Move.CLAIM:
+        elif move is ElectionAction.CLAIM:
             # Another claim may have come since the last look; two claims cost a second takeover.
             await self._look()
-            if self._election.next_move(trio.current_time()) is Move.CLAIM:
+            if self._election.next_action(trio.current_time()) is ElectionAction.CLAIM:
                 await self._claim(nursery, cause="no heartbeat, and the state's end stands still")
 
     async def _take_over(self, nursery: trio.Nursery) -> None:
@@ -202,15 +202,15 @@
                 return
 
     async def _look(self) -> None:
-        answer = await self._parts.state.look()
+        answer = await self._parts.state.poll()
         if isinstance(answer, Failure):
             return
         view: StoreView = answer.unwrap()
         token = view.leader.token if view.leader else 0
         is_of_this_host = view.leader is not None and view.leader.host_id == self._host_id
-        self._election.on_look(
+        self._election.on_store_view(
             token=token,
-            tip=view.tip,
+            log_end=view.log_end,
             now=trio.current_time(),
             is_orphaned=is_of_this_host and not self._has_claimed,
             claimed_weight=view.leader.weight if view.leader else 0.0,
@@ -219,8 +219,8 @@
             self._members.make_known_to(view.leader.host_id, view.leader.address)
 
     async def _claim(self, nursery: trio.Nursery, *, cause: str) -> None:
-        tip = self._election.tip
-        if tip is None:
+        log_end = self._election.log_end
+        if log_end is None:
             self._recorder.record("leader.claim_failed", cause="the state's end is not known")
             return
         claimed_at = trio.current_time()
@@ -229,7 +229,7 @@
             host_id=self._host_id,
             address=self._members.address,
             weight=self._members.weight,
-            tip=tip,
+            log_end=log_end,
         )
         if isinstance(answer, Failure):
             self._recorder.record("leader.claim_failed", cause=str(answer.failure()))
@@ -265,7 +265,7 @@
             lag=self._members.lag,
             link=self._link,
             recorder=self._recorder,
-            look=self._parts.state.look,
+            look=self._parts.state.poll,
             on_behind=self._on_behind,
         )
 
@@ -279,7 +279,7 @@
 
     def _beat(self, term: LeaderTerm) -> None:
         config: CellConfig | None = self._parts.config()
-        plain = Beat(
+        plain = Heartbeat(
             token=term.token,
             address=self._members.address,
             confirm_age_s=term.confirm_age_s,
@@ -309,19 +309,19 @@
         if is_other and not self.is_heard and found.token >= self._election.token:
             self._members.make_known_to(found.host_id, found.address)
 
-    async def _on_beat(self, sender: HostId, beat: Beat) -> Any:
+    async def _on_beat(self, sender: HostId, beat: Heartbeat) -> Any:
         if self.term is not None and beat.token < self.term.token:
             return None
         now = trio.current_time()
-        heard = HeardBeat(
+        heard = ReceivedHeartbeat(
             token=beat.token,
             leader=sender,
-            heard_at=now,
+            received_at=now,
             confirm_age_s=beat.confirm_age_s,
             heaviest=beat.heaviest,
         )
         before = self._election.leader, self._election.token
-        if not self._election.on_beat(heard):
+        if not self._election.on_heartbeat(heard):
             return None
         if self.term is not None and beat.token > self.term.token:
             self.term.give_up(f"{sender} leads with a higher token")
@@ -339,7 +339,7 @@
             return StepError(
                 step="leader.can_lead", peer=self._host_id, reason=Reason.REFUSED, detail=detail
             )
-        answer = await self._parts.state.look()
+        answer = await self._parts.state.poll()
         return answer.failure() if isinstance(answer, Failure) else None
 
     async def _on_take_over(self, sender: HostId, message: TakeOver) -> Any:
--- a/src/galenastall/platform/executors.py
+++ b/src/galenastall/platform/executors.py
@@ -17,9 +17,9 @@
     StartVerdict,
 )
 from galenastall.state.cell.executor_ids import (
-    born_ms_of,
     executor_name,
     make_executor_id,
+    started_at_ms_of,
 )
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.http_client import WholeAnswer
@@ -139,7 +139,7 @@
         }
         return await self._order(_STOP, address, order.executor_id, message, timeout_s)
 
-    async def pace(
+    async def throttle(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Let a run work at a share of its speed."""
@@ -210,7 +210,7 @@
 
 def _answerer(executor_id: str, born_ms: int | None) -> str:
     """Return the id of the incarnation that answered; the one called where births are not told."""
-    if born_ms is None or born_ms_of(executor_id) is None:
+    if born_ms is None or started_at_ms_of(executor_id) is None:
         return executor_id
     return make_executor_id(executor_name(executor_id), born_ms)
 
--- a/src/galenastall/platform/hosts.py
+++ b/src/galenastall/platform/hosts.py
@@ -191,7 +191,7 @@
             )
         return Success(_OUTCOME_BY_REASON.get(reason, HostOutcome.BUSY))
 
-    async def tell_wave(
+    async def report_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
         """Write a wave's state where the operator reads it."""
--- a/src/galenastall/platform/standin/executor_face.py
+++ b/src/galenastall/platform/standin/executor_face.py
@@ -9,7 +9,7 @@
 from galenastall.platform.names import parse_task, task_name
 from galenastall.protocol.cell.executor_port import StartVerdict
 from galenastall.standin.cell.executors import Executor, ExecutorWorld
-from galenastall.state.cell.executor_ids import born_ms_of, executor_name
+from galenastall.state.cell.executor_ids import executor_name, started_at_ms_of
 from galenastall.transport.http_json import json_response
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
@@ -105,7 +105,7 @@
             for end in listing.ended
         ]
         answer = {"clockMs": listing.clock_ms, "running": running, "finished": finished}
-        born_ms = born_ms_of(executor.info.executor_id)
+        born_ms = started_at_ms_of(executor.info.executor_id)
         return json_response(200, answer if born_ms is None else {**answer, "born": born_ms})
 
     def _answer(self, verdict: StartVerdict) -> HttpResponse:
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -13,9 +13,9 @@
 from galenastall.standin.cell.executors import Executor
 from galenastall.standin.cell.live_world import LiveWorld
 from galenastall.state.cell.executor_ids import (
-    born_ms_of,
     executor_name,
     make_executor_id,
+    started_at_ms_of,
 )
 from galenastall.state.cell.workspaces import Workspace
 from galenastall.state.resources import Resources
@@ -147,7 +147,7 @@
             },
             "labels": list(info.labels),
             "sequence": sequence,
-            "born": born_ms_of(info.executor_id),
+            "born": started_at_ms_of(info.executor_id),
         }
         self.store.put("keyed.servers", executor_name(info.executor_id), entry)
 
--- a/src/galenastall/platform/store.py
+++ b/src/galenastall/platform/store.py
@@ -61,13 +61,13 @@
         self._address = address
 
     async def claim(
-        self, *, host_id: str, address: str, weight: float, tip: int
+        self, *, host_id: str, address: str, weight: float, log_end: int
     ) -> Result[int, StepError]:
         """Append a claim if the state ends at `tip`; its offset + 1 is the token."""
         value = msgspec.json.encode(_Claim(host_id=host_id, address=address, weight=weight))
         answer = await self._append(
             step="store.claim",
-            path=f"/log-append?topic={STATE_TOPIC}&part=0&at={tip}",
+            path=f"/log-append?topic={STATE_TOPIC}&part=0&at={log_end}",
             body=keyed_record(CLAIM_KEY, value),
             timeout_s=CALL_TIMEOUT_S,
         )
@@ -109,7 +109,7 @@
         rows = {key: value for key, value in found.values_by_key.items() if key != CLAIM_KEY}
         return Success(rows)
 
-    async def look(self) -> Result[StoreView, StepError]:
+    async def poll(self) -> Result[StoreView, StepError]:
         """Read the newest claim and the state's end, in one page."""
         answer = await self._newest.page(STATE_TOPIC, _BEHIND_ROWS)
         if isinstance(answer, Failure):
@@ -129,7 +129,7 @@
                 address=claim.address,
                 weight=claim.weight,
             )
-        return Success(StoreView(leader=leader, tip=page.end_offset))
+        return Success(StoreView(leader=leader, log_end=page.end_offset))
 
     async def _append(
         self, *, step: str, path: str, body: bytes, timeout_s: float
--- a/src/galenastall/protocol/cell/executor_port.py
+++ b/src/galenastall/protocol/cell/executor_port.py
@@ -66,7 +66,7 @@
     ) -> Result[OrderAnswer, StepError]:
         """Stop a run, and have it rejected if it comes later."""
 
-    async def pace(
+    async def throttle(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Let a run work at a share of its speed; idempotent."""
--- a/src/galenastall/protocol/cell/messages.py
+++ b/src/galenastall/protocol/cell/messages.py
@@ -46,7 +46,7 @@
 
 @PEER_MESSAGES.register("cell.beat")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Beat:
+class Heartbeat:
     """Heartbeat of the leader to each host that it knows."""
 
     token: int
@@ -77,7 +77,7 @@
 
 @PEER_MESSAGES.register("cell.ask_leader")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskLeader:
+class GetLeader:
     """Ask another host who leads, if none is heard here."""
 
 
@@ -114,7 +114,7 @@
 
 @PEER_MESSAGES.register("cell.ask_job")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskJob:
+class GetJob:
     """Ask for a job's phase."""
 
     job_id: str
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptAnswer:
+class CachedAdvice:
     """An advisor's answer that a host passed on, or could not pass on."""
 
     step: StepKey
@@ -193,7 +193,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CallUnderWay:
+class PendingAdviceCall:
     """A call to the advisor that has not been answered yet."""
 
     step: StepKey
@@ -215,8 +215,8 @@
 class RecoveredAdvice:
     """What a host knows of advice, oldest first."""
 
-    answers: tuple[KeptAnswer, ...] = ()
-    under_way: CallUnderWay | None = None
+    answers: tuple[CachedAdvice, ...] = ()
+    under_way: PendingAdviceCall | None = None
 
 
 @PEER_MESSAGES.register("cell.await_advice")
--- a/src/galenastall/protocol/cell/ports.py
+++ b/src/galenastall/protocol/cell/ports.py
@@ -30,7 +30,7 @@
     """What a look at the store shows of who leads."""
 
     leader: LeaderRecord | None
-    tip: int
+    log_end: int
     """End of the state; it moves with each claim, and while a leader is confirmed."""
 
 
@@ -47,7 +47,7 @@
         """Most that one append may write, keys and values together."""
 
     async def claim(
-        self, *, host_id: str, address: str, weight: float, tip: int
+        self, *, host_id: str, address: str, weight: float, log_end: int
     ) -> Result[int, StepError]:
         """Append a claim and return its token; tokens are unique and rise.
 
@@ -66,7 +66,7 @@
     async def load(self) -> Result[dict[str, bytes], StepError]:
         """Return the newest value of each key."""
 
-    async def look(self) -> Result[StoreView, StepError]:
+    async def poll(self) -> Result[StoreView, StepError]:
         """Return who claimed last and how far the state goes."""
 
 
@@ -110,7 +110,7 @@
     ) -> Result[HostOutcome, StepError]:
         """Give an order; CONFLICT says that a newer leader has given one to this host."""
 
-    async def tell_wave(
+    async def report_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
         """Tell the operator of a wave's state; fenced and repeatable like the cell's state."""
--- a/src/galenastall/state/cell/executor_ids.py
+++ b/src/galenastall/state/cell/executor_ids.py
@@ -9,14 +9,14 @@
 _SEPARATOR: Final = "@"
 
 
-def make_executor_id(name: str, born_ms: int | None) -> str:
+def make_executor_id(name: str, started_at_ms: int | None) -> str:
     """Return the id of the incarnation born at `born_ms` since 1970; None where that is not known.
 
     Different names and times give different ids, whatever characters a name holds.
     """
-    if born_ms is None and _SEPARATOR not in name:
+    if started_at_ms is None and _SEPARATOR not in name:
         return name
-    return f"{name}{_SEPARATOR}{'' if born_ms is None else born_ms}"
+    return f"{name}{_SEPARATOR}{'' if started_at_ms is None else started_at_ms}"
 
 
 def executor_name(executor_id: str) -> str:
@@ -25,7 +25,7 @@
     return name if separator else executor_id
 
 
-def born_ms_of(executor_id: str) -> int | None:
+def started_at_ms_of(executor_id: str) -> int | None:
     """Return when an incarnation was born, in milliseconds since 1970; None if not told."""
-    _, separator, born_ms = executor_id.rpartition(_SEPARATOR)
-    return int(born_ms) if separator and born_ms else None
+    _, separator, started_at_ms = executor_id.rpartition(_SEPARATOR)
+    return int(started_at_ms) if separator and started_at_ms else None
--- a/src/galenastall/state/cell/workspaces.py
+++ b/src/galenastall/state/cell/workspaces.py
@@ -28,7 +28,7 @@
             and _is_within(used.accelerators, limit.accelerators)
         )
 
-    def room_for(self, need: Resources, *, used: Resources, most: int) -> int:
+    def max_additional(self, need: Resources, *, used: Resources, most: int) -> int:
         """Return how many of `need` it may add to what it uses, `most` at the highest."""
         limit = self.limit
         count = min(
@@ -49,7 +49,7 @@
     return min((limit - used) // need, most)
 
 
-def may_see(*, owner: str, workspace: str) -> bool:
+def may_access(*, owner: str, workspace: str) -> bool:
     """Whether a caller of `workspace` may see and cancel a job of `owner`.
 
     A job without an owner is open to all callers of its queue.
--- a/tests/cell/weakenings.py
+++ b/tests/cell/weakenings.py
@@ -6,7 +6,7 @@
 
 from galenastall.coordination.cell import listings
 from galenastall.coordination.cell.commands import Batch, StartOrder
-from galenastall.coordination.cell.election import Election, Move
+from galenastall.coordination.cell.election import Election, ElectionAction
 from galenastall.coordination.cell.incarnations import Incarnations
 from galenastall.coordination.cell.lease_clock import LeaseClock
 from galenastall.coordination.cell.orders import OrderBook, StartOutcome
@@ -143,9 +143,13 @@
 def standbys_claim_without_a_look() -> Iterator[None]:
     """Claim at the first silence; that costs terms and must break nothing."""
 
-    def next_move(self: Election, now: float) -> Move:
-        is_heard = self.is_heard(now)
-        return Move.WAIT if is_heard or now < self._not_before else Move.CLAIM
+    def next_action(self: Election, now: float) -> ElectionAction:
+        has_recent_heartbeat = self.has_recent_heartbeat(now)
+        return (
+            ElectionAction.WAIT
+            if has_recent_heartbeat or now < self._not_before
+            else ElectionAction.CLAIM
+        )
 
-    with replaced(Election, "next_move", next_move):
+    with replaced(Election, "next_action", next_action):
         yield
--- a/tests/cell/world.py
+++ b/tests/cell/world.py
@@ -213,10 +213,12 @@
         return self.world.store.append_bytes
 
     async def claim(
-        self, *, host_id: str, address: str, weight: float, tip: int
+        self, *, host_id: str, address: str, weight: float, log_end: int
     ) -> Result[int, StepError]:
         store = self.world.store
-        answer = await self._call("store", 1.0, lambda: store.claim(host_id, address, weight, tip))
+        answer = await self._call(
+            "store", 1.0, lambda: store.claim(host_id, address, weight, log_end)
+        )
         if isinstance(answer, Success) and answer.unwrap() is None:
             return self._failure("store", Reason.CONFLICT)
         return answer
@@ -253,7 +255,7 @@
             await trio.sleep(self.world.store.size / rate)
         return answer
 
-    async def look(self) -> Result[StoreView, StepError]:
+    async def poll(self) -> Result[StoreView, StepError]:
         return await self._call("store", 1.0, self._view)
 
     def _view(self) -> StoreView:
@@ -267,7 +269,7 @@
                 address=address,
                 weight=store.claimed_weight,
             )
-        return StoreView(leader=leader, tip=store.tip)
+        return StoreView(leader=leader, log_end=store.tip)
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
         return await self._call("store", 1.0, lambda: tuple(self.world.listed.values()))
@@ -293,7 +295,7 @@
             return self._failure("hosts", Reason.CONFLICT)
         return answer
 
-    async def tell_wave(
+    async def report_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
         hosts = self.world.hosts
@@ -319,7 +321,7 @@
     ) -> Result[OrderAnswer, StepError]:
         return await self._order(order.executor_id, timeout_s, lambda e: e.stop(order, token))
 
-    async def pace(
+    async def throttle(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         return await self._order(order.executor_id, timeout_s, lambda e: StartVerdict.STARTED)
--- a/tests/test_cell_core.py
+++ b/tests/test_cell_core.py
@@ -7,7 +7,7 @@
 from cell.rig import JOB, QUEUE, TIMINGS, WALL, Rig, make_info, make_job, make_step
 from galenastall.coordination.cell.advice import AdviceBook, Approval
 from galenastall.coordination.cell.commands import AskAdvice, StartOrder
-from galenastall.coordination.cell.election import Election, HeardBeat, Move
+from galenastall.coordination.cell.election import Election, ElectionAction, ReceivedHeartbeat
 from galenastall.coordination.cell.lease_clock import LeaseClock
 from galenastall.coordination.cell.listings import ListedEnd, ListedRun, Listing
 from galenastall.coordination.cell.objectives import lateness_rank, longest_chain_s
@@ -27,21 +27,23 @@
         return Election(timings=TIMINGS, jitter_s=0.1, may_start=False, weight=1.0)
 
     def beat(self, election: Election, token: int, now: float, age: float = 0.0) -> bool:
-        beat = HeardBeat(token=token, leader=f"h{token}", heard_at=now, confirm_age_s=age)
-        return election.on_beat(beat)
+        beat = ReceivedHeartbeat(
+            token=token, leader=f"h{token}", received_at=now, confirm_age_s=age
+        )
+        return election.on_heartbeat(beat)
 
     def test_a_well_leader_is_left_alone(self) -> None:
         election = self.make()
         self.beat(election, 3, 10.0)
-        assert election.next_move(10.2) is Move.WAIT
+        assert election.next_action(10.2) is ElectionAction.WAIT
 
     def test_a_silent_leader_whose_state_moves_is_not_replaced(self) -> None:
         election = self.make()
         self.beat(election, 3, 10.0)
         for step in range(40):
             now = 11.0 + step * 0.21
-            assert election.next_move(now) is Move.LOOK
-            election.on_look(token=3, tip=step, now=now)
+            assert election.next_action(now) is ElectionAction.POLL_STORE
+            election.on_store_view(token=3, log_end=step, now=now)
 
     def test_a_silent_leader_whose_state_stands_still_is_replaced(self) -> None:
         election = self.make()
@@ -49,22 +51,22 @@
         moves = []
         for step in range(7):
             now = 11.0 + step * 0.21
-            moves.append(election.next_move(now))
-            election.on_look(token=3, tip=7, now=now)
-        assert moves[0] is Move.LOOK
-        assert moves[-1] is Move.CLAIM
+            moves.append(election.next_action(now))
+            election.on_store_view(token=3, log_end=7, now=now)
+        assert moves[0] is ElectionAction.POLL_STORE
+        assert moves[-1] is ElectionAction.CLAIM
 
     def test_a_state_that_could_not_be_looked_at_has_not_stood_still(self) -> None:
         election = self.make()
         self.beat(election, 3, 10.0)
-        election.on_look(token=3, tip=7, now=11.0)
+        election.on_store_view(token=3, log_end=7, now=11.0)
         claimed_at = 0.0
         for step in range(20):
             now = 17.0 + step * 0.05
-            move = election.next_move(now)
-            if move is Move.LOOK:
-                election.on_look(token=3, tip=7, now=now)
-            if move is Move.CLAIM:
+            move = election.next_action(now)
+            if move is ElectionAction.POLL_STORE:
+                election.on_store_view(token=3, log_end=7, now=now)
+            if move is ElectionAction.CLAIM:
                 claimed_at = now
                 break
         assert claimed_at >= 17.0 + TIMINGS.tip_silence_s
@@ -75,10 +77,10 @@
         for step in range(30):
             now = 10.0 + step * 0.1
             self.beat(election, 3, now, age=step * 0.1)
-            move = election.next_move(now)
-            if move is Move.LOOK:
-                election.on_look(token=3, tip=7, now=now)
-            if move is Move.CLAIM:
+            move = election.next_action(now)
+            if move is ElectionAction.POLL_STORE:
+                election.on_store_view(token=3, log_end=7, now=now)
+            if move is ElectionAction.CLAIM:
                 claimed_at = now
                 break
         assert 11.2 < claimed_at < 12.6
@@ -86,7 +88,7 @@
     def test_a_claim_without_a_leader_does_not_hide_the_one_that_stands(self) -> None:
         election = self.make()
         self.beat(election, 4, 10.0)
-        election.on_look(token=5, tip=7, now=10.1)
+        election.on_store_view(token=5, log_end=7, now=10.1)
         assert self.beat(election, 4, 10.2)
         assert election.leader == "h4"
 
@@ -100,8 +102,8 @@
         election = self.make()
         election.withdraw(100.0)
         for step in range(20):
-            election.on_look(token=1, tip=7, now=10.0 + step * 0.21)
-            assert election.next_move(10.05 + step * 0.21) is not Move.CLAIM
+            election.on_store_view(token=1, log_end=7, now=10.0 + step * 0.21)
+            assert election.next_action(10.05 + step * 0.21) is not ElectionAction.CLAIM
 
 
 class TestLeaseClock:
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -30,9 +30,9 @@
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.executor_port import ListingAnswer, OrderAnswer, StartVerdict
 from galenastall.state.cell.executor_ids import (
-    born_ms_of,
     executor_name,
     make_executor_id,
+    started_at_ms_of,
 )
 from galenastall.state.cell.jobs import Step, TaskKey
 from galenastall.state.cell.phases import JobPhase, RunEnd
@@ -144,7 +144,7 @@
     def test_an_id_tells_name_and_birth(self, name: str, born_ms: int | None) -> None:
         executor_id = make_executor_id(name, born_ms)
         assert executor_name(executor_id) == name
-        assert born_ms_of(executor_id) == born_ms
+        assert started_at_ms_of(executor_id) == born_ms
 
     def test_other_births_are_other_ids_of_the_same_executor(self) -> None:
         assert EARLIER != LATER
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -70,7 +70,7 @@
     ) -> None:
         need = Resources(cores_milli=1000, memory_mb=100)
         there = Resources(cores_milli=used)
-        assert workspace.room_for(need, used=there, most=9) == count
+        assert workspace.max_additional(need, used=there, most=9) == count
 
     def test_no_limit_allows_all(self) -> None:
         assert make_workspace().allows(Resources(cores_milli=10**9))
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -19,7 +19,7 @@
 from galenastall.state.cell.jobs import Recurrence
 from galenastall.state.cell.phases import RunEnd, TaskPhase
 from galenastall.state.cell.rows import encode_progress
-from test_cell_hosts import CAPACITY, HostRig, make_hosts
+from test_cell_hosts import CAPACITY, HostHarness, make_hosts
 from test_cell_line import LAST, TICK_S, LineRig, StreamRig, job_id
 
 RECORD_BYTES = 262_144
@@ -27,64 +27,64 @@
 LISTED_EVERY_S = 0.5
 
 
-def paused(rig: Rig) -> set[str]:
-    return {i for i, e in rig.core.executors_by_id.items() if e.paused_until > rig.now}
+def paused(harness: Rig) -> set[str]:
+    return {i for i, e in harness.core.executors_by_id.items() if e.paused_until > harness.now}
 
 
-def show(rig: Rig, percent_by_order: dict[StartOrder, int]) -> None:
+def show(harness: Rig, percent_by_order: dict[StartOrder, int]) -> None:
     """List what runs on each executor, all runs of one executor together."""
-    for info in rig.infos:
+    for info in harness.infos:
         own = {o: p for o, p in percent_by_order.items() if o.executor_id == info.executor_id}
         running = tuple(ListedRun(task=o.task, run=o.run, percent=p) for o, p in own.items())
-        rig.listing(info.executor_id, running)
+        harness.listing(info.executor_id, running)
 
 
-def refuse(rig: Rig, order: StartOrder, outcome: StartOutcome) -> None:
-    rig.core.on_start(order, outcome, now=rig.now, wall=rig.wall)
+def refuse(harness: Rig, order: StartOrder, outcome: StartOutcome) -> None:
+    harness.core.on_start(order, outcome, now=harness.now, wall=harness.wall)
 
 
-class TestRefusalsOfOneMoment:
+class TestSimultaneousRefusals:
     """Starts that leave together are refused together: that is one refusal, not one a start."""
 
     def test_starts_that_left_together_do_not_double_the_pause_of_each_other(self) -> None:
-        rig = Rig(make_info("e0"))
-        rig.submit(make_job(make_step(6, cores=500)))
-        orders = rig.step()
+        harness = Rig(make_info("e0"))
+        harness.submit(make_job(make_step(6, cores=500)))
+        orders = harness.step()
         assert len(orders) == 6
         for order in orders:
-            refuse(rig, order, StartOutcome.UNHEALTHY)
-        assert rig.core.executors_by_id["e0"].paused_until - rig.now <= 1.4
+            refuse(harness, order, StartOutcome.UNHEALTHY)
+        assert harness.core.executors_by_id["e0"].paused_until - harness.now <= 1.4
 
     @pytest.mark.parametrize("outcome", [StartOutcome.UNHEALTHY, StartOutcome.NOT_STARTED])
     def test_a_refusal_does_not_shorten_a_longer_pause(self, outcome: StartOutcome) -> None:
-        rig = Rig(make_info("e0"))
-        rig.submit(make_job(make_step(2, cores=500)))
-        still, sent = rig.step()
-        rig.run_all([still])
+        harness = Rig(make_info("e0"))
+        harness.submit(make_job(make_step(2, cores=500)))
+        still, sent = harness.step()
+        harness.run_all([still])
         for _ in range(8):
-            rig.now += LISTED_EVERY_S
-            show(rig, {still: 40})
-            rig.stops()
-        until = rig.core.executors_by_id["e0"].paused_until
-        assert until > rig.now + 1.0
-        refuse(rig, sent, outcome)
-        assert rig.core.executors_by_id["e0"].paused_until >= until
+            harness.now += LISTED_EVERY_S
+            show(harness, {still: 40})
+            harness.stops()
+        until = harness.core.executors_by_id["e0"].paused_until
+        assert until > harness.now + 1.0
+        refuse(harness, sent, outcome)
+        assert harness.core.executors_by_id["e0"].paused_until >= until
 
 
-class TestRefusedInAnotherWay:
+class TestGangNotStarted:
     def test_a_gang_avoids_an_executor_that_did_not_start_it_for_another_reason(self) -> None:
         """As too late for its clock, say: it comes to the same as a refusal for want of health."""
-        rig = Rig(*(make_info(f"e{number}") for number in range(3)))
-        rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
-        for order in rig.step():
+        harness = Rig(*(make_info(f"e{number}") for number in range(3)))
+        harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
+        for order in harness.step():
             is_refused = order.executor_id == "e0"
             outcome = StartOutcome.NOT_STARTED if is_refused else StartOutcome.STARTED
-            refuse(rig, order, outcome)
+            refuse(harness, order, outcome)
             if not is_refused:
-                rig.end(order, RunEnd.STOPPED)
-        rig.now += 1.0
-        show(rig, {})
-        assert {order.executor_id for order in rig.step()} == {"e1", "e2"}
+                harness.end(order, RunEnd.STOPPED)
+        harness.now += 1.0
+        show(harness, {})
+        assert {order.executor_id for order in harness.step()} == {"e1", "e2"}
 
 
 class TestOneRack:
@@ -92,104 +92,106 @@
 
     def start(self) -> tuple[Rig, list[StartOrder]]:
         racks = {"e0": "r1", "e1": "r1", "e2": "r2", "e3": "r2"}
-        rig = Rig(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
-        rig.submit(make_job(make_step(2, cores=4000, is_gang=True, wants_one_rack=True)))
-        return rig, rig.step()
+        harness = Rig(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
+        harness.submit(make_job(make_step(2, cores=4000, is_gang=True, wants_one_rack=True)))
+        return harness, harness.step()
 
     def test_a_gang_that_was_refused_goes_to_the_other_rack(self) -> None:
-        rig, orders = self.start()
+        harness, orders = self.start()
         assert {order.executor_id for order in orders} == {"e0", "e1"}
-        refuse(rig, orders[0], StartOutcome.UNHEALTHY)
-        rig.run_all(orders[1:])
-        rig.end(orders[1], RunEnd.STOPPED)
-        rig.now += 1.0
-        show(rig, {})
-        assert {order.executor_id for order in rig.step()} == {"e2", "e3"}
-
-    def test_a_gang_that_stood_still_goes_to_the_other_rack(self) -> None:
+        refuse(harness, orders[0], StartOutcome.UNHEALTHY)
+        harness.run_all(orders[1:])
+        harness.end(orders[1], RunEnd.STOPPED)
+        harness.now += 1.0
+        show(harness, {})
+        assert {order.executor_id for order in harness.step()} == {"e2", "e3"}
+
+    def test_a_stalled_gang_goes_to_the_other_rack(self) -> None:
         """Nobody is paused, so it came back to the executor that hangs, for twice as long each."""
-        rig, orders = self.start()
-        rig.run_all(orders)
+        harness, orders = self.start()
+        harness.run_all(orders)
         for _ in range(8):
-            rig.now += LISTED_EVERY_S
-            show(rig, dict.fromkeys(orders, 40))
-            rig.stops()
+            harness.now += LISTED_EVERY_S
+            show(harness, dict.fromkeys(orders, 40))
+            harness.stops()
         for order in orders:
-            rig.end(order, RunEnd.STOPPED)
-        rig.now += 1.0
-        show(rig, {})
-        assert {order.executor_id for order in rig.step()} == {"e2", "e3"}
+            harness.end(order, RunEnd.STOPPED)
+        harness.now += 1.0
+        show(harness, {})
+        assert {order.executor_id for order in harness.step()} == {"e2", "e3"}
 
 
-class TestWorkThatStandsStillByNature:
+class TestInherentlyStalledWork:
     def test_it_does_not_close_executors_on_which_other_runs_go_on(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
         each = make_step(4, cores=1000, most_per_executor=1)
-        rig.submit(make_job(each))
-        still = rig.step()
-        rig.submit(make_job(replace(each, estimate_s=20.0), job_id=OTHER))
-        sound = rig.step()
-        rig.run_all([*still, *sound])
+        harness.submit(make_job(each))
+        still = harness.step()
+        harness.submit(make_job(replace(each, estimate_s=20.0), job_id=OTHER))
+        sound = harness.step()
+        harness.run_all([*still, *sound])
         for turn in range(8):
-            rig.now += LISTED_EVERY_S
-            show(rig, dict.fromkeys(still, 40) | dict.fromkeys(sound, 5 * turn))
-            rig.stops()
-        rig.submit(make_job(make_step(1, cores=500), job_id=LAST))
-        assert len(rig.step()) == 1, f"all are paused: {sorted(paused(rig))}"
+            harness.now += LISTED_EVERY_S
+            show(harness, dict.fromkeys(still, 40) | dict.fromkeys(sound, 5 * turn))
+            harness.stops()
+        harness.submit(make_job(make_step(1, cores=500), job_id=LAST))
+        assert len(harness.step()) == 1, f"all are paused: {sorted(paused(harness))}"
 
 
-class TestOneJobThatNobodyTakes:
+class TestJobRefusedEverywhere:
     """Each start of one job is refused, as malformed say; all others would be taken."""
 
     def test_it_does_not_close_all_executors(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
-        rig.submit(make_job(make_step(1, cores=500)))
+        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness.submit(make_job(make_step(1, cores=500)))
         for _ in range(600):
-            rig.now += 0.1
-            show(rig, {})
-            for order in rig.step():
-                refuse(rig, order, StartOutcome.UNHEALTHY)
-        rig.submit(make_job(make_step(1, cores=500), job_id=OTHER))
+            harness.now += 0.1
+            show(harness, {})
+            for order in harness.step():
+                refuse(harness, order, StartOutcome.UNHEALTHY)
+        harness.submit(make_job(make_step(1, cores=500), job_id=OTHER))
         started: set[str] = set()
         for _ in range(30):
-            rig.now += 0.1
-            show(rig, {})
-            for order in rig.step():
+            harness.now += 0.1
+            show(harness, {})
+            for order in harness.step():
                 is_refused = order.task.job == JOB
-                refuse(rig, order, StartOutcome.UNHEALTHY if is_refused else StartOutcome.STARTED)
+                refuse(
+                    harness, order, StartOutcome.UNHEALTHY if is_refused else StartOutcome.STARTED
+                )
                 started.add(order.task.job)
-        assert OTHER in started, f"paused: {sorted(paused(rig))}"
+        assert OTHER in started, f"paused: {sorted(paused(harness))}"
 
 
 class TestServiceThatFailsAtOnce:
     """A task that goes on until cancelled is started again however often it fails."""
 
-    def play(self, seconds: float) -> tuple[Rig, int]:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
-        rig.submit(make_job(make_step(1, cores=500, is_long_running=True)))
+    def run_for(self, seconds: float) -> tuple[Rig, int]:
+        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness.submit(make_job(make_step(1, cores=500, is_long_running=True)))
         starts = 0
         for position in range(1, round(seconds / 0.1)):
-            rig.now += 0.1
-            show(rig, {})
-            orders = rig.step()
-            rig.run_all(orders)
+            harness.now += 0.1
+            show(harness, {})
+            orders = harness.step()
+            harness.run_all(orders)
             starts += len(orders)
             for order in orders:
-                rig.end(order, RunEnd.FAILED, position=position)
-        return rig, starts
+                harness.end(order, RunEnd.FAILED, position=position)
+        return harness, starts
 
     def test_it_does_not_close_all_executors(self) -> None:
-        rig, _ = self.play(60.0)
-        rig.submit(make_job(make_step(1, cores=500), job_id=OTHER))
+        harness, _ = self.run_for(60.0)
+        harness.submit(make_job(make_step(1, cores=500), job_id=OTHER))
         started: set[str] = set()
         for _ in range(20):
-            rig.now += 0.1
-            show(rig, {})
-            started |= {order.task.job for order in rig.step()}
-        assert OTHER in started, f"paused: {sorted(paused(rig))}"
+            harness.now += 0.1
+            show(harness, {})
+            started |= {order.task.job for order in harness.step()}
+        assert OTHER in started, f"paused: {sorted(paused(harness))}"
 
 
-class PacedRig(Rig):
+class ThrottledFillersHarness(Rig):
     """A task that serves on e0 beside fillers on all executors."""
 
     def __init__(self, *, fillers: int) -> None:
@@ -205,7 +207,7 @@
         self.run_all([*self.fillers, *self.serving])
         self.host = self.serving[0].executor_id
 
-    def play(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Let runs work at the pace that their executor was ordered."""
         for _ in range(round(seconds / LISTED_EVERY_S)):
             self.now += LISTED_EVERY_S
@@ -231,95 +233,95 @@
         return tuple(running)
 
 
-class TestFillersThatWeSlowDown:
-    def test_one_that_we_paced_to_nothing_is_no_standstill(self) -> None:
-        rig = PacedRig(fillers=6)
-        rig.play(1.0)
-        rig.tail = 200
+class TestThrottledFillers:
+    def test_a_filler_throttled_to_zero_is_not_stalled(self) -> None:
+        harness = ThrottledFillersHarness(fillers=6)
+        harness.run_for(1.0)
+        harness.tail = 200
         stops = []
         for _ in range(16):
-            rig.play(LISTED_EVERY_S)
-            stops += rig.stops()
-        assert rig.core.executors_by_id[rig.host].filler_percent == 0
-        assert paused(rig) == set()
+            harness.run_for(LISTED_EVERY_S)
+            stops += harness.stops()
+        assert harness.core.executors_by_id[harness.host].filler_percent == 0
+        assert paused(harness) == set()
         assert stops == []
 
-    def test_an_executor_whose_fillers_we_slowed_down_is_not_slow(self) -> None:
-        rig = PacedRig(fillers=6)
-        rig.play(0.5)
-        rig.tail = 200
-        rig.play(2.0)
-        rig.tail = 70
+    def test_an_executor_with_throttled_fillers_is_not_slow(self) -> None:
+        harness = ThrottledFillersHarness(fillers=6)
+        harness.run_for(0.5)
+        harness.tail = 200
+        harness.run_for(2.0)
+        harness.tail = 70
         stops = []
         for _ in range(12):
-            rig.play(LISTED_EVERY_S)
-            stops += rig.stops()
-        assert 0 < rig.core.executors_by_id[rig.host].filler_percent <= 25
-        assert paused(rig) == set()
+            harness.run_for(LISTED_EVERY_S)
+            stops += harness.stops()
+        assert 0 < harness.core.executors_by_id[harness.host].filler_percent <= 25
+        assert paused(harness) == set()
         assert stops == []
 
 
 class TestOverdueGangs:
-    def test_many_of_them_do_not_keep_work_that_earns_something_waiting(self) -> None:
+    def test_many_overdue_gangs_do_not_delay_timely_work(self) -> None:
         """One at a time, but one after the other: each takes the whole cell."""
-        rig = StreamRig(executors=8, load=0.5)
-        rig.play(5.0)
+        harness = StreamRig(executors=8, load=0.5)
+        harness.play(5.0)
         for number in range(10):
             gang = make_step(8, cores=4000, is_gang=True, estimate_s=1.0)
-            late = make_job(gang, job_id=f"e{number:015x}", submitted_at=rig.wall - 60.0)
-            rig.submit(late)
-        came_before = rig._came
-        rig.play(3.0)
-        timely = {job_id(number) for number in range(came_before + 1, rig._came + 1)}
-        rig.play(5.0)
-        waiting = timely - rig.started_jobs
+            late = make_job(gang, job_id=f"e{number:015x}", submitted_at=harness.wall - 60.0)
+            harness.submit(late)
+        came_before = harness._came
+        harness.play(3.0)
+        timely = {job_id(number) for number in range(came_before + 1, harness._came + 1)}
+        harness.play(5.0)
+        waiting = timely - harness.started_jobs
         assert not waiting, f"{len(waiting)} of {len(timely)} missed their objective of 5 s"
 
-    def test_one_without_tickets_does_not_keep_room_for_ever(self) -> None:
-        rig = AwayRig(executors=4)
-        rig.occupy(0, 1, 2, estimate_s=10.0)
-        rig.approve(LAST, 0, 1, 2)
+    def test_one_without_tickets_does_not_reserve_capacity_forever(self) -> None:
+        harness = AdvisorOutageHarness(executors=4)
+        harness.occupy(0, 1, 2, estimate_s=10.0)
+        harness.approve(LAST, 0, 1, 2)
         gang = make_step(3, cores=4000, is_gang=True)
-        rig.submit(make_job(gang, job_id=LAST, queue=ADVISED, submitted_at=rig.wall - 60.0))
-        rig.play(4.0)
-        rig.is_away = True
-        rig.play(4.0)
-        rig.empty(0, 1, 2)
+        harness.submit(make_job(gang, job_id=LAST, queue=ADVISED, submitted_at=harness.wall - 60.0))
+        harness.play(4.0)
+        harness.is_advisor_down = True
+        harness.play(4.0)
+        harness.empty(0, 1, 2)
         timely = {job_id(number) for number in range(4)}
         for each in sorted(timely):
             large = make_step(1, cores=4000, estimate_s=20.0)
-            rig.submit(make_job(large, job_id=each, submitted_at=rig.wall))
-        rig.play(30.0)
-        assert timely <= rig.started_jobs
+            harness.submit(make_job(large, job_id=each, submitted_at=harness.wall))
+        harness.play(30.0)
+        assert timely <= harness.started_jobs
 
 
-class AwayRig(LineRig):
+class AdvisorOutageHarness(LineRig):
     """The advisor answers nothing from some moment on."""
 
-    is_away = False
+    is_advisor_down = False
 
     def _answer_due(self) -> None:
-        if not self.is_away:
+        if not self.is_advisor_down:
             super()._answer_due()
 
 
 class TestGangThatIsDone:
-    def test_a_member_that_does_not_end_gives_its_room_back(self) -> None:
+    def test_a_member_that_does_not_end_frees_its_capacity(self) -> None:
         """The first member that is done makes the gang's step done; the rest was never stopped."""
-        rig = Rig(make_info("e0"), make_info("e1"))
-        rig.submit(make_job(make_step(2, cores=4000, is_gang=True)))
-        done, left = rig.step()
-        rig.run_all([done, left])
-        show(rig, {done: 90, left: 90})
-        rig.end(done, RunEnd.DONE)
-        rig.step()
+        harness = Rig(make_info("e0"), make_info("e1"))
+        harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
+        done, left = harness.step()
+        harness.run_all([done, left])
+        show(harness, {done: 90, left: 90})
+        harness.end(done, RunEnd.DONE)
+        harness.step()
         stops = []
         for _ in range(240):
-            rig.now += LISTED_EVERY_S
-            show(rig, {left: 90})
-            stops += rig.stops()
-            rig.commit()
-        assert stops, f"held for {rig.now - 100.0:.0f} s: {rig.runs_on(left.executor_id)}"
+            harness.now += LISTED_EVERY_S
+            show(harness, {left: 90})
+            stops += harness.stops()
+            harness.commit()
+        assert stops, f"held for {harness.now - 100.0:.0f} s: {harness.runs_on(left.executor_id)}"
 
 
 class TestRowsOfTimedJobs:
@@ -351,96 +353,98 @@
         assert isinstance(decoded, Failure)
 
 
-class TestPatienceWithAGang:
-    def test_it_doubles_whichever_member_was_given_up(self) -> None:
-        rig = Rig(*(make_info(f"e{number}") for number in range(4)))
-        rig.submit(make_job(make_step(3, cores=4000, is_gang=True)))
+class TestGangStallTimeout:
+    def test_it_doubles_whichever_member_stalled(self) -> None:
+        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness.submit(make_job(make_step(3, cores=4000, is_gang=True)))
         waits: list[float] = []
         for still in range(3):
-            orders = rig.step()
-            rig.run_all(orders)
-            began_at = rig.now
+            orders = harness.step()
+            harness.run_all(orders)
+            began_at = harness.now
             for turn in range(60):
-                show(rig, {o: 40 if n == still else 40 + turn // 2 for n, o in enumerate(orders)})
-                if rig.stops():
+                show(
+                    harness, {o: 40 if n == still else 40 + turn // 2 for n, o in enumerate(orders)}
+                )
+                if harness.stops():
                     break
-                rig.now += LISTED_EVERY_S
-            waits.append(rig.now - began_at)
+                harness.now += LISTED_EVERY_S
+            waits.append(harness.now - began_at)
             for order in orders:
-                rig.end(order, RunEnd.STOPPED, position=still + 1)
-            rig.now += 31.0
-            show(rig, {})
+                harness.end(order, RunEnd.STOPPED, position=still + 1)
+            harness.now += 31.0
+            show(harness, {})
         assert waits == [pytest.approx(3.0 * 2.0**n, abs=2 * LISTED_EVERY_S) for n in range(3)]
 
 
-class TestUrgentQuestions:
-    def test_calls_that_wait_for_a_host_are_not_made_again_without_end(self) -> None:
+class TestUrgentAdviceCalls:
+    def test_queued_calls_are_not_repeated_without_bound(self) -> None:
         """Hosts are asked through one call at a time; here they make two a second."""
-        rig = AdvisedRig(executors=4, hosts=3)
+        harness = AdvisedRig(executors=4, hosts=3)
         urgent = replace(ADVISED, name="urgent", priority=0)
-        rig.core.set_queues([QUEUE, ADVISED, urgent])
+        harness.core.set_queues([QUEUE, ADVISED, urgent])
         for number in range(100):
-            rig.submit(make_job(make_step(1), job_id=job_id(number), queue=urgent))
+            harness.submit(make_job(make_step(1), job_id=job_id(number), queue=urgent))
         calls: deque[AskAdvice] = deque()
         for tick in range(300):
-            rig.pass_time(TICK_S)
-            calls.extend(rig.asks())
+            harness.pass_time(TICK_S)
+            calls.extend(harness.asks())
             if tick % 5 == 0 and calls:
-                rig.answer(calls.popleft(), set())
+                harness.answer(calls.popleft(), set())
         assert len(calls) <= 200
 
 
-class TestStandstillWhileDraining:
-    def test_a_run_that_hangs_on_a_draining_executor_is_given_up(self) -> None:
-        rig = Rig(make_info("e0"), make_info("e1"))
-        rig.submit(make_job(make_step(1)))
-        (order,) = rig.step()
-        rig.run_all([order])
+class TestStallWhileDraining:
+    def test_a_run_that_hangs_on_a_draining_executor_is_stopped(self) -> None:
+        harness = Rig(make_info("e0"), make_info("e1"))
+        harness.submit(make_job(make_step(1)))
+        (order,) = harness.step()
+        harness.run_all([order])
         for percent in (0, 20, 40):
-            rig.now += LISTED_EVERY_S
-            show(rig, {order: percent})
-        draining = [replace(i, is_draining=True, leaves_in_s=300.0) for i in rig.infos[:1]]
-        rig.see(*draining, *rig.infos[1:])
+            harness.now += LISTED_EVERY_S
+            show(harness, {order: percent})
+        draining = [replace(i, is_draining=True, leaves_in_s=300.0) for i in harness.infos[:1]]
+        harness.see(*draining, *harness.infos[1:])
         stops = []
         for _ in range(240):
-            rig.now += LISTED_EVERY_S
-            show(rig, {order: 40})
-            stops += rig.stops()
+            harness.now += LISTED_EVERY_S
+            show(harness, {order: 40})
+            stops += harness.stops()
         assert stops, "it has stood still for 120 s"
 
 
-class TestLateTasksThatNeedAWholeExecutor:
+class TestLateTasksThatFillAnExecutor:
     """Gangs that are late are brought forward; a single task is not, and keeps no room either."""
 
-    def test_one_starts_beside_a_stream_of_small_tasks(self) -> None:
-        rig = StreamRig(executors=16, load=0.95)
-        rig.play(5.0)
+    def test_one_starts_despite_a_stream_of_small_tasks(self) -> None:
+        harness = StreamRig(executors=16, load=0.95)
+        harness.play(5.0)
         large = make_step(1, cores=4000, estimate_s=1.0)
-        rig.submit(make_job(large, job_id=LAST, submitted_at=rig.wall - 60.0))
-        rig.play(90.0)
-        assert LAST in rig.started_jobs
+        harness.submit(make_job(large, job_id=LAST, submitted_at=harness.wall - 60.0))
+        harness.play(90.0)
+        assert LAST in harness.started_jobs
 
 
 class TestTicketsThatAreRefused:
     def test_a_gang_avoids_an_executor_that_refused_its_ticket(self) -> None:
         """Its ticket is asked for again, and it is placed there again."""
-        rig = AdvisedRig(executors=3, hosts=6)
-        rig.hand_in(make_step(2, cores=4000, is_gang=True))
-        for ask in rig.asks():
-            rig.answer(ask)
-        for order in rig.step():
+        harness = AdvisedRig(executors=3, hosts=6)
+        harness.hand_in(make_step(2, cores=4000, is_gang=True))
+        for ask in harness.asks():
+            harness.answer(ask)
+        for order in harness.step():
             is_refused = order.executor_id == "e000"
-            refuse(rig, order, StartOutcome.NO_TICKET if is_refused else StartOutcome.STARTED)
+            refuse(harness, order, StartOutcome.NO_TICKET if is_refused else StartOutcome.STARTED)
             if not is_refused:
-                rig.end(order, RunEnd.STOPPED)
-        rig.now += 4.0
-        show(rig, {})
-        for ask in rig.asks():
-            rig.answer(ask)
-        assert {order.executor_id for order in rig.step()} == {"e001", "e002"}
+                harness.end(order, RunEnd.STOPPED)
+        harness.now += 4.0
+        show(harness, {})
+        for ask in harness.asks():
+            harness.answer(ask)
+        assert {order.executor_id for order in harness.step()} == {"e001", "e002"}
 
 
-class PoolRig(HostRig):
+class PoolHarness(HostHarness):
     """A service of three hosts, and one that can be moved in; moves are carried out at once."""
 
     def __init__(self) -> None:
@@ -456,7 +460,7 @@
         spares = [replace(make_info("spare"), labels=("b",))] if self.pool == "s" else []
         self.see(*(make_info(name) for name in self.names), *spares)
 
-    def play(self, seconds: float) -> set[str]:
+    def run_for(self, seconds: float) -> set[str]:
         """Let runs go on without an end; return the jobs that were started."""
         started: set[str] = set()
         for _ in range(round(seconds)):
@@ -480,26 +484,26 @@
         return started
 
 
-class TestHostsThatWereMovedIn:
-    def test_one_that_can_not_be_given_back_is_used_by_what_waits_for_it(self) -> None:
+class TestMovedHosts:
+    def test_a_host_that_cannot_be_returned_serves_waiting_tasks(self) -> None:
         """It is closed while the load is low, also if a task goes on there until cancelled."""
-        rig = PoolRig()
+        harness = PoolHarness()
         full = make_step(4, cores=4000, estimate_s=200.0)
-        rig.submit(make_job(full, job_id=OTHER))
-        rig.play(5.0)
-        assert rig.moves == ["s"]
-        rig.core.cancel(OTHER, wall=rig.wall)
-        rig.commit()
-        for name in (*rig.names, "spare"):
-            rig.listing(name)
+        harness.submit(make_job(full, job_id=OTHER))
+        harness.run_for(5.0)
+        assert harness.moves == ["s"]
+        harness.core.cancel(OTHER, wall=harness.wall)
+        harness.commit()
+        for name in (*harness.names, "spare"):
+            harness.listing(name)
         serves = make_step(1, cores=500, is_long_running=True, label="b")
-        rig.submit(make_job(serves))
-        assert rig.play(20.0) >= {JOB}
-        rig.submit(make_job(make_step(4, cores=3000, is_gang=True), job_id=LAST))
-        assert LAST in rig.play(60.0)
-
-    def test_work_that_no_host_can_help_does_not_move_hosts_to_and_fro(self) -> None:
-        rig = PoolRig()
-        rig.submit(make_job(make_step(50, cores=4000, is_gang=True)))
-        rig.play(120.0)
-        assert len(rig.moves) <= 2
+        harness.submit(make_job(serves))
+        assert harness.run_for(20.0) >= {JOB}
+        harness.submit(make_job(make_step(4, cores=3000, is_gang=True), job_id=LAST))
+        assert LAST in harness.run_for(60.0)
+
+    def test_a_job_that_cannot_fit_does_not_move_hosts_back_and_forth(self) -> None:
+        harness = PoolHarness()
+        harness.submit(make_job(make_step(50, cores=4000, is_gang=True)))
+        harness.run_for(120.0)
+        assert len(harness.moves) <= 2
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -15,9 +15,9 @@
 from galenastall.coordination.cell.commands import AskAdvice, Note, StartOrder
 from galenastall.coordination.cell.executors import Closed, Cordon, Executor
 from galenastall.coordination.cell.explain_logs import parse_lines
-from galenastall.coordination.cell.explain_reasons import reasons_by_queue, tell_reasons
-from galenastall.coordination.cell.explain_restarts import tell_restarts
-from galenastall.coordination.cell.explain_waiting import JobWait, tell_waits, waits_of
+from galenastall.coordination.cell.explain_reasons import format_reasons, reasons_by_queue
+from galenastall.coordination.cell.explain_restarts import format_restarts
+from galenastall.coordination.cell.explain_waiting import JobWait, format_waits, waits_of
 from galenastall.coordination.cell.lease_clock import LeaseClock
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.coordination.cell.orders import StartOutcome
@@ -32,10 +32,10 @@
 )
 from galenastall.coordination.cell.wait_reasons import SOON_S, WaitReason, why_not_gang
 from galenastall.coordination.cell.waiting_report import (
-    LINES_AT_ONCE,
+    JOB_REPORT_INTERVAL_S,
     LONG_WAIT_S,
-    MOST_COUNTS,
-    TELL_AGAIN_S,
+    MAX_COUNTS,
+    MAX_JOB_LINES,
 )
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.state.cell.jobs import AdvisorTiming, Step, StepKey, TaskKey
@@ -50,7 +50,7 @@
 """Thousandths of a core that an executor has."""
 
 
-class SightRig(Rig):
+class WaitReportHarness(Rig):
     """A core of some executors, and what it tells."""
 
     def __init__(self, *, executors: int = 2, hosts: int = 6) -> None:
@@ -60,7 +60,7 @@
         self.asks: list[AskAdvice] = []
         self.percent = 0
 
-    def hand_in(self, step: Step, job_id: str = JOB) -> None:
+    def submit_advised(self, step: Step, job_id: str = JOB) -> None:
         self.submit(make_job(step, job_id=job_id, queue=ADVISED))
 
     def fill(self, executors: int, *, cores: int = FULL, estimate_s: float = 9.0) -> None:
@@ -110,152 +110,155 @@
         return self.core.take_notes()
 
 
-def told(notes: list[Note], event: str) -> list[dict[str, str]]:
+def fields_of(notes: list[Note], event: str) -> list[dict[str, str]]:
     return [note.fields for note in notes if note.step == event]
 
 
 class TestReasonsWithoutAdvisor:
     def test_an_empty_fleet(self) -> None:
-        rig = SightRig(executors=0)
-        rig.submit(make_job(make_step(1)))
-        assert rig.why() is WaitReason.NONE_OPEN
+        harness = WaitReportHarness(executors=0)
+        harness.submit(make_job(make_step(1)))
+        assert harness.why() is WaitReason.NONE_OPEN
 
     def test_no_executor_carries_the_label(self) -> None:
-        rig = SightRig()
-        rig.submit(make_job(make_step(1, label="b")))
-        assert rig.why() is WaitReason.NONE_OPEN
-
-    def test_no_room_for_one_more_task(self) -> None:
-        rig = SightRig(executors=1)
-        rig.submit(make_job(make_step(3, cores=3000)))
-        assert rig.why() is WaitReason.NO_ROOM
-
-    def test_room_that_is_kept_for_a_gang(self) -> None:
-        rig = SightRig(executors=2)
-        rig.fill(1, estimate_s=1.0)
-        rig.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
-        rig.now += 0.4
-        rig.submit(make_job(make_step(1, cores=1000, estimate_s=60.0), job_id=OTHER))
-        assert rig.why(OTHER) is WaitReason.ROOM_KEPT
-        assert rig.reason() is WaitReason.ROOM_SOON
-
-    def test_room_that_comes_later(self) -> None:
-        rig = SightRig(executors=2)
-        rig.fill(2, estimate_s=9.0)
-        rig.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
-        assert rig.why() is WaitReason.ROOM_LATER
-
-    def test_room_that_never_comes(self) -> None:
-        rig = SightRig(executors=2)
-        rig.submit(make_job(make_step(3, cores=FULL, is_gang=True)))
-        assert rig.why() is WaitReason.NO_ROOM_AHEAD
-
-    def test_appends_that_fail(self) -> None:
-        rig = SightRig(executors=1)
-        rig.submit(make_job(make_step(1)))
-        rig.decide(may_place=False)
-        assert rig.reason() is WaitReason.STORE_AWAY
-
-    def test_steps_beyond_the_line(self) -> None:
-        rig = SightRig(executors=1)
-        rig.fill(1)
+        harness = WaitReportHarness()
+        harness.submit(make_job(make_step(1, label="b")))
+        assert harness.why() is WaitReason.NONE_OPEN
+
+    def test_no_capacity_for_another_task(self) -> None:
+        harness = WaitReportHarness(executors=1)
+        harness.submit(make_job(make_step(3, cores=3000)))
+        assert harness.why() is WaitReason.NO_ROOM
+
+    def test_capacity_reserved_for_a_gang(self) -> None:
+        harness = WaitReportHarness(executors=2)
+        harness.fill(1, estimate_s=1.0)
+        harness.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
+        harness.now += 0.4
+        harness.submit(make_job(make_step(1, cores=1000, estimate_s=60.0), job_id=OTHER))
+        assert harness.why(OTHER) is WaitReason.ROOM_KEPT
+        assert harness.reason() is WaitReason.ROOM_SOON
+
+    def test_capacity_available_later(self) -> None:
+        harness = WaitReportHarness(executors=2)
+        harness.fill(2, estimate_s=9.0)
+        harness.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
+        assert harness.why() is WaitReason.ROOM_LATER
+
+    def test_capacity_that_never_becomes_available(self) -> None:
+        harness = WaitReportHarness(executors=2)
+        harness.submit(make_job(make_step(3, cores=FULL, is_gang=True)))
+        assert harness.why() is WaitReason.NO_ROOM_AHEAD
+
+    def test_failed_appends(self) -> None:
+        harness = WaitReportHarness(executors=1)
+        harness.submit(make_job(make_step(1)))
+        harness.decide(may_place=False)
+        assert harness.reason() is WaitReason.STORE_AWAY
+
+    def test_steps_beyond_the_decision_limit(self) -> None:
+        harness = WaitReportHarness(executors=1)
+        harness.fill(1)
         for number in range(STEPS_PER_DECISION + 7):
-            rig.submit(make_job(make_step(1), job_id=f"a{number:015x}"))
-        (load,) = told(rig.wait(1), "cell.load")
+            harness.submit(make_job(make_step(1), job_id=f"a{number:015x}"))
+        (load,) = fields_of(harness.wait(1), "cell.load")
         assert load["not_looked_at"] == "7"
-        assert rig.core.waiting_by_reason[WaitReason.NOT_LOOKED_AT] == 7
+        assert harness.core.waiting_by_reason[WaitReason.NOT_LOOKED_AT] == 7
 
-    def test_a_step_that_was_started_is_not_told_of(self) -> None:
-        rig = SightRig(executors=1)
-        rig.submit(make_job(make_step(1)))
-        assert told(rig.wait(2), "cell.waiting") == []
-        assert rig.core.waiting_by_reason == {}
+    def test_a_started_step_is_not_reported(self) -> None:
+        harness = WaitReportHarness(executors=1)
+        harness.submit(make_job(make_step(1)))
+        assert fields_of(harness.wait(2), "cell.waiting") == []
+        assert harness.core.waiting_by_reason == {}
 
 
 class TestReasonsWithAdvisor:
-    def gang(self, *, executors: int = 4, hosts: int = 6, count: int = 2) -> SightRig:
-        rig = SightRig(executors=executors, hosts=hosts)
-        rig.hand_in(make_step(count, cores=FULL, is_gang=True))
-        return rig
+    def gang(self, *, executors: int = 4, hosts: int = 6, count: int = 2) -> WaitReportHarness:
+        harness = WaitReportHarness(executors=executors, hosts=hosts)
+        harness.submit_advised(make_step(count, cores=FULL, is_gang=True))
+        return harness
 
     def test_the_first_call_and_one_that_failed(self) -> None:
-        rig = self.gang()
-        assert rig.why() is WaitReason.ADVICE_ASKED
-        (ask,) = rig.asks
-        rig.core.on_advice_failed(ask, now=rig.now)
-        assert rig.why() is WaitReason.ADVICE_FAILED
-
-    def test_no_host_is_free_to_ask(self) -> None:
-        rig = SightRig(executors=4, hosts=1)
+        harness = self.gang()
+        assert harness.why() is WaitReason.ADVICE_ASKED
+        (ask,) = harness.asks
+        harness.core.on_advice_failed(ask, now=harness.now)
+        assert harness.why() is WaitReason.ADVICE_FAILED
+
+    def test_no_host_is_free_for_a_call(self) -> None:
+        harness = WaitReportHarness(executors=4, hosts=1)
         for job_id in (JOB, OTHER):
-            rig.hand_in(make_step(2, cores=FULL, is_gang=True), job_id)
-        rig.decide()
-        assert {rig.reason(), rig.reason(OTHER)} == {WaitReason.ADVICE_ASKED, WaitReason.NO_HOST}
+            harness.submit_advised(make_step(2, cores=FULL, is_gang=True), job_id)
+        harness.decide()
+        assert {harness.reason(), harness.reason(OTHER)} == {
+            WaitReason.ADVICE_ASKED,
+            WaitReason.NO_HOST,
+        }
 
     def test_none_is_approved(self) -> None:
-        rig = self.gang()
-        rig.decide()
-        rig.answer()
-        assert rig.why() is WaitReason.NONE_APPROVED
+        harness = self.gang()
+        harness.decide()
+        harness.answer()
+        assert harness.why() is WaitReason.NONE_APPROVED
 
     def test_all_that_are_approved_are_closed(self) -> None:
-        rig = self.gang()
-        rig.decide()
-        rig.answer("e000", "e001")
+        harness = self.gang()
+        harness.decide()
+        harness.answer("e000", "e001")
         for executor_id in ("e000", "e001"):
-            rig.core.executors_by_id[executor_id].cordons.add(Cordon.WAVE)
-        assert rig.why() is WaitReason.APPROVED_CLOSED
-
-    def test_tickets_that_have_run_out_are_asked_for_again(self) -> None:
-        rig = self.gang()
-        rig.decide()
-        rig.answer("e000", "e001")
-        rig.now += TIMING.validity_s
-        rig.answer_listings()
-        assert rig.why() is WaitReason.TICKETS_ASKED
-
-    def test_tickets_have_run_out_and_no_host_is_free(self) -> None:
-        rig = self.gang(hosts=1)
-        rig.decide()
-        rig.answer("e000", "e001")
-        rig.now += TIMING.validity_s
-        rig.answer_listings()
-        rig.core._advice.begin(StepKey(OTHER, 0, 0), ("e000",), rig.now)
-        assert rig.why() is WaitReason.NO_HOST
-
-    def test_gangs_beyond_the_plan(self) -> None:
-        rig = SightRig(executors=2, hosts=99)
-        rig.fill(2)
+            harness.core.executors_by_id[executor_id].cordons.add(Cordon.WAVE)
+        assert harness.why() is WaitReason.APPROVED_CLOSED
+
+    def test_expired_tickets_are_requested_again(self) -> None:
+        harness = self.gang()
+        harness.decide()
+        harness.answer("e000", "e001")
+        harness.now += TIMING.validity_s
+        harness.answer_listings()
+        assert harness.why() is WaitReason.TICKETS_ASKED
+
+    def test_expired_tickets_and_no_free_host(self) -> None:
+        harness = self.gang(hosts=1)
+        harness.decide()
+        harness.answer("e000", "e001")
+        harness.now += TIMING.validity_s
+        harness.answer_listings()
+        harness.core._advice.begin(StepKey(OTHER, 0, 0), ("e000",), harness.now)
+        assert harness.why() is WaitReason.NO_HOST
+
+    def test_gangs_beyond_the_reservation_plan(self) -> None:
+        harness = WaitReportHarness(executors=2, hosts=99)
+        harness.fill(2)
         ids = [f"a{number:015x}" for number in range(PLANNED_GANGS + 1)]
         for job_id in ids:
-            rig.hand_in(make_step(2, cores=FULL, is_gang=True), job_id)
-        rig.decide()
-        rig.answer("e000", "e001")
-        rig.decide()
-        reasons = [rig.reason(job_id) for job_id in ids]
+            harness.submit_advised(make_step(2, cores=FULL, is_gang=True), job_id)
+        harness.decide()
+        harness.answer("e000", "e001")
+        harness.decide()
+        reasons = [harness.reason(job_id) for job_id in ids]
         assert reasons.count(WaitReason.ROOM_LATER) == 1
         # One is planned; of the others a decision looks at so many in vain.
         assert reasons.count(WaitReason.NO_ROOM_AHEAD) == FRUITLESS_PLANS
         assert reasons.count(WaitReason.NOT_PLANNED) == PLANNED_GANGS - FRUITLESS_PLANS
         # Later decisions look at all of them: who is left out has its turn.
-        (counts,) = told(rig.wait(1), "cell.waiting")
+        (counts,) = fields_of(harness.wait(1), "cell.waiting")
         assert counts["advised:planned_for_others"] == str(PLANNED_GANGS)
 
     def test_single_tasks_on_full_executors(self) -> None:
-        rig = SightRig(executors=2)
-        rig.fill(2)
-        rig.hand_in(make_step(1, cores=1000))
-        assert rig.why() is WaitReason.ADVICE_ASKED
-        rig.answer("e000")
-        assert rig.why() is WaitReason.NO_ROOM
+        harness = WaitReportHarness(executors=2)
+        harness.fill(2)
+        harness.submit_advised(make_step(1, cores=1000))
+        assert harness.why() is WaitReason.ADVICE_ASKED
+        harness.answer("e000")
+        assert harness.why() is WaitReason.NO_ROOM
 
     def test_members_of_the_last_run_are_still_ending(self) -> None:
-        rig = SightRig(executors=2)
-        rig.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
-        orders = rig.step()
-        rig.run_all(orders)
-        rig.end(orders[0], RunEnd.FAILED)
-        assert rig.why() is WaitReason.LAST_RUN_ENDING
+        harness = WaitReportHarness(executors=2)
+        harness.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
+        orders = harness.step()
+        harness.run_all(orders)
+        harness.end(orders[0], RunEnd.FAILED)
+        assert harness.why() is WaitReason.LAST_RUN_ENDING
 
     @pytest.mark.parametrize(
         ("may_plan", "is_planned", "reason"),
@@ -268,69 +271,69 @@
     def test_a_gang_for_which_no_call_was_made_though_a_host_was_free(
         self, may_plan: bool, is_planned: bool, reason: WaitReason
     ) -> None:
-        rig = self.gang()
-        rig.decide()
-        rig.answer("e000", "e001")
-        (waiting,) = rig.core._placer._line.in_order(now=rig.now, wall=rig.wall)
-        planned = PlannedStart(at=rig.now, slots=()) if is_planned else None
-        usable, plan = rig.core.executors_by_id, rig.core.plan
+        harness = self.gang()
+        harness.decide()
+        harness.answer("e000", "e001")
+        (waiting,) = harness.core._placer._line.in_order(now=harness.now, wall=harness.wall)
+        planned = PlannedStart(at=harness.now, slots=()) if is_planned else None
+        usable, plan = harness.core.executors_by_id, harness.core.plan
         why = why_not_gang(waiting, usable, plan, planned, may_plan=may_plan, can_ask=True)
         assert why is reason
 
-    def test_room_is_near_for_as_long_as_the_placer_says(self) -> None:
+    def test_soon_means_the_same_as_for_the_placer(self) -> None:
         assert SOON_S == TICKETED_SOON_S
 
 
-class TestSharperReasons:
+class TestRefinedReasons:
     """What a report finds out of gangs that a decision planned."""
 
-    def reasons(self, rig: SightRig) -> set[str]:
-        (counts,) = told(rig.wait(1), "cell.waiting")
+    def reasons(self, harness: WaitReportHarness) -> set[str]:
+        (counts,) = fields_of(harness.wait(1), "cell.waiting")
         return set(counts)
 
-    def approve(self, rig: SightRig, *names: str) -> None:
-        rig.decide()
-        rig.answer(*names)
+    def approve(self, harness: WaitReportHarness, *names: str) -> None:
+        harness.decide()
+        harness.answer(*names)
 
     def test_too_few_are_approved_even_if_they_were_empty(self) -> None:
-        rig = SightRig(executors=4)
-        rig.hand_in(make_step(2, cores=FULL, is_gang=True))
-        self.approve(rig, "e000")
-        assert self.reasons(rig) == {"advised:too_few_approved"}
+        harness = WaitReportHarness(executors=4)
+        harness.submit_advised(make_step(2, cores=FULL, is_gang=True))
+        self.approve(harness, "e000")
+        assert self.reasons(harness) == {"advised:too_few_approved"}
 
     def test_enough_are_approved_and_some_are_closed(self) -> None:
-        rig = SightRig(executors=4)
-        rig.hand_in(make_step(2, cores=FULL, is_gang=True))
-        self.approve(rig, "e000", "e001")
-        rig.core.executors_by_id["e001"].paused_until = rig.now + 60.0
-        assert self.reasons(rig) == {"advised:approved_closed"}
+        harness = WaitReportHarness(executors=4)
+        harness.submit_advised(make_step(2, cores=FULL, is_gang=True))
+        self.approve(harness, "e000", "e001")
+        harness.core.executors_by_id["e001"].paused_until = harness.now + 60.0
+        assert self.reasons(harness) == {"advised:approved_closed"}
 
     def test_a_service_that_is_too_small(self) -> None:
-        rig = SightRig(executors=2)
-        rig.submit(make_job(make_step(3, cores=FULL, is_gang=True)))
-        assert self.reasons(rig) == {"q:too_few_approved"}
+        harness = WaitReportHarness(executors=2)
+        harness.submit(make_job(make_step(3, cores=FULL, is_gang=True)))
+        assert self.reasons(harness) == {"q:too_few_approved"}
 
-    def test_room_that_is_free_is_kept_for_a_gang_before_it(self) -> None:
-        rig = SightRig(executors=4)
-        rig.fill(1, estimate_s=9.0)
+    def test_free_capacity_is_reserved_for_an_earlier_gang(self) -> None:
+        harness = WaitReportHarness(executors=4)
+        harness.fill(1, estimate_s=9.0)
         step = make_step(4, cores=FULL, is_gang=True)
-        rig.submit(make_job(step, job_id="a" * 16))
-        rig.submit(make_job(replace(step, count=3, estimate_s=60.0), job_id="b" * 16))
-        assert self.reasons(rig) == {"q:room_later", "q:room_kept"}
+        harness.submit(make_job(step, job_id="a" * 16))
+        harness.submit(make_job(replace(step, count=3, estimate_s=60.0), job_id="b" * 16))
+        assert self.reasons(harness) == {"q:room_later", "q:room_kept"}
 
 
-class TestLinesOfJobs:
-    def blocked(self, jobs: int) -> SightRig:
-        rig = SightRig(executors=1)
-        rig.fill(1)
+class TestJobLines:
+    def blocked(self, jobs: int) -> WaitReportHarness:
+        harness = WaitReportHarness(executors=1)
+        harness.fill(1)
         for number in range(jobs):
-            rig.submit(make_job(make_step(2, cores=3000), job_id=f"a{number:015x}"))
-        return rig
+            harness.submit(make_job(make_step(2, cores=3000), job_id=f"a{number:015x}"))
+        return harness
 
-    def test_a_job_is_told_once_it_has_waited_long_and_seldom_again(self) -> None:
-        rig = self.blocked(1)
-        assert told(rig.wait(int(LONG_WAIT_S)), "job.waiting") == []
-        lines = told(rig.wait(2 * int(TELL_AGAIN_S)), "job.waiting")
+    def test_a_job_is_reported_after_a_long_wait_and_then_at_intervals(self) -> None:
+        harness = self.blocked(1)
+        assert fields_of(harness.wait(int(LONG_WAIT_S)), "job.waiting") == []
+        lines = fields_of(harness.wait(2 * int(JOB_REPORT_INTERVAL_S)), "job.waiting")
         assert len(lines) == 2
         expected = {
             "queue": "q",
@@ -347,45 +350,43 @@
         assert expected.items() <= lines[0].items()
         assert float(lines[0]["waited_s"]) >= LONG_WAIT_S
 
-    def test_lines_in_a_second_are_bounded_and_all_jobs_come_in_turn(self) -> None:
-        jobs = 3 * LINES_AT_ONCE
-        rig = self.blocked(jobs)
-        rig.wait(int(LONG_WAIT_S))
+    def test_lines_per_second_are_bounded_and_jobs_rotate(self) -> None:
+        jobs = 3 * MAX_JOB_LINES
+        harness = self.blocked(jobs)
+        harness.wait(int(LONG_WAIT_S))
         seconds = [
-            [note for note in rig.wait(1) if note.step == "job.waiting"]
-            for _ in range(int(TELL_AGAIN_S))
+            [note for note in harness.wait(1) if note.step == "job.waiting"]
+            for _ in range(int(JOB_REPORT_INTERVAL_S))
         ]
-        assert max(len(notes) for notes in seconds) == LINES_AT_ONCE
+        assert max(len(notes) for notes in seconds) == MAX_JOB_LINES
         ids = [note.subjects[0] for notes in seconds for note in notes]
         assert len(ids) == len(set(ids)) == jobs
-        assert LINES_AT_ONCE < LINES_A_SECOND / 10
+        assert MAX_JOB_LINES < LINES_A_SECOND / 10
 
-    @pytest.mark.parametrize(("comes_another", "lines"), [(True, 0), (False, 1)])
-    def test_a_start_of_one_task_begins_the_wait_anew(
-        self, comes_another: bool, lines: int
-    ) -> None:
-        rig = SightRig(executors=1)
-        rig.submit(make_job(make_step(3, cores=3000)))
-        rig.wait(int(LONG_WAIT_S) - 1)
-        if comes_another:
-            rig.see(make_info("e000"), make_info("e001"))
-        assert len(told(rig.wait(int(LONG_WAIT_S) - 1), "job.waiting")) == lines
+    @pytest.mark.parametrize(("is_fleet_growing", "lines"), [(True, 0), (False, 1)])
+    def test_a_start_of_one_task_resets_the_wait(self, is_fleet_growing: bool, lines: int) -> None:
+        harness = WaitReportHarness(executors=1)
+        harness.submit(make_job(make_step(3, cores=3000)))
+        harness.wait(int(LONG_WAIT_S) - 1)
+        if is_fleet_growing:
+            harness.see(make_info("e000"), make_info("e001"))
+        assert len(fields_of(harness.wait(int(LONG_WAIT_S) - 1), "job.waiting")) == lines
 
     def test_counts_are_bounded(self) -> None:
-        rig = SightRig(executors=1)
-        rig.fill(1)
-        for number in range(MOST_COUNTS + 5):
+        harness = WaitReportHarness(executors=1)
+        harness.fill(1)
+        for number in range(MAX_COUNTS + 5):
             queue = replace(QUEUE, name=f"q{number}")
-            rig.submit(make_job(make_step(1), job_id=f"a{number:015x}", queue=queue))
-        (counts,) = told(rig.wait(1), "cell.waiting")
-        assert len(counts) == MOST_COUNTS + 1
+            harness.submit(make_job(make_step(1), job_id=f"a{number:015x}", queue=queue))
+        (counts,) = fields_of(harness.wait(1), "cell.waiting")
+        assert len(counts) == MAX_COUNTS + 1
         assert counts["others"] == "5"
 
 
 class TestClosedExecutors:
     def executor(self) -> Executor:
-        rig = SightRig(executors=1)
-        return rig.core.executors_by_id["e000"]
+        harness = WaitReportHarness(executors=1)
+        return harness.core.executors_by_id["e000"]
 
     def why(self, executor: Executor, now: float = 100.0) -> Closed | None:
         why = executor.why_closed(now=now, reach_s=1.5, delisted_grace_s=2.0)
@@ -398,7 +399,7 @@
     @pytest.mark.parametrize(
         ("field", "closed"), [("is_draining", Closed.DRAINING), ("is_usable", Closed.UNUSABLE)]
     )
-    def test_what_the_list_says(self, field: str, closed: Closed) -> None:
+    def test_closed_by_the_executor_list(self, field: str, closed: Closed) -> None:
         executor = self.executor()
         value = not getattr(executor.info, field)
         executor.set_info(replace(executor.info, **{field: value}))  # type: ignore[arg-type]
@@ -415,12 +416,12 @@
             ("answered_at", None, Closed.NOT_ANSWERED),
         ],
     )
-    def test_what_the_leader_knows(self, field: str, value: object, closed: Closed) -> None:
+    def test_closed_by_the_leader(self, field: str, value: object, closed: Closed) -> None:
         executor = self.executor()
         setattr(executor, field, value)
         assert self.why(executor) is closed
 
-    def test_one_that_is_off_the_list_for_longer_than_the_grace(self) -> None:
+    def test_an_executor_delisted_for_longer_than_the_grace_period(self) -> None:
         executor = self.executor()
         executor.is_listed = False
         executor.delisted_at = 99.0
@@ -428,41 +429,41 @@
         executor.delisted_at = 97.0
         assert self.why(executor) is Closed.DELISTED
 
-    def test_one_that_was_never_heard(self) -> None:
-        clock = LeaseClock(timings=SightRig().core.timings, unknown_until=0.0)
+    def test_an_executor_that_never_answered(self) -> None:
+        clock = LeaseClock(timings=WaitReportHarness().core.timings, unknown_until=0.0)
         executor = Executor(info=make_info("e1"), clock=clock, now=100.0)
         assert self.why(executor) is Closed.NOT_ANSWERED
 
     def test_the_load_report_counts_them_by_reason(self) -> None:
-        rig = SightRig(executors=4)
-        rig.core.executors_by_id["e000"].cordons.add(Cordon.WAVE)
-        rig.core.executors_by_id["e001"].paused_until = rig.now + 60.0
-        rig.core.executors_by_id["e002"].paused_until = rig.now + 60.0
-        (load,) = told(rig.wait(1), "cell.load")
+        harness = WaitReportHarness(executors=4)
+        harness.core.executors_by_id["e000"].cordons.add(Cordon.WAVE)
+        harness.core.executors_by_id["e001"].paused_until = harness.now + 60.0
+        harness.core.executors_by_id["e002"].paused_until = harness.now + 60.0
+        (load,) = fields_of(harness.wait(1), "cell.load")
         expected = {"open": "1", "closed_cordoned": "1", "closed_paused": "2"}
         assert expected.items() <= load.items()
         assert {name for name in load if name.startswith("closed_")} == expected.keys() - {"open"}
 
     def test_the_load_report_counts_calls_for_advice(self) -> None:
-        rig = SightRig(executors=4, hosts=6)
-        rig.hand_in(make_step(1))
-        (load,) = told(rig.wait(1), "cell.load")
+        harness = WaitReportHarness(executors=4, hosts=6)
+        harness.submit_advised(make_step(1))
+        (load,) = fields_of(harness.wait(1), "cell.load")
         assert load["advice_calls"] == "1"
         assert load["advice_calls_at_once"] == "6"
 
 
 class TestStops:
-    def stalled(self) -> tuple[SightRig, list[Note]]:
+    def stalled(self) -> tuple[WaitReportHarness, list[Note]]:
         """Run a gang of two whose members both stand still at 40 percent."""
-        rig = SightRig(executors=2)
-        rig.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
-        rig.run_all(rig.step())
-        rig.answer_listings(40)
+        harness = WaitReportHarness(executors=2)
+        harness.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
+        harness.run_all(harness.step())
+        harness.answer_listings(40)
         for _ in range(int(STILL_S) + 1):
-            rig.now += 1.0
-            rig.answer_listings(40)
-            rig.decide()
-        return rig, [note for note in rig.core.take_notes() if note.step == "run.stop"]
+            harness.now += 1.0
+            harness.answer_listings(40)
+            harness.decide()
+        return harness, [note for note in harness.core.take_notes() if note.step == "run.stop"]
 
     def test_a_stop_names_rule_percent_executor_and_how_often(self) -> None:
         _, notes = self.stalled()
@@ -472,30 +473,30 @@
         assert fields["executor"] in {"e000", "e001"}
         assert fields["stopped_so_far"] == "1"
 
-    def test_a_gang_s_run_counts_once(self) -> None:
-        rig, notes = self.stalled()
+    def test_a_gang_run_counts_once(self) -> None:
+        harness, notes = self.stalled()
         assert len(notes) == 2
-        assert rig.core.stopped_by_rule == {StopRule.STANDS_STILL: 1}
+        assert harness.core.stopped_by_rule == {StopRule.STANDS_STILL: 1}
 
-    def test_the_job_s_line_tells_them(self) -> None:
-        rig, _ = self.stalled()
+    def test_stops_appear_in_the_line_of_the_job(self) -> None:
+        harness, _ = self.stalled()
         for executor_id in ("e000", "e001"):
-            rig.listing(executor_id)
-            rig.core.executors_by_id[executor_id].paused_until = rig.now + 60.0
-        for task in list(rig.core.jobs_by_id[JOB].tasks()):
-            rig.core._ends.apply(task.key, 1, RunEnd.STOPPED, wall=rig.wall)
-        lines = told(rig.wait(int(LONG_WAIT_S) + 2), "job.waiting")
+            harness.listing(executor_id)
+            harness.core.executors_by_id[executor_id].paused_until = harness.now + 60.0
+        for task in list(harness.core.jobs_by_id[JOB].tasks()):
+            harness.core._ends.apply(task.key, 1, RunEnd.STOPPED, wall=harness.wall)
+        lines = fields_of(harness.wait(int(LONG_WAIT_S) + 2), "job.waiting")
         assert lines[0]["stops"] == "stands_still:1"
         assert lines[0]["runs"] == "1"
         assert lines[0]["reason"] == "none_open"
 
     def test_a_start_without_an_answer(self) -> None:
-        rig = SightRig(executors=1)
-        rig.submit(make_job(make_step(1)))
-        (order,) = rig.step()
-        for _ in range(rig.core.timings.start_tries):
-            rig.core.on_start(order, StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
-        assert rig.core.stopped_by_rule == {StopRule.NO_ANSWER: 1}
+        harness = WaitReportHarness(executors=1)
+        harness.submit(make_job(make_step(1)))
+        (order,) = harness.step()
+        for _ in range(harness.core.timings.start_tries):
+            harness.core.on_start(order, StartOutcome.UNKNOWN, now=harness.now, wall=harness.wall)
+        assert harness.core.stopped_by_rule == {StopRule.NO_ANSWER: 1}
 
     def test_single_tasks_count_each(self) -> None:
         stops = JobStops()
@@ -507,7 +508,7 @@
         assert stops.by_rule == {StopRule.SLOW_EXECUTOR: 3}
 
 
-class _Standing:
+class _LeadershipState:
     """What the gauges read of a host that leads."""
 
     is_leading = True
@@ -520,7 +521,7 @@
 
 
 class _Host:
-    standing = _Standing()
+    standing = _LeadershipState()
 
 
 class TestMetrics:
@@ -533,7 +534,7 @@
         assert 'galenastall_stopped_runs{rule="stands_still"} 2.0' in page
 
 
-class TestPages:
+class TestDocumentation:
     """What the guide names is what the lines name."""
 
     PAGE = Path(__file__).parents[1] / "docs" / "guide" / "observability.md"
@@ -588,18 +589,18 @@
     def test_waits_after_the_first_start_reach_to_the_end_of_the_log(self) -> None:
         wait = self.wait(*STOPPED)
         assert wait.total_s == pytest.approx(1.0)
-        assert wait.again_s == pytest.approx(91.0)
+        assert wait.restart_wait_s == pytest.approx(91.0)
         assert wait.restarts.runs == 2
         assert wait.restarts.is_waiting
 
-    def test_a_gang_s_run_that_was_stopped_is_told_once(self) -> None:
+    def test_a_stopped_gang_run_is_listed_once(self) -> None:
         assert self.wait(*STOPPED).restarts.stops == (
             ("stands_still", "40"),
             ("stands_still", "41"),
         )
 
     def test_stops_and_reasons_are_in_the_text(self) -> None:
-        text = "\n".join(tell_waits(waits_of(parse_lines(STOPPED)), longest=1))
+        text = "\n".join(format_waits(waits_of(parse_lines(STOPPED)), longest=1))
         assert "between runs 91.000 s" in text
         assert "2 runs; the longest time from the end of a run to the next 90.000 s" in text
         assert "and not again since the last" in text
@@ -610,14 +611,14 @@
         stop = line(3.0, "run.stop", "a", "0.0.0", run="1", rule="job_ended", stopped_so_far="1")
         wait = self.wait(line(1.0, "job.accepted", "a", queue="q"), stop)
         assert wait.restarts.stops == ()
-        assert tell_restarts(wait.restarts) == []
+        assert format_restarts(wait.restarts) == []
 
     @pytest.mark.parametrize(
-        ("is_told", "waited_s"),
+        ("is_reported", "waited_s"),
         [(False, 0.0), (True, 5.0)],
     )
-    def test_a_member_that_was_cut_off_from_a_gang_that_is_done_does_not_wait(
-        self, is_told: bool, waited_s: float
+    def test_a_lapsed_member_of_a_finished_gang_does_not_wait(
+        self, is_reported: bool, waited_s: float
     ) -> None:
         texts = [
             line(1.0, "job.accepted", "a", queue="q"),
@@ -627,17 +628,17 @@
             line(5.0, "run.ended", "a", "0.0.1", run="1", cause="lapsed"),
             line(10.0, "job.ended", "a"),
         ]
-        if is_told:
+        if is_reported:
             texts.append(line(9.9, "job.waiting", "a", "0.0", reason="no_room"))
-        assert self.wait(*texts).again_s == pytest.approx(waited_s)
+        assert self.wait(*texts).restart_wait_s == pytest.approx(waited_s)
 
     def test_reasons_are_summed_by_queue(self) -> None:
         sums = reasons_by_queue(parse_lines(STOPPED))
         assert sums == {"gangs": {"room_kept": 5, "no_host": 1}}
-        (text,) = tell_reasons(sums)
+        (text,) = format_reasons(sums)
         assert text.endswith("room_kept 5, no_host 1")
 
-    def test_the_command_tells_all_of_it(self, tmp_path: Path) -> None:
+    def test_the_command_prints_reasons_and_stops(self, tmp_path: Path) -> None:
         (tmp_path / "one.log").write_text("\n".join(STOPPED))
         result = CliRunner().invoke(app, ["explain", "--logs", str(tmp_path), "--waiting"])
         assert result.exit_code == 0, result.output
--- a/tests/test_cell_succession.py
+++ b/tests/test_cell_succession.py
@@ -9,13 +9,13 @@
 from cell.play import check_all_end, hand_in, play
 from cell.world import World
 from galenastall.coordination.cell.succession import (
-    BEHIND_LAG_S,
-    CALM_LAG_S,
-    KNOWN_FOR_S,
-    SETTLED_S,
-    STORE_REFUSES_S,
-    STORE_SILENT_S,
-    Contender,
+    LAG_GRACE_S,
+    MAX_CANDIDATE_LAG_S,
+    MIN_CANDIDATE_UPTIME_S,
+    OVERLOAD_LAG_S,
+    STORE_FAILURE_LIMIT_S,
+    STORE_REFUSAL_LIMIT_S,
+    Candidate,
     LeaderHealth,
     handover_of,
     heaviest_of,
@@ -241,7 +241,7 @@
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             first = await cluster.wait_for_leader()
             await hand_in(cluster, world, rng, 10, 0.05)
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(LAG_GRACE_S)
             begun_at = trio.current_time()
             with trio.move_on_after(2.0):
                 while cluster.leader == first:
@@ -263,7 +263,7 @@
     ) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await cluster.wait_for_leader()
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(LAG_GRACE_S)
             before = len(world.store.claims)
             for _ in range(400):
                 for live in cluster.live.values():
@@ -295,7 +295,7 @@
             else:
                 world.faults.cut.add((first, "store"))
             await cluster.wait_for_other_leader(first)
-            longest_s = STORE_REFUSES_S if kind == "refused" else STORE_SILENT_S
+            longest_s = STORE_REFUSAL_LIMIT_S if kind == "refused" else STORE_FAILURE_LIMIT_S
             assert trio.current_time() - begun_at < longest_s + CAN_LEAD_WITHIN_S + 0.25
             await trio.sleep(5.0)
             await check_all_end(cluster)
@@ -334,16 +334,16 @@
         await play(scenario, seed=seed, hosts=5)
 
 
-def contender(host: str, weight: float = 1.0, **fields: object) -> Contender:
+def contender(host: str, weight: float = 1.0, **fields: object) -> Candidate:
     known = {"uptime_s": 60.0, "lag_s": 0.0, "is_willing": True, **fields}
-    return Contender(host=host, weight=weight, **known)  # type: ignore[arg-type]
+    return Candidate(host=host, weight=weight, **known)  # type: ignore[arg-type]
 
 
 def health(weight: float = 1.0, lag_s: float = 0.0, **fields: float) -> LeaderHealth:
     return LeaderHealth(weight=weight, lag_s=lag_s, **{"leads_for_s": 60.0, **fields})
 
 
-LATE = 2.0 * BEHIND_LAG_S
+LATE = 2.0 * OVERLOAD_LAG_S
 
 
 class TestSuccession:
@@ -354,21 +354,21 @@
             (health(LARGE), contender("b", LARGE), False),
             (health(LARGE), contender("b", SMALL), False),
             (health(SMALL), contender("b", SMALL * 1.2), False),
-            (health(SMALL), contender("b", LARGE, uptime_s=KNOWN_FOR_S / 2), False),
-            (health(SMALL), contender("b", LARGE, lag_s=2 * CALM_LAG_S), False),
+            (health(SMALL), contender("b", LARGE, uptime_s=MIN_CANDIDATE_UPTIME_S / 2), False),
+            (health(SMALL), contender("b", LARGE, lag_s=2 * MAX_CANDIDATE_LAG_S), False),
             (health(SMALL), contender("b", LARGE, is_willing=False), False),
             (health(LARGE, LATE), contender("b", LARGE), True),
             (health(LARGE, LATE), contender("b", SMALL), False),
-            (health(LARGE, LATE, leads_for_s=SETTLED_S / 2), contender("b", LARGE), False),
+            (health(LARGE, LATE, leads_for_s=LAG_GRACE_S / 2), contender("b", LARGE), False),
             (health(LARGE, LATE), contender("b", LARGE, lag_s=LATE), False),
-            (health(store_refuses_s=2 * STORE_REFUSES_S), contender("b"), True),
-            (health(store_refuses_s=STORE_REFUSES_S / 2), contender("b"), False),
-            (health(store_silent_s=2 * STORE_SILENT_S), contender("b", SMALL), True),
-            (health(store_silent_s=STORE_SILENT_S / 2), contender("b"), False),
+            (health(store_refuses_s=2 * STORE_REFUSAL_LIMIT_S), contender("b"), True),
+            (health(store_refuses_s=STORE_REFUSAL_LIMIT_S / 2), contender("b"), False),
+            (health(store_failing_s=2 * STORE_FAILURE_LIMIT_S), contender("b", SMALL), True),
+            (health(store_failing_s=STORE_FAILURE_LIMIT_S / 2), contender("b"), False),
         ],
     )
     def test_a_leader_hands_over_to_a_better_host_only(
-        self, leader: LeaderHealth, other: Contender, is_handed_over: bool
+        self, leader: LeaderHealth, other: Candidate, is_handed_over: bool
     ) -> None:
         assert (handover_of(leader, [other]) is not None) is is_handed_over
 
@@ -378,7 +378,7 @@
         assert by_weight is not None
         assert by_weight.cause == "b has 2.15 cores and this host 0.516"
         assert by_lag is not None
-        assert (by_lag.is_behind, "0.31 s late" in by_lag.cause) == (True, True)
+        assert (by_lag.is_overloaded, "0.31 s late" in by_lag.cause) == (True, True)
 
     def test_who_keeps_up_goes_before_who_is_heavier_and_the_youngest_goes_first(self) -> None:
         late = contender("late", LARGE, lag_s=LATE)
@@ -398,13 +398,13 @@
     def test_a_process_that_was_frozen_has_not_fallen_behind(self) -> None:
         lag = LoopLag()
         lag.add(5.0)
-        assert lag.seconds < CALM_LAG_S
+        assert lag.seconds < MAX_CANDIDATE_LAG_S
 
     def test_a_second_of_late_wake_ups_has(self) -> None:
         lag = LoopLag()
         for _ in range(20):
             lag.add(LONGEST_SAMPLE_S)
-        assert lag.seconds > BEHIND_LAG_S
+        assert lag.seconds > OVERLOAD_LAG_S
 
 
 class TestToldAddresses:
--- a/tests/test_cell_workspaces.py
+++ b/tests/test_cell_workspaces.py
@@ -11,31 +11,29 @@
 from galenastall.coordination.cell.config_age import OUTDATED_AFTER_S, is_outdated
 from galenastall.protocol.cell.messages import SubmitVerdict
 from galenastall.state.cell.phases import JobPhase
-from galenastall.state.cell.workspaces import Workspace, may_see
+from galenastall.state.cell.workspaces import Workspace, may_access
 from galenastall.state.errors import Reason
 
 A = Workspace(name="a")
 B = Workspace(name="b")
-SPREADS_WITHIN_S = 2.0
+PROPAGATION_S = 2.0
 
 
-class TestSight:
+class TestVisibility:
     @pytest.mark.parametrize(
         ("owner", "workspace", "seen"),
         [("a", "a", True), ("a", "b", False), ("a", "", False), ("", "a", True), ("", "", True)],
     )
     def test_a_job_is_seen_by_its_owner(self, owner: str, workspace: str, seen: bool) -> None:
-        assert may_see(owner=owner, workspace=workspace) is seen
+        assert may_access(owner=owner, workspace=workspace) is seen
 
-    async def test_a_job_of_another_workspace_is_as_if_not_there(
-        self, autojump_clock: object
-    ) -> None:
+    async def test_a_job_of_another_workspace_is_not_found(self, autojump_clock: object) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await cluster.wait_for_leader()
             world.set_workspaces(A)
             job = make_job(world, rng, 1)
             world.set_workspaces(A, B)
-            await trio.sleep(SPREADS_WITHIN_S)
+            await trio.sleep(PROPAGATION_S)
             assert await cluster.submit(job)
             desk = cluster.live["entry-1"].host.desk
             assert (await desk.phase(job.job_id, patience_s=3.0, workspace="b")).unwrap() is None
@@ -52,7 +50,7 @@
 
 class TestOutdated:
     @pytest.mark.parametrize(
-        ("version", "own_for_s", "outdated"),
+        ("version", "held_for_s", "outdated"),
         [
             (7, OUTDATED_AFTER_S, False),
             (6, OUTDATED_AFTER_S, True),
@@ -62,18 +60,18 @@
         ],
     )
     def test_an_older_version_is_outdated_after_a_while(
-        self, version: int, own_for_s: float, outdated: bool
+        self, version: int, held_for_s: float, outdated: bool
     ) -> None:
-        assert is_outdated(version=version, own_version=7, own_for_s=own_for_s) is outdated
+        assert is_outdated(version=version, own_version=7, held_for_s=held_for_s) is outdated
 
-    async def test_a_call_by_an_outdated_version_is_let_in_anew(
+    async def test_a_call_admitted_by_an_outdated_version_is_admitted_again(
         self, autojump_clock: object
     ) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await cluster.wait_for_leader()
             old = world.config.version
             world.set_workspaces(A)
-            await trio.sleep(SPREADS_WITHIN_S + OUTDATED_AFTER_S)
+            await trio.sleep(PROPAGATION_S + OUTDATED_AFTER_S)
             job = make_job(world, rng, 1)
             world.jobs[job.job_id] = job
             desk = cluster.live["entry-1"].host.desk
@@ -89,9 +87,9 @@
         await play(scenario, seed=4)
 
 
-class TestVersionsTravel:
+class TestConfigPropagation:
     @pytest.mark.parametrize("refused", ["a follower", "the leader"])
-    async def test_a_host_that_the_store_refuses_follows_through_others(
+    async def test_a_host_that_the_store_refuses_gets_versions_from_others(
         self, autojump_clock: object, refused: str
     ) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
@@ -101,14 +99,12 @@
             name = leader if refused == "the leader" else follower
             world.faults.store_refuses.add(name)
             world.set_workspaces(A)
-            await trio.sleep(SPREADS_WITHIN_S)
+            await trio.sleep(PROPAGATION_S)
             assert cluster.live[name].host.config.version == world.config.version
 
         await play(scenario, seed=5)
 
-    async def test_a_look_brings_a_version_that_no_read_has_brought_yet(
-        self, autojump_clock: object
-    ) -> None:
+    async def test_a_refresh_fetches_a_version_not_read_yet(self, autojump_clock: object) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
@@ -119,17 +115,17 @@
 
         await play(scenario, seed=6)
 
-    async def test_many_who_wait_share_a_look(self, autojump_clock: object) -> None:
+    async def test_concurrent_refreshes_share_one_read(self, autojump_clock: object) -> None:
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             config = cluster.live["entry-0"].host.config
-            looks = 0
+            reads = 0
             newest = config._port.newest
 
             async def count() -> object:
-                nonlocal looks
-                looks += 1
+                nonlocal reads
+                reads += 1
                 return await newest()
 
             config._port.newest = count  # type: ignore[method-assign, assignment]
@@ -137,6 +133,6 @@
                 for _ in range(50):
                     nursery.start_soon(config.look)
             await config.look()
-            assert looks == 1
+            assert reads == 1
 
         await play(scenario, seed=7)
--- a/tests/test_explain_waiting.py
+++ b/tests/test_explain_waiting.py
@@ -8,7 +8,7 @@
 
 from galenastall.cli.app import app
 from galenastall.coordination.cell.explain_logs import LogLine, parse_lines
-from galenastall.coordination.cell.explain_waiting import JobWait, tell_waits, waits_of
+from galenastall.coordination.cell.explain_waiting import JobWait, format_waits, waits_of
 
 START_S = 1_000.0
 
@@ -34,14 +34,14 @@
 
 
 class TestWaits:
-    def test_calls_at_once_count_once_and_the_rest_is_room(self) -> None:
+    def test_concurrent_calls_count_once_and_the_rest_is_capacity(self) -> None:
         wait = waits(*GANG)["a"]
         assert wait.has_started
         assert wait.advice_s == pytest.approx(2.2)
-        assert wait.room_s == pytest.approx(2.8)
+        assert wait.capacity_s == pytest.approx(2.8)
         assert wait.store_s == 0.0
 
-    def test_an_outage_goes_before_advice_and_room(self) -> None:
+    def test_an_outage_takes_precedence_over_advice_and_capacity(self) -> None:
         outage = (line(3.0, "store.lost"), line(5.5, "store.regained"))
         wait = waits(*GANG, *outage)["a"]
         assert wait.store_s == pytest.approx(2.5)
@@ -69,11 +69,11 @@
             line(1.0, "job.accepted", "b", queue="gangs"),
             line(1.0, "run.assigned", "b", "0.0.0"),
         )
-        told = tell_waits(waits_of(parse_lines([*GANG, *short])), longest=1)
-        assert told[0].startswith("gangs: 2 jobs accepted, 2 started; ")
-        assert "for room 1.400 s" in told[0]
-        assert len(told) == 2
-        assert told[1].startswith("  a of gangs: 5.000 s, first start; ")
+        lines = format_waits(waits_of(parse_lines([*GANG, *short])), longest=1)
+        assert lines[0].startswith("gangs: 2 jobs accepted, 2 started; ")
+        assert "for room 1.400 s" in lines[0]
+        assert len(lines) == 2
+        assert lines[1].startswith("  a of gangs: 5.000 s, first start; ")
 
 
 class TestCommand:
--- a/tests/test_log_stories.py
+++ b/tests/test_log_stories.py
@@ -7,39 +7,39 @@
 from typer.testing import CliRunner
 
 from galenastall.cli.app import app
-from galenastall.coordination.cell.explain_logs import parse_lines, tell
+from galenastall.coordination.cell.explain_logs import explain_job, parse_lines
 
 ROOT = Path(__file__).parent.parent
 LINES = (ROOT / "tests" / "data" / "three_jobs.log").read_text()
 
 
-class TestStories:
+class TestJobSummaries:
     def test_a_refused_job(self) -> None:
-        story = tell(parse_lines(LINES.splitlines()), "5aaef4c568bb7c5b")
-        assert story.verdict == "refused 1 times, not run: the store is away"
-        assert [line.event for line in story.lines] == ["store.lost", "job.refused"]
+        summary = explain_job(parse_lines(LINES.splitlines()), "5aaef4c568bb7c5b")
+        assert summary.verdict == "refused 1 times, not run: the store is away"
+        assert [line.event for line in summary.lines] == ["store.lost", "job.refused"]
 
     def test_a_job_shown_as_failed(self) -> None:
-        story = tell(parse_lines(LINES.splitlines()), "b26dec3770259b18")
-        assert story.verdict.startswith("failed 0.724 s after acceptance: 1 of 1 runs failed")
-        assert "0.0.0 run 1 on i-1" in story.verdict
+        summary = explain_job(parse_lines(LINES.splitlines()), "b26dec3770259b18")
+        assert summary.verdict.startswith("failed 0.724 s after acceptance: 1 of 1 runs failed")
+        assert "0.0.0 run 1 on i-1" in summary.verdict
 
     def test_a_job_that_was_late(self) -> None:
-        story = tell(parse_lines(LINES.splitlines()), "52b970c5ea38398b")
-        assert story.verdict == "completed 2.900 s after acceptance: all tasks are done"
-        assert story.delays[0].startswith("1.500 s between run.assigned and run.ended")
-        assert "leader.claimed on two" in story.delays[0]
-        assert story.delays[-1] == "0.0.0 run 1 ended as lapsed"
+        summary = explain_job(parse_lines(LINES.splitlines()), "52b970c5ea38398b")
+        assert summary.verdict == "completed 2.900 s after acceptance: all tasks are done"
+        assert summary.delays[0].startswith("1.500 s between run.assigned and run.ended")
+        assert "leader.claimed on two" in summary.delays[0]
+        assert summary.delays[-1] == "0.0.0 run 1 ended as lapsed"
 
     def test_an_id_that_no_line_is_about(self) -> None:
-        story = tell(parse_lines(LINES.splitlines()), "0" * 16)
-        assert story.verdict.startswith("no line is about")
+        summary = explain_job(parse_lines(LINES.splitlines()), "0" * 16)
+        assert summary.verdict.startswith("no line is about")
 
     def test_all_incarnations_of_an_executor_are_found_by_its_name(self) -> None:
         line = '{"at":"1.0","process":"p","event":"executor.lost","subjects":["i-1@5"]}'
-        assert len(tell(parse_lines([line]), "i-1").lines) == 1
-        assert len(tell(parse_lines([line]), "i-1@5").lines) == 1
-        assert tell(parse_lines([line]), "i").lines == ()
+        assert len(explain_job(parse_lines([line]), "i-1").lines) == 1
+        assert len(explain_job(parse_lines([line]), "i-1@5").lines) == 1
+        assert explain_job(parse_lines([line]), "i").lines == ()
 
     def test_events_of_one_millisecond_keep_their_order(self) -> None:
         lines = parse_lines(LINES.splitlines())
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -359,18 +359,20 @@
             store = PlatformStore(
                 calls=make_calls(), address=await at(nursery, StoreFace(page_keys=3))
             )
-            first = (await store.claim(host_id="a", address="a:1", weight=1.0, tip=0)).unwrap()
-            tip = (await store.look()).unwrap().tip
-            second = (await store.claim(host_id="b", address="b:1", weight=1.0, tip=tip)).unwrap()
+            first = (await store.claim(host_id="a", address="a:1", weight=1.0, log_end=0)).unwrap()
+            log_end = (await store.poll()).unwrap().log_end
+            second = (
+                await store.claim(host_id="b", address="b:1", weight=1.0, log_end=log_end)
+            ).unwrap()
             assert second > first
-            late = await store.claim(host_id="c", address="c:1", weight=1.0, tip=tip)
+            late = await store.claim(host_id="c", address="c:1", weight=1.0, log_end=log_end)
             assert late.failure().reason is Reason.CONFLICT
             assert not isinstance(await store.fence(token=second), Failure)
             refused = await store.append(
                 token=first, sequence=1, values_by_key={"k": b"old"}, timeout_s=1.0
             )
             assert refused.failure().reason is Reason.CONFLICT
-            view = (await store.look()).unwrap()
+            view = (await store.poll()).unwrap()
             assert view.leader is not None
             assert (view.leader.host_id, view.leader.token) == ("b", second)
             assert (await store.load()).unwrap() == {}
@@ -387,7 +389,7 @@
                 )
                 assert not isinstance(answer, Failure)
             assert (await store.load()).unwrap() == values
-            assert (await store.look()).unwrap().tip == 8
+            assert (await store.poll()).unwrap().log_end == 8
             nursery.cancel_scope.cancel()
 
     async def test_a_page_that_fails_is_read_again_and_those_before_it_are_not(self) -> None:
@@ -649,11 +651,11 @@
         async with trio.open_nursery() as nursery:
             port, store = await make_hosts_port(nursery, HostsFace())
             for _ in range(2):
-                told = await port.tell_wave(3, is_completed=False, token=5, sequence=1)
+                told = await port.report_wave(3, is_completed=False, token=5, sequence=1)
                 assert not isinstance(told, Failure)
             assert store.value("keyed.status", "wave/3") == {"state": "running"}
             assert store.topics["keyed.status"].end == 1
-            late = await port.tell_wave(3, is_completed=True, token=4, sequence=1)
+            late = await port.report_wave(3, is_completed=True, token=4, sequence=1)
             assert late.failure().reason is Reason.CONFLICT
             nursery.cancel_scope.cancel()
 
