--- a/src/galenastall/platform/advisor.py
+++ b/src/galenastall/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The platform's placement advisor."""
+"""Client of the platform's placement advisor."""
 
 from typing import Final
 
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result
 
 from galenastall.coordination.cell.advice import Approval
-from galenastall.platform.calls import Address, PlatformCalls, decode_answer, refused
+from galenastall.platform.calls import AddressProvider, PlatformCalls, decode_answer, to_failure
 from galenastall.platform.names import step_name
 from galenastall.protocol.cell.messages import AdviceAnswer
 from galenastall.state.cell.executor_ids import executor_name
@@ -18,13 +18,13 @@
 
 
 class WireAdvice(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """Rows of executor and ticket, and how long the tickets are good."""
+    """Rows of executor and ticket, and how long the tickets are valid."""
 
     approved: list[tuple[str, str]] = []
     validity_ms: float = 0.0
 
     def to_answer(self, executor_ids: tuple[str, ...]) -> AdviceAnswer:
-        """Return the product's type, of a call that asked about `executor_ids`."""
+        """Convert to the internal type, for a request about `executor_ids`."""
         ids_by_name = {executor_name(executor_id): executor_id for executor_id in executor_ids}
         return AdviceAnswer(
             approved=tuple(
@@ -39,8 +39,8 @@
 class PlatformAdvisor:
     """AdvisorPort over HTTP."""
 
-    def __init__(self, *, calls: PlatformCalls, address: Address) -> None:
-        """Ask the service at `address`."""
+    def __init__(self, *, calls: PlatformCalls, address: AddressProvider) -> None:
+        """Query the service at `address`."""
         self._calls = calls
         self._address = address
 
@@ -60,8 +60,8 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status != _OK:
-            return refused(whole, step=_STEP, peer=self._address())
-        advice = decode_answer(whole, WireAdvice, step=_STEP, peer=self._address())
+        response = answer.unwrap()
+        if response.status != _OK:
+            return to_failure(response, step=_STEP, peer=self._address())
+        advice = decode_answer(response, WireAdvice, step=_STEP, peer=self._address())
         return advice.map(lambda found: found.to_answer(executor_ids))
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -1,4 +1,4 @@
-"""The stand-in as a whole: a store, executors that register themselves, and the advisor."""
+"""The complete stand-in: a store, executors that register themselves, and the advisor."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -7,8 +7,8 @@
 import trio
 
 from galenastall.coordination.cell.executors import ExecutorInfo
-from galenastall.platform.standin.executor_face import AdvisorFace, ExecutorFace
-from galenastall.platform.standin.log_face import StoreFace
+from galenastall.platform.standin.executor_routes import AdvisorRoutes, ExecutorRoutes
+from galenastall.platform.standin.log_store import StandinStore
 from galenastall.protocol.clock import Clock
 from galenastall.standin.cell.executors import Executor
 from galenastall.standin.cell.live_world import LiveWorld
@@ -22,19 +22,19 @@
 from galenastall.transport.http_server import HttpServer
 
 HEARTBEAT_S: Final = 1.5
-"""Between two writes of an executor's entry."""
+"""Interval between writes of an executor's entry."""
 LOOPBACK: Final = "127.0.0.1:0"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StandinPlan:
-    """What the stand-in has."""
+    """What the stand-in consists of."""
 
     executors_by_data_centre: dict[str, int]
     service: str = "service"
     capacity: Resources = Resources(cores_milli=32_000, memory_mb=65_536)
     advice_ms: float = 10.0
-    """What a call for advice takes."""
+    """Configured duration of a call for advice."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -61,23 +61,23 @@
         }
 
     def to_workspace(self) -> Workspace:
-        """Return what the watch over the executors judges by."""
+        """Return the workspace whose limit the simulation checks starts against."""
         return Workspace(name=self.name, weight=self.weight, limit=self.limit)
 
 
 class PlatformStandin:
-    """Serves all of it on loopback until cancelled."""
+    """Serves the store, the executors and the advisor on loopback until cancelled."""
 
     def __init__(self, *, plan: StandinPlan, clock: Clock) -> None:
-        """Build the faces of `plan`; `run` serves them."""
-        self.store = StoreFace()
-        self.world = LiveWorld()
-        self.advisor = AdvisorFace()
+        """Build the parts; `run` starts the executors of `plan` and serves everything."""
+        self.store = StandinStore()
+        self.simulation = LiveWorld()
+        self.advisor = AdvisorRoutes()
         self.store_address = ""
         self.advisor_address = ""
         self._plan = plan
         self._clock = clock
-        self._started = 0
+        self._executors_added = 0
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve; reports started once all executors are listed."""
@@ -89,48 +89,48 @@
                     await self._add_executor(nursery, data_centre)
             task_status.started()
 
-    async def _serve(self, nursery: trio.Nursery, face: object) -> str:
-        server = HttpServer(handlers=[face], clock=self._clock, bind=LOOPBACK)
+    async def _serve(self, nursery: trio.Nursery, routes: object) -> str:
+        server = HttpServer(handlers=[routes], clock=self._clock, bind=LOOPBACK)
         await nursery.start(server.run)
         return server.address
 
     async def _add_executor(self, nursery: trio.Nursery, data_centre: str) -> None:
-        self._started += 1
-        name = f"executor-{self._started}"
-        face = ExecutorFace(world=self.world, executor_id=name)
+        self._executors_added += 1
+        name = f"executor-{self._executors_added}"
+        routes = ExecutorRoutes(simulation=self.simulation, executor_id=name)
         info = ExecutorInfo(
             executor_id=self._new_id(name),
-            host=f"host-{self._started}",
-            address=await self._serve(nursery, face),
+            host=f"host-{self._executors_added}",
+            address=await self._serve(nursery, routes),
             data_centre=data_centre,
             service=self._plan.service,
             capacity=self._plan.capacity,
             labels=("a", f"{data_centre}-rack"),
         )
-        self._begin(name, info)
-        nursery.start_soon(self._beat, name)
+        self._start_executor(name, info)
+        nursery.start_soon(self._run_heartbeats, name)
 
     def restart(self, name: str) -> None:
-        """Have an executor start again under its name; it knows nothing of before."""
-        earlier = self.world.executors[name]
-        self.world.crash(earlier)
-        self.world.earlier.append(earlier)
-        self._begin(name, replace(earlier.info, executor_id=self._new_id(name)))
+        """Restart an executor under its name; it loses its state."""
+        earlier = self.simulation.executors[name]
+        self.simulation.crash(earlier)
+        self.simulation.earlier.append(earlier)
+        self._start_executor(name, replace(earlier.info, executor_id=self._new_id(name)))
 
     def _new_id(self, name: str) -> str:
         return make_executor_id(name, int(self._clock.wall() * 1000))
 
-    def _begin(self, name: str, info: ExecutorInfo) -> None:
-        executor = Executor(world=self.world, info=info)
-        self.world.executors[name] = executor
+    def _start_executor(self, name: str, info: ExecutorInfo) -> None:
+        executor = Executor(world=self.simulation, info=info)
+        self.simulation.executors[name] = executor
         self._register(executor, 0)
 
-    async def _beat(self, name: str) -> None:
+    async def _run_heartbeats(self, name: str) -> None:
         sequence = 0
         while True:
             await trio.sleep(HEARTBEAT_S)
             sequence += 1
-            self._register(self.world.executors[name], sequence)
+            self._register(self.simulation.executors[name], sequence)
 
     def _register(self, executor: Executor, sequence: int) -> None:
         info = executor.info
@@ -157,17 +157,17 @@
         version: int = 1,
         tenants: Iterable[StandinTenant] | None = None,
     ) -> None:
-        """Write a configuration as the operator does; None for one without tenants."""
+        """Write a configuration as the operator does; `tenants` is None if it has none."""
         services = [{"name": self._plan.service}]
         value = {"version": version, "routes": list(routes), "services": services}
         if tenants is not None:
             listed = list(tenants)
             value["tenants"] = [tenant.to_wire() for tenant in listed]
-            self.world.quotas.set_workspaces(tenant.to_workspace() for tenant in listed)
+            self.simulation.quotas.set_workspaces(tenant.to_workspace() for tenant in listed)
         self.store.put("keyed.op", "config", value)
 
     def make_route(self, name: str, *, priority: int = 1, attempts: int = 2) -> dict[str, Any]:
-        """Return a queue whose requests begin with its name."""
+        """Return the configuration of a queue, whose request paths begin with its name."""
         return {
             "name": name,
             "host": "standin.example",
--- a/src/galenastall/platform/submissions.py
+++ b/src/galenastall/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Jobs as callers of the platform hand them in, decoded into the product's types."""
+"""Decodes the job submissions of the platform's callers into internal types."""
 
 from typing import Final
 
@@ -12,17 +12,17 @@
 from galenastall.transport.http_json import decode_json
 
 PAYLOAD_LIMIT_BYTES: Final = 4_000
-"""Longest specification, as the platform states it."""
-TASKS_AT_MOST: Final = 4_000
-"""Tasks of one job; far above what callers send. Its progress is one row of up to 63 bytes a task,
-and the store takes records of 256 KiB."""
-REPETITIONS_AT_MOST: Final = 1_000_000
-"""Times that a job runs: one each second for eleven days."""
+"""Longest specification, as defined by the platform."""
+MAX_TASKS: Final = 4_000
+"""Tasks of one job; far above what callers send. A job's progress is one row with up to 63 bytes
+per task, and the store accepts records of 256 KiB."""
+MAX_REPETITIONS: Final = 1_000_000
+"""Occurrences of one job: one each second for eleven days."""
 _STEP: Final = "job.decode"
 
 
 class WireStep(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """One step; fields that are 0, false or empty are left out by callers."""
+    """One step; callers omit fields that are 0, false or empty."""
 
     count: int = 0
     cpu: int = 0
@@ -34,7 +34,7 @@
     gang_scheduled: bool = False
     same_rack: bool = False
     requirements: str = ""
-    """One label."""
+    """One label that the executor must have."""
     data_rack: str = ""
     anti_affinity: int = 0
     """Most tasks of the step on one executor."""
@@ -46,7 +46,7 @@
     allow_miss: int = 0
 
     def to_step(self) -> Step:
-        """Return the product's type; a filler's processor time is not reserved."""
+        """Convert to the internal type; no CPU is reserved for a filler task."""
         need = Resources(
             cores_milli=0 if self.fills else self.cpu,
             memory_mb=self.memory_request_mb,
@@ -82,7 +82,7 @@
     interval_ms: float = 0.0
 
     def recurrence(self) -> Recurrence | None:
-        """Return when its steps run again, None for a job that runs once."""
+        """Return when its steps run again; None for a job that runs once."""
         if self.repetitions <= 0:
             return None
         return Recurrence(
@@ -128,8 +128,8 @@
         return f"specification: at most {PAYLOAD_LIMIT_BYTES} bytes, got {size}"
     if not wire.steps:
         return "steps: expected at least one, got []"
-    if wire.repetitions > REPETITIONS_AT_MOST:
-        return f"repetitions: at most {REPETITIONS_AT_MOST}, got {wire.repetitions}"
+    if wire.repetitions > MAX_REPETITIONS:
+        return f"repetitions: at most {MAX_REPETITIONS}, got {wire.repetitions}"
     if wire.repetitions > 0 and wire.interval_ms < 0:
         return f"intervalMs: expected 0 or more, got {wire.interval_ms}"
     for index, step in enumerate(wire.steps):
@@ -137,14 +137,14 @@
         if problem:
             return f"steps[{index}].{problem}"
     tasks = sum(step.count for step in wire.steps)
-    if tasks > TASKS_AT_MOST:
-        return f"steps: at most {TASKS_AT_MOST} tasks together, got {tasks}"
+    if tasks > MAX_TASKS:
+        return f"steps: at most {MAX_TASKS} tasks together, got {tasks}"
     return ""
 
 
 def _problem_of_step(step: WireStep, index: int) -> str:
-    if not 1 <= step.count <= TASKS_AT_MOST:
-        return f"count: expected 1 to {TASKS_AT_MOST}, got {step.count}"
+    if not 1 <= step.count <= MAX_TASKS:
+        return f"count: expected 1 to {MAX_TASKS}, got {step.count}"
     for name, value in (
         ("cpu", step.cpu),
         ("memoryRequestMb", step.memory_request_mb),
