--- a/src/galenastall/coordination/cell/availability.py
+++ b/src/galenastall/coordination/cell/availability.py
@@ -1,4 +1,4 @@
-"""How many tasks of a service may be taken away at once."""
+"""Limits how many tasks of a service may be unavailable at once."""
 
 from typing import Final
 
@@ -8,19 +8,19 @@
 from galenastall.state.cell.phases import TaskPhase
 
 AVAILABLE_AFTER_S: Final = 5.0
-"""A task counts as away until it has been at work for so long: whoever counts absences over the
-last 4.5 s still sees it as missing before."""
+"""A task counts as unavailable until it has worked at full capacity for this long. Before that, a
+monitor that counts outages over the last 4.5 s still sees it as missing."""
 
 
 class Availability:
-    """Judges by what listings show at work."""
+    """Judges availability by the progress in executor listings."""
 
     def __init__(self, *, state: CellState) -> None:
-        """Read these tables."""
+        """Read the given state."""
         self._state = state
 
     def may_stop(self, step: StepRun, task: TaskRun) -> bool:
-        """Whether a task may be stopped without leaving more away than its step declares."""
+        """Whether a task may be stopped without exceeding `most_unavailable` of its step."""
         limit = step.step.most_unavailable
         if limit <= 0:
             return True
@@ -34,5 +34,5 @@
             return True
         if task.is_stopping or task.percent < WHOLE_PERCENT:
             return True
-        # `percent_at` is when the last percent was gained, so when it began to work in full.
+        # `percent_at` is the time of the last progress: when the task reached full capacity.
         return self._state.now - task.percent_at < AVAILABLE_AFTER_S
--- a/src/galenastall/coordination/cell/config_age.py
+++ b/src/galenastall/coordination/cell/config_age.py
@@ -1,24 +1,25 @@
-"""By whose version of the configuration a call is served; pure.
+"""Decides whether a call was admitted by an outdated configuration version; pure.
 
-Answers this load: keys are taken away, one after the other or all of a workspace's at once, while
-some hosts can't read the configuration. Each call passes through the leader, whom the store
-confirms, so its version decides, and a host that is behind reads anew before it goes on. The other
-ways refuse callers who are in the right: a host that stops serving once its version is old turns
-away all of them in each outage, and one that goes on serves keys that are gone.
+Guards against this failure: keys are revoked, one by one or all of a workspace at once, while some
+hosts cannot read the configuration. Each call passes through the leader, which the store confirms,
+so the leader's version decides, and a host with an older version reads again before it continues.
+Alternatives are worse: a host that stops serving once its version is old rejects all valid callers
+in each outage, and one that continues serves revoked keys.
 """
 
 from typing import Final
 
 OUTDATED_AFTER_S: Final = 1.0
-"""Hosts read a version within some milliseconds; those that have not by then don't reach it."""
+"""Hosts normally read a new version within milliseconds; those that have not after this time cannot
+reach the configuration."""
 UNKNOWN_VERSION: Final = 0
-"""What a host says that does not tell its version."""
+"""Version of a call whose sender does not state one."""
 
 
 def is_outdated(*, version: int, own_version: int, held_for_s: float) -> bool:
-    """Whether a call let in by `version` must be looked at anew.
+    """Return whether a call admitted by `version` must be checked again.
 
-    `own_for_s` is for how long the host that is asked has had its own version.
+    `held_for_s` is how long the receiving host has had its own version.
     """
     if version in {UNKNOWN_VERSION, own_version}:
         return False
--- a/src/galenastall/coordination/cell/election.py
+++ b/src/galenastall/coordination/cell/election.py
@@ -1,9 +1,9 @@
-"""When a standby claims the leadership: beats have stopped, and the state's end stands still.
+"""Decides when a standby claims leadership: no heartbeats, and no progress of the state log.
 
-A host that is far smaller than the heaviest one that could lead lets that one claim first.
+A host with far less weight than the heaviest candidate lets that one claim first.
 
-The store alone decides who leads: a claim's token fences all older leaders. This class only keeps
-standbys from claiming while a leader is well, also one that this host can't hear.
+The store alone decides who leads: the token of a claim fences all earlier leaders. This class only
+prevents claims while a leader is healthy, including one that this host cannot reach.
 """
 
 from dataclasses import dataclass
@@ -14,92 +14,92 @@
 from galenastall.coordination.cell.timings import CellTimings
 
 MAX_POLL_GAP_INTERVALS: Final = 3
-"""Looks at the store further apart than so many of their intervals show no stillness."""
+"""Polls of the store more than this many intervals apart are not evidence of a stalled log."""
 
 
 class ElectionAction(Enum):
-    """What a standby should do next."""
+    """Next action of a standby."""
 
     WAIT = auto()
     POLL_STORE = auto()
-    """Look at the store for signs of the leader."""
+    """Poll the store for the newest claim and the end of the log."""
     CLAIM = auto()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReceivedHeartbeat:
-    """The last heartbeat of the leader with the highest token."""
+    """The last heartbeat received from the leader with the highest token."""
 
     token: int
     leader: str
     received_at: float
     confirm_age_s: float
     heaviest: float = 0.0
-    """Weight of the heaviest host besides the leader that could lead."""
+    """Weight of the heaviest host, other than the leader, that could lead."""
 
     def confirm_age_at(self, now: float) -> float:
-        """Return how long ago the store confirmed the leader, at least."""
+        """Return a lower bound on the time since the store confirmed the leader."""
         return self.confirm_age_s + (now - self.received_at)
 
 
 class Election:
-    """One host's view of who leads, and its patience."""
+    """One host's view of the leader, and when this host may claim."""
 
     def __init__(
         self, *, timings: CellTimings, jitter_s: float, may_start: bool, weight: float
     ) -> None:
-        """`jitter_s` delays this host's claims; `may_start`: the system may be all new."""
+        """`jitter_s` delays this host's claims; `may_start`: there may never have been a leader."""
         self._timings = timings
         self._jitter_s = jitter_s
         self._weight = weight
         self._claimed_weight = 0.0
-        """Weight of the host that made the newest claim seen at the store."""
+        """Weight of the host that made the newest claim in the store."""
         self._may_start = may_start
         self._heartbeat: ReceivedHeartbeat | None = None
         self._token = 0
         self._claimed_token = 0
-        """The newest claim seen at the store; whoever made it may never have learned of it."""
+        """Token of the newest claim in the store; the claimant may not know that it succeeded."""
         self._polled_at = float("-inf")
         self._viewed_at = float("-inf")
-        """When the store last showed anything."""
+        """Time of the last successful poll of the store."""
         self._log_end: int | None = None
         self._log_end_moved_at = 0.0
         self._not_before = 0.0
 
     @property
     def leader(self) -> str:
-        """Host that beats with the highest token; empty if none has been heard."""
+        """Host that sends heartbeats with the highest token; empty if none was received."""
         return self._heartbeat.leader if self._heartbeat else ""
 
     @property
     def token(self) -> int:
-        """The highest token of a leader that was heard."""
+        """The highest token in a received heartbeat."""
         return self._token
 
     @property
     def newest_token(self) -> int:
-        """The highest token that was heard of or seen at the store; a claim comes after it."""
+        """The highest token received or found in the store; a new claim gets a higher one."""
         return max(self._token, self._claimed_token)
 
     @property
     def log_end(self) -> int | None:
-        """The state's end as the last look showed it; a claim comes right there."""
+        """End of the state log at the last poll; a claim is appended at this position."""
         return self._log_end
 
     def has_recent_heartbeat(self, now: float) -> bool:
-        """Whether the leader's beats go on."""
+        """Whether a heartbeat arrived within `beat_silence_s`."""
         if self._heartbeat is None:
             return False
         return now - self._heartbeat.received_at <= self._timings.beat_silence_s
 
     def is_confirmed(self, now: float, longest_s: float) -> bool:
-        """Whether the leader is heard and the store has confirmed it within `longest_s`."""
+        """Whether heartbeats arrive and the store confirmed the leader within `longest_s`."""
         if self._heartbeat is None or not self.has_recent_heartbeat(now):
             return False
         return self._heartbeat.confirm_age_at(now) <= longest_s
 
     def on_heartbeat(self, heartbeat: ReceivedHeartbeat) -> bool:
-        """Take a heartbeat; False if a newer leader is known."""
+        """Record a heartbeat; return False if a newer leader is known."""
         if heartbeat.token < self._token:
             return False
         self._token = heartbeat.token
@@ -121,23 +121,24 @@
         is_orphaned: bool = False,
         claimed_weight: float = 0.0,
     ) -> None:
-        """Take what the store shows; `is_orphaned`: the newest claim is of an earlier one here.
+        """Record a view of the store.
 
-        `claimed_weight` is that of the host that made the newest claim.
+        `is_orphaned`: the newest claim was made by an earlier incarnation of this host. That one no
+        longer runs, so the log need not be watched. After a loss of all hosts this saves 0.35 s and
+        the jitter of a takeover.
 
-        An earlier incarnation of this host is over, so the end need not be watched.
-        After a loss of all hosts that saves 0.35 s and the jitter of a takeover.
+        `claimed_weight` is the weight of the host that made the newest claim.
 
-        What stood between looks that failed is not known: a leader takes a moment to be confirmed
-        again after an outage, and claims at its end cost it 0.7 s and all its tickets.
+        After failed polls the stall is measured anew: a leader needs a moment to be confirmed after
+        an outage of the store, and a claim at that moment costs it 0.7 s and all its tickets.
         """
         if now - self._viewed_at > MAX_POLL_GAP_INTERVALS * self._timings.tip_every_s:
             self._log_end = None
         self._viewed_at = now
         self._claimed_weight = claimed_weight
         if token > self.newest_token:
-            # A newer leader may not have reached this host yet. Until it is heard, the one before
-            # counts: a claim whose answer was lost has no leader, and fences nobody.
+            # Heartbeats of a newer leader may not have arrived yet. Until then the previous leader
+            # counts: a claim whose answer was lost has no leader and fences nobody.
             self._claimed_token = token
             self._log_end_moved_at = now
             self._log_end = log_end
@@ -151,7 +152,7 @@
             self._log_end_moved_at = min(self._log_end_moved_at, now - stalled_s)
 
     def next_action(self, now: float) -> ElectionAction:
-        """Return what to do now."""
+        """Return the action to take now."""
         if not self._is_leader_suspected(now):
             return ElectionAction.WAIT
         if self._log_end is not None and self._is_leader_unresponsive(now):
@@ -167,9 +168,10 @@
 
     @property
     def _required_stall_s(self) -> float:
-        """How long the state's end must stand still before this host claims."""
+        """How long the log end must not move before this host claims."""
         timings = self._timings
-        # A host that has heard nobody yet can't tell silence: it would come before all others.
+        # A host that has received no heartbeat yet cannot judge how long the leader has been
+        # silent; with the shorter delay it would claim before all others.
         silence_s = timings.tip_silence_s if self._heartbeat is not None else timings.beat_silence_s
         heaviest = self._heartbeat.heaviest if self._heartbeat is not None else self._claimed_weight
         light_s = timings.light_delay_s if is_light(self._weight, heaviest) else 0.0
--- a/src/galenastall/coordination/cell/explain_logs.py
+++ b/src/galenastall/coordination/cell/explain_logs.py
@@ -1,4 +1,4 @@
-"""Tell from log lines alone, also of many processes, what became of a job, and why."""
+"""Explains the outcome of a job, and its cause, from log lines of one or many processes."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -22,19 +22,19 @@
         "host.started",
     }
 )
-"""Events that are about no job and may explain what became of one."""
+"""Events that concern no particular job but may explain the outcome of one."""
 LONG_WAIT_S: Final = 0.5
-"""A gap between two of a job's steps that is worth naming."""
+"""Minimum gap between two events of a job that is reported as a delay."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """One line of the log."""
+    """One parsed log line."""
 
     at_s: float
-    """Wall time in seconds of the writing process; processes may differ a little."""
+    """Wall time of the writing process in seconds; clocks of processes may differ slightly."""
     counter: int
-    """Order within one millisecond, as processes heard of each other."""
+    """Logical counter that orders events within one millisecond across processes."""
     process: str
     event: str
     subjects: tuple[str, ...]
@@ -42,7 +42,7 @@
     fields: Mapping[str, str]
 
     def text(self, since_s: float) -> str:
-        """Return the line for people, with its time after `since_s`."""
+        """Return the line as readable text, with its time relative to `since_s`."""
         details = " ".join(f"{key}={value}" for key, value in self.fields.items())
         parts = [f"{self.at_s - since_s:+9.3f} s", self.process, self.event]
         parts += [" ".join(self.subjects[1:]), details, f"({self.cause})" if self.cause else ""]
@@ -51,19 +51,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobSummary:
-    """What became of a job."""
+    """The outcome of a job."""
 
     verdict: str
-    """One sentence, the cause in it."""
+    """One sentence that includes the cause."""
     delays: tuple[str, ...]
-    """Waits and restarts on the way, the longest first."""
+    """Long waits, the longest first, then restarts."""
     lines: tuple[LogLine, ...]
 
 
 def parse_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Return the lines that are log lines, in the order of their times.
+    """Return the texts that are log lines, ordered by time.
 
-    What stands before the first brace is passed over, so that prefixed lines can be read too.
+    Text before the first brace is ignored, so that lines with a prefix can be read too.
     """
     found = [line for text in texts if (line := _parse(text)) is not None]
     return sorted(found, key=lambda line: (line.at_s, line.counter))
@@ -94,10 +94,10 @@
 
 
 def explain_job(lines: Sequence[LogLine], job_id: str) -> JobSummary:
-    """Return the story of a job; its verdict says so if no line is about it."""
+    """Return the summary of a job; its verdict says so if no line is about the job."""
     own = [line for line in lines if any(_is_about(each, job_id) for each in line.subjects)]
     if not own:
-        verdict = f"no line is about {job_id}: it reached no host, or its lines are not here"
+        verdict = f"no line is about {job_id}: it reached no host, or its lines are missing here"
         return JobSummary(verdict=verdict, delays=(), lines=())
     first, last = own[0].at_s, own[-1].at_s
     context = [
@@ -112,7 +112,7 @@
 
 
 def _is_about(subject: str, wanted: str) -> bool:
-    """Whether a subject is what was asked for, or an incarnation of the executor asked for."""
+    """Whether a subject is `wanted`, or an incarnation of the executor of this name."""
     return wanted in {subject, executor_name(subject)}
 
 
@@ -124,12 +124,12 @@
         return _verdict_of_end(own, ends[-1], accepted)
     if accepted:
         last = own[-1]
-        return f"accepted and not ended; last heard of as {last.event} ({last.cause})"
+        return f"accepted and not ended; last event {last.event} ({last.cause})"
     if refusals:
         last = refusals[-1]
-        known = "not run" if last.fields.get("verdict") == "not_run" else "not known whether stored"
+        known = "not run" if last.fields.get("verdict") == "not_run" else "unknown whether stored"
         return f"refused {len(refusals)} times, {known}: {last.cause}"
-    return f"never accepted; last heard of as {own[-1].event} ({own[-1].cause})"
+    return f"never accepted; last event {own[-1].event} ({own[-1].cause})"
 
 
 def _verdict_of_end(own: Sequence[LogLine], end: LogLine, accepted: Sequence[LogLine]) -> str:
@@ -147,7 +147,7 @@
 
 
 def _delays(own: Sequence[LogLine], context: Sequence[LogLine]) -> list[str]:
-    """Return the long gaps of a job with what happened in them, and its restarts."""
+    """Return the long gaps of a job with the context events in them, and its restarts."""
     gaps = [(after.at_s - before.at_s, before, after) for before, after in pairwise(own)]
     gaps.sort(key=lambda gap: -gap[0])
     delays = []
--- a/src/galenastall/coordination/cell/explain_reasons.py
+++ b/src/galenastall/coordination/cell/explain_reasons.py
@@ -1,4 +1,4 @@
-"""Tell from the leader's lines of each second why steps waited, by queue."""
+"""Summarizes by queue why steps waited, from the lines that the leader logs each second."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def reasons_by_queue(lines: Iterable[LogLine]) -> dict[str, Counter[str]]:
-    """Return the sums of the waiting steps that each second's line counts, by queue and reason."""
+    """Return the counts of waiting steps, summed over the lines, by queue and reason."""
     sums: defaultdict[str, Counter[str]] = defaultdict(Counter)
     for line in lines:
         if line.event != "cell.waiting":
@@ -20,9 +20,9 @@
 
 
 def format_reasons(sums: dict[str, Counter[str]]) -> list[str]:
-    """Return a line of text for each queue, the most frequent reason first."""
+    """Return one line of text per queue, the most frequent reason first."""
     return [
-        f"{queue}: steps that waited, summed over the seconds: "
+        f"{queue}: waiting steps, summed over seconds: "
         + ", ".join(f"{reason} {count}" for reason, count in counts.most_common())
         for queue, counts in sorted(sums.items())
     ]
--- a/src/galenastall/coordination/cell/explain_restarts.py
+++ b/src/galenastall/coordination/cell/explain_restarts.py
@@ -1,4 +1,4 @@
-"""Tell from a job's lines how long it waited after its first start, and what stopped its runs."""
+"""Explains from a job's log lines its waits after the first start and the stops of its runs."""
 
 from collections import Counter, defaultdict
 from collections.abc import Sequence
@@ -11,27 +11,27 @@
 Span = tuple[float, float]
 _DONE: Final = "done"
 _NOT_COUNTED: Final = "0"
-"""What a stop says of itself if its run was counted with another member of its gang."""
+"""`stopped_so_far` of a stop that is already counted for another member of the gang."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Restarts:
-    """A job's way from its first start on."""
+    """Restarts and waits of a job after its first start."""
 
     runs: int
     """Highest run number of its tasks."""
     waits: tuple[Span, ...]
-    """Spans without a run of some task, from the end of one to the next assignment."""
+    """Spans in which a task had no run, from the end of one run to the next assignment."""
     is_waiting: bool
-    """Whether the last span has no assignment at its end."""
+    """Whether a task is still waiting when the job or the log ends."""
     stops: tuple[tuple[str, str], ...]
-    """Rule and percent of each run that the leader stopped, in their order."""
+    """Rule and percent of each run that the leader stopped, in order."""
     reasons: tuple[tuple[str, int], ...]
-    """What the job's own lines name as reasons, with their counts, the most frequent first."""
+    """Wait reasons in the job's own lines with their counts, the most frequent first."""
 
 
 def restarts_of(own: Sequence[LogLine], *, log_end_s: float) -> Restarts:
-    """Return the restarts of the job that `own` lines, in their order, are about."""
+    """Return the restarts of the job whose log lines are `own`, in order."""
     waits, open_waits = _waits(own)
     ended = next((line.at_s for line in own if line.event == "job.ended"), log_end_s)
     reported = {_step(line) for line in own if line.event == "job.waiting"}
@@ -53,10 +53,10 @@
 
 
 def _waits(own: Sequence[LogLine]) -> tuple[list[Span], list[LogLine]]:
-    """Return the spans that an assignment ends, and the ends of runs that none has followed.
+    """Return the spans that an assignment ends, and the ends of runs that no assignment followed.
 
-    Of the latter those of a gang's members are no waits if another member of the run was done, and
-    those of a step for which `job.waiting` came are waits in any case.
+    The caller has to filter the latter: the end of a gang member is no wait if another member of
+    the run was done, but is always a wait if the step was reported as `job.waiting`.
     """
     waits: list[Span] = []
     ends_by_task: dict[str, LogLine] = {}
@@ -73,7 +73,7 @@
 
 
 def _stops(own: Sequence[LogLine]) -> list[tuple[str, str]]:
-    """Return rule and percent of each stopped run; a gang's run counts once."""
+    """Return rule and percent of each stopped run; a run of a gang counts once."""
     stops: dict[tuple[str, str, str, str], tuple[str, str]] = {}
     for line in own:
         rule = line.fields.get("rule", line.cause)
@@ -85,7 +85,7 @@
 
 
 def _step(line: LogLine) -> str:
-    """Return occurrence and step of a line's task or step."""
+    """Return occurrence and step of the task or step that a line is about."""
     return ".".join(line.subjects[1].split(".")[:2]) if len(line.subjects) > 1 else ""
 
 
@@ -94,11 +94,11 @@
 
 
 def format_restarts(restarts: Restarts) -> list[str]:
-    """Return what is worth telling of a job's restarts as lines of text."""
+    """Return the restarts of a job as lines of text."""
     lines: list[str] = []
     if restarts.waits:
         longest = max(end - begin for begin, end in restarts.waits)
-        last = ", and not again since the last" if restarts.is_waiting else ""
+        last = ", and still waiting after the last" if restarts.is_waiting else ""
         lines.append(
             f"    {restarts.runs} runs; the longest time from the end of a run to the next"
             f" {longest:.3f} s{last}"
@@ -111,5 +111,5 @@
         lines.append(f"    stopped by the leader {len(percents)} times as {rule}{at}")
     if restarts.reasons:
         reasons = ", ".join(f"{reason} {count}" for reason, count in restarts.reasons)
-        lines.append(f"    told as waiting: {reasons}")
+        lines.append(f"    reported as waiting: {reasons}")
     return lines
--- a/src/galenastall/coordination/cell/explain_waiting.py
+++ b/src/galenastall/coordination/cell/explain_waiting.py
@@ -1,4 +1,4 @@
-"""Tell from log lines what jobs waited for: store, advice or room, and between their runs."""
+"""Explains from log lines what jobs waited for: store, advice or capacity, and between runs."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -15,34 +15,34 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobWait:
-    """Seconds from a job's acceptance to its first start, or to the end of the log, by reason."""
+    """Seconds from a job's acceptance to its first start or end, or to the end of the log."""
 
     job_id: str
     queue: str
     has_started: bool
     store_s: float
-    """No leader whom the store confirms."""
+    """No leader was confirmed by the store."""
     advice_s: float
-    """A call for advice was under way."""
+    """A call for advice was in progress."""
     capacity_s: float
-    """The rest: no room, not for all of a gang, or room kept for what comes before it."""
+    """The rest: capacity was insufficient, also for a complete gang, or reserved for others."""
 
     restarts: Restarts
-    """What came after the first start."""
+    """Restarts after the first start."""
 
     @property
     def total_s(self) -> float:
-        """Return the whole wait for the first start."""
+        """Return the total wait for the first start."""
         return self.store_s + self.advice_s + self.capacity_s
 
     @property
     def restart_wait_s(self) -> float:
-        """Return the time after the first start in which some task waited for its next run."""
+        """Return the time after the first start in which any task waited for its next run."""
         return _length(self.restarts.waits)
 
 
 def waits_of(lines: Sequence[LogLine]) -> list[JobWait]:
-    """Return the waits of each accepted job, the longest first; `lines` are in their order."""
+    """Return the waits of each accepted job, the longest first; `lines` are in log order."""
     if not lines:
         return []
     outages = _outages(lines)
@@ -84,7 +84,7 @@
 
 
 def _outages(lines: Sequence[LogLine]) -> list[Span]:
-    """Return the spans without a leader whom the store confirms, as the leaders tell."""
+    """Return the spans without a leader confirmed by the store, as logged by the leaders."""
     spans: list[Span] = []
     begun: float | None = None
     for line in lines:
@@ -114,7 +114,7 @@
 
 
 def _length(spans: Iterable[Span]) -> float:
-    """Return the time that some spans cover together."""
+    """Return the time that the union of spans covers."""
     covered = 0.0
     reached = float("-inf")
     for begin, end in sorted(spans):
@@ -124,7 +124,7 @@
 
 
 def format_waits(waits: Sequence[JobWait], *, longest: int) -> list[str]:
-    """Return the sums by queue and the longest waits as lines of text."""
+    """Return the averages by queue and the longest waits as lines of text."""
     waits_by_queue: defaultdict[str, list[JobWait]] = defaultdict(list)
     for wait in waits:
         waits_by_queue[wait.queue].append(wait)
@@ -143,8 +143,8 @@
     restart_wait_s = sum(wait.restart_wait_s for wait in waits) / count
     return (
         f"{queue}: {count} jobs accepted, {started} started; waited on average for the store"
-        f" {store_s:.3f} s, for advice {advice_s:.3f} s, for room {capacity_s:.3f} s, and between"
-        f" runs {restart_wait_s:.3f} s"
+        f" {store_s:.3f} s, for advice {advice_s:.3f} s, for capacity {capacity_s:.3f} s, and"
+        f" between runs {restart_wait_s:.3f} s"
     )
 
 
@@ -152,6 +152,6 @@
     until = "first start" if wait.has_started else "never started"
     return (
         f"  {wait.job_id} of {wait.queue}: {wait.total_s:.3f} s, {until}; store"
-        f" {wait.store_s:.3f} s, advice {wait.advice_s:.3f} s, room {wait.capacity_s:.3f} s;"
+        f" {wait.store_s:.3f} s, advice {wait.advice_s:.3f} s, capacity {wait.capacity_s:.3f} s;"
         f" between runs {wait.restart_wait_s:.3f} s"
     )
--- a/src/galenastall/coordination/cell/host_operations.py
+++ b/src/galenastall/coordination/cell/host_operations.py
@@ -1,4 +1,4 @@
-"""Maintenance and moves of hosts together: one list of hosts, one stream of orders and rows."""
+"""Combines maintenance and moves of hosts: one list of hosts, one stream of orders and rows."""
 
 from collections.abc import Iterable
 
@@ -19,10 +19,10 @@
 
 
 class HostOperations:
-    """What the leader does to hosts; all of it is written ahead."""
+    """Host operations of the leader; all orders are written ahead."""
 
     def __init__(self, *, state: CellState, ends: RunEnds) -> None:
-        """Work on these tables."""
+        """Operate on the given state."""
         self._maintenance = Maintenance(state=state, ends=ends)
         self._pools = Pools(state=state)
         self._ready: list[HostOrder] = []
@@ -38,45 +38,45 @@
         return not (self._maintenance.ahead.is_empty and self._pools.ahead.is_empty)
 
     def restore(self, rows: Rows) -> None:
-        """Take over what the store keeps; open orders are repeated first."""
+        """Restore stored rows; orders with unknown outcome are sent again first."""
         self._maintenance.restore(rows.waves)
         self._pools.restore(rows.moves)
         self._ready.extend(self._pools.unresolved_orders())
 
     def set_standby(self, services: frozenset[str]) -> None:
-        """Take the names of the pools whose hosts are off."""
+        """Set the names of the pools whose hosts are switched off."""
         self._pools.set_standby(services)
 
     def set_waves(self, waves: Iterable[MaintenanceWave], *, wall: float) -> None:
-        """Take the operator's waves; orders that an earlier leader left open are repeated."""
+        """Set the operator's waves; orders of earlier leaders with unknown outcome are repeated."""
         self._ready.extend(self._maintenance.set_waves(waves, wall=wall))
 
     def set_hosts(self, hosts: tuple[PoolHost, ...], *, wall: float) -> None:
-        """Take the platform's list of hosts."""
+        """Update the hosts from the platform's list."""
         self._maintenance.set_hosts(hosts, wall=wall)
         self._pools.set_hosts(hosts)
 
     def decide(self, *, now: float, wall: float) -> None:
-        """Empty, order and move what is due."""
+        """Drain hosts, and order the maintenance and moves that are due."""
         self._maintenance.decide(wall=wall)
         self._pools.decide(now=now)
 
     def on_order(self, order: HostOrder, outcome: HostOutcome, *, wall: float) -> bool:
-        """Apply what became of an order; return whether it should be sent again."""
+        """Apply the outcome of an order; return whether it should be sent again."""
         if order.pool:
             return self._pools.on_order(order, outcome)
         return self._maintenance.on_order(order, outcome, wall=wall)
 
     def unreported_waves(self) -> dict[int, bool]:
-        """Return whether each wave is completed whose state the operator was not told yet."""
+        """Return the waves whose state is not yet reported, and whether each is completed."""
         return self._maintenance.unreported_waves()
 
     def on_wave_reported(self, number: int, *, is_completed: bool) -> None:
-        """Note that the operator was told of a wave's state."""
+        """Record that the state of a wave was reported to the operator."""
         self._maintenance.on_wave_reported(number, is_completed=is_completed)
 
     def take_values(self) -> dict[str, bytes]:
-        """Return the rows to write; an empty value drops its key."""
+        """Return the rows to write; an empty value deletes its key."""
         values: dict[str, bytes] = {}
         for number, wave in self._maintenance.take_rows().items():
             values[f"{WAVE_PREFIX}{number}"] = encode_wave(wave)
@@ -85,11 +85,11 @@
         return values
 
     def take_orders(self) -> tuple[HostOrder, ...]:
-        """Return the orders that belong to the rows taken last."""
+        """Return the orders that depend on the last rows taken."""
         return self._maintenance.ahead.take_orders() + self._pools.ahead.take_orders()
 
     def release(self, orders: tuple[HostOrder, ...]) -> None:
-        """Let orders leave: their rows are durable."""
+        """Queue orders for sending once their rows are durable."""
         self._ready.extend(orders)
 
     def take_ready(self) -> list[HostOrder]:
--- a/src/galenastall/coordination/cell/host_orders.py
+++ b/src/galenastall/coordination/cell/host_orders.py
@@ -1,4 +1,4 @@
-"""Orders to hosts, and what becomes of them."""
+"""Orders to hosts, and their outcomes."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,21 +8,21 @@
 
 
 class HostOutcome(StrEnum):
-    """What became of an order to a host."""
+    """Outcome of an order to a host."""
 
     DONE = "done"
-    """Now or before."""
+    """Carried out, by this order or an earlier one."""
     NOT_POSSIBLE = "not_possible"
-    """There is no such host, or the order does not fit it."""
+    """There is no such host, or the order does not apply to it."""
     BUSY = "busy"
-    """It is not up, or leaves."""
+    """The host is not up, or is leaving."""
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be later."""
+    """No answer: it may have been carried out, or may still be."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostOrder:
-    """Take a host down for a wave of maintenance, or move it to a pool; repeating does no harm."""
+    """An order to take a host down for a maintenance wave or move it to a pool; idempotent."""
 
     host: str
     wave: int = 0
@@ -32,10 +32,10 @@
 
 
 class WriteAhead(Generic[K]):
-    """Keys whose rows are to be written, and the orders that leave once they are."""
+    """Keys with rows to write, and the orders to send once those rows are durable."""
 
     def __init__(self) -> None:
-        """Create one with nothing to write."""
+        """Start with nothing to write."""
         self._keys: set[K] = set()
         self._orders: list[HostOrder] = []
 
@@ -45,18 +45,18 @@
         return not self._keys
 
     def mark(self, key: K, order: HostOrder | None = None) -> None:
-        """Have a key's row written, and an order sent after it."""
+        """Schedule a write of a key's row, and optionally an order to send after it."""
         self._keys.add(key)
         if order is not None:
             self._orders.append(order)
 
     def take_keys(self) -> list[K]:
-        """Return and forget the keys to write."""
+        """Return and clear the keys to write."""
         keys = sorted(self._keys)
         self._keys.clear()
         return keys
 
     def take_orders(self) -> tuple[HostOrder, ...]:
-        """Return and forget the orders that belong to the keys taken last."""
+        """Return and clear the orders that depend on the last keys taken."""
         orders, self._orders = tuple(self._orders), []
         return orders
--- a/src/galenastall/coordination/cell/load_report.py
+++ b/src/galenastall/coordination/cell/load_report.py
@@ -1,4 +1,4 @@
-"""How full the cell is and what waits, in one line a second."""
+"""Logs the utilization of the cell and its wait queues, one line per second."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 
 
 def closed_by_id(state: CellState) -> dict[str, Closed]:
-    """Return the executors that take no new work now, also unlisted ones, and why."""
+    """Return the executors that accept no new work now, including unlisted ones, and why."""
     return {
         executor_id: closed
         for executor_id, executor in state.executors_by_id.items()
@@ -26,7 +26,7 @@
     advice_calls: int,
     not_looked_at: int,
 ) -> None:
-    """Note the load for the log, with the room that the last decision kept."""
+    """Log the load, with the capacity that the last decision reserved."""
     executors = [executor for executor in state.executors_by_id.values() if executor.is_listed]
     open_now = [executor for executor in executors if executor.executor_id not in closed]
     state.note(
@@ -50,7 +50,7 @@
 
 
 def _waiting_by_queue(state: CellState) -> dict[str, str]:
-    """Return the number of waiting tasks of each queue that has some."""
+    """Return the number of waiting tasks of each queue that has any."""
     counts: Counter[str] = Counter()
     for key in state.waiting_steps:
         job = state.jobs_by_id.get(key.job)
--- a/src/galenastall/coordination/cell/maintenance.py
+++ b/src/galenastall/coordination/cell/maintenance.py
@@ -1,7 +1,7 @@
-"""Waves of maintenance: which host is emptied and taken down next, within what services allow.
+"""Maintenance waves: which host is drained and taken down next, within the limits of services.
 
-An order kills what runs on the host, so the host is emptied first. It is written ahead, like a
-start: the next leader repeats orders whose fate it can't know before it gives others of that wave.
+An order kills the runs on the host, so the host is drained first. Orders are written ahead, like
+starts: the next leader repeats orders of unknown outcome before it issues others of that wave.
 """
 
 from collections.abc import Iterable
@@ -19,18 +19,20 @@
 from galenastall.state.cell.hosts import HostState, MaintenanceWave, PoolHost, WaveRow
 
 WAVE_START_SHARE: Final = 0.8
-"""Share of a wave's time after which all its hosts should have begun; the rest is a margin."""
+"""Share of a wave's duration within which maintenance of all its hosts should have begun; the rest
+is a safety margin."""
 STALE_LIST_MARGIN_S: Final = 1.0
-"""How long a host counts as down beyond its maintenance: lists may be read before it began."""
+"""How long a host counts as down beyond its maintenance: a list may predate the maintenance."""
 GONE_AFTER_S: Final = 5.0
-"""A host counts as gone once lists have lacked it for so long; pages of a list are no snapshot."""
+"""A host counts as gone once it is missing from lists for this long. One list is not enough: its
+pages are not a consistent snapshot."""
 MIN_PATIENCE_S: Final = 1.0
-"""How long a host's runs may go on at least before those that need not are stopped."""
+"""Minimum time that runs on a draining host get to end on their own before they are stopped."""
 
 
 @dataclass(kw_only=True, slots=True)
 class WaveProgress:
-    """A wave under way."""
+    """State of a wave."""
 
     wave: MaintenanceWave
     first_seen_at: float
@@ -38,15 +40,15 @@
     ordered: set[str] = field(default_factory=set)
     begun: set[str] = field(default_factory=set)
     begun_at: dict[str, float] = field(default_factory=dict)
-    """Wall time at which this leader learned that a host's maintenance began."""
+    """Wall time at which this leader learned that the maintenance of a host began."""
     draining_since: dict[str, float] = field(default_factory=dict)
-    """Wall time since which a host gets nothing new."""
+    """Wall time since which a host accepts no new work."""
     is_completed: bool = False
     is_reported: bool = False
-    """Whether the operator was told of this state."""
+    """Whether the current state was reported to the operator."""
 
     def row(self) -> WaveRow:
-        """Return what is stored."""
+        """Return the row to store."""
         return WaveRow(
             number=self.wave.number,
             first_seen_at=self.first_seen_at,
@@ -56,9 +58,9 @@
         )
 
     def patience_s(self, down_s: float) -> float:
-        """Return how long each host may take to become empty by itself.
+        """Return the time that each host has to become empty on its own.
 
-        `down_s` is how long each is down for.
+        `down_s` is the time that each host is down.
         """
         rounds = ceil(len(self.wave.hosts) / max(self.wave.most_down, 1))
         spare_s = self.wave.duration_s * WAVE_START_SHARE - rounds * down_s
@@ -66,10 +68,10 @@
 
 
 class Maintenance:
-    """Works through waves."""
+    """Carries out maintenance waves."""
 
     def __init__(self, *, state: CellState, ends: RunEnds) -> None:
-        """Work on these tables."""
+        """Operate on the given state."""
         self._state = state
         self._ends = ends
         self._availability = Availability(state=state)
@@ -77,23 +79,23 @@
         self._progress_by_number: dict[int, WaveProgress] = {}
         self._hosts_by_id: dict[str, PoolHost] = {}
         self._seen_at: dict[str, float] = {}
-        """Wall time at which a list last had a host."""
+        """Wall time at which a host last appeared in a list."""
         self._listed_at = 0.0
         """Wall time of the last list."""
         self.ahead: WriteAhead[int] = WriteAhead()
-        """Numbers of waves whose rows are to be written, and orders that wait for them."""
+        """Numbers of waves with rows to write, and the orders that wait for them."""
 
     @property
     def is_active(self) -> bool:
-        """Whether a wave is under way, so that the list of hosts is needed."""
+        """Whether a wave is in progress, so that the list of hosts is needed."""
         return any(not each.is_completed for each in self._progress_by_number.values())
 
     def restore(self, rows: Iterable[WaveRow]) -> None:
-        """Take over what earlier leaders stored."""
+        """Restore the rows that earlier leaders stored."""
         self._rows_by_number = {row.number: row for row in rows}
 
     def set_waves(self, waves: Iterable[MaintenanceWave], *, wall: float) -> list[HostOrder]:
-        """Take the operator's waves; return the orders that an earlier leader left open."""
+        """Set the operator's waves; return orders of earlier leaders whose outcome is unknown."""
         unresolved: list[HostOrder] = []
         for wave in waves:
             known = self._progress_by_number.get(wave.number)
@@ -120,7 +122,7 @@
         )
 
     def set_hosts(self, hosts: Iterable[PoolHost], *, wall: float) -> None:
-        """Take the platform's list of hosts."""
+        """Update the hosts from the platform's list."""
         self._hosts_by_id = {host.host: host for host in hosts}
         self._listed_at = wall
         for host in self._hosts_by_id:
@@ -136,7 +138,7 @@
         return self._listed_at - self._seen_at.get(host, self._listed_at) >= GONE_AFTER_S
 
     def decide(self, *, wall: float) -> None:
-        """Empty hosts whose turn it is, and order those that are empty."""
+        """Drain the next hosts, and order maintenance of those that are empty."""
         if not self._hosts_by_id:
             return
         for progress in self._progress_by_number.values():
@@ -172,7 +174,7 @@
         return is_open and not self._is_gone(host)
 
     def _count_down(self, progress: WaveProgress, wall: float) -> int:
-        """Return how many hosts of the wave are, or may be, down for it."""
+        """Return how many hosts of the wave are, or may be, down for maintenance."""
         down = set(progress.ordered)
         for host in progress.begun:
             listed = self._hosts_by_id.get(host)
@@ -183,7 +185,7 @@
         return len(down)
 
     def _next_hosts(self, progress: WaveProgress, left: list[str]) -> list[str]:
-        """Return hosts that are up, those with the fewest runs first."""
+        """Return the remaining hosts that are up, those with the fewest runs first."""
         up = [host for host in left if host not in progress.draining_since and self._is_up(host)]
         return sorted(up, key=lambda host: (self._run_count(host), host))
 
@@ -196,7 +198,7 @@
         return len(executor.runs_by_task) if executor is not None else 0
 
     def _drain(self, progress: WaveProgress, host: str, *, is_overdue: bool) -> None:
-        """Take work off a host, and order its maintenance once nothing is left there."""
+        """Drain a host, and order its maintenance once it has no runs."""
         executor = self._state.executor_on(host)
         if executor is None:
             self._order(progress, host)
@@ -227,7 +229,7 @@
         self.ahead.mark(number, HostOrder(host=host, wave=number))
 
     def on_order(self, order: HostOrder, outcome: HostOutcome, *, wall: float) -> bool:
-        """Apply what became of an order; return whether it should be sent again."""
+        """Apply the outcome of an order; return whether it should be sent again."""
         progress = self._progress_by_number.get(order.wave)
         if progress is None or order.host not in progress.ordered:
             return False
@@ -245,11 +247,11 @@
         return False
 
     def take_rows(self) -> dict[int, WaveRow]:
-        """Return the progress to store."""
+        """Return the rows to store."""
         return {number: self._progress_by_number[number].row() for number in self.ahead.take_keys()}
 
     def unreported_waves(self) -> dict[int, bool]:
-        """Return whether each wave is completed whose state the operator was not told yet."""
+        """Return the waves whose state is not yet reported, and whether each is completed."""
         return {
             number: progress.is_completed
             for number, progress in self._progress_by_number.items()
@@ -257,7 +259,7 @@
         }
 
     def on_wave_reported(self, number: int, *, is_completed: bool) -> None:
-        """Note that the operator was told of a wave's state."""
+        """Record that the state of a wave was reported to the operator."""
         progress = self._progress_by_number.get(number)
         if progress is not None and progress.is_completed == is_completed:
             progress.is_reported = True
--- a/src/galenastall/coordination/cell/pools.py
+++ b/src/galenastall/coordination/cell/pools.py
@@ -1,4 +1,4 @@
-"""Moves hosts that are off into services that lack room, and back when they are not needed."""
+"""Moves standby hosts into services that lack capacity, and back when they are not needed."""
 
 from collections.abc import Collection, Iterable
 from typing import Final
@@ -10,51 +10,51 @@
 from galenastall.state.cell.jobs import Step, StepKey
 
 GROW_AFTER_S: Final = 2.0
-"""A service gets a host once tasks have waited for room for so long; a move takes some 1.5 s."""
+"""A service gets a host once tasks have waited for capacity this long; a move takes about 1.5 s."""
 MOVE_EVERY_S: Final = 1.0
-"""Between two moves into one service, so that each shows its effect before the next."""
+"""Minimum time between moves into one service, so that each takes effect before the next."""
 SHRINK_AFTER_S: Final = 15.0
-"""A service gives a host back once its load has been low for so long."""
+"""A service returns a host once its load has been low for this long."""
 LOW_LOAD: Final = 0.4
-"""Share of a service's cores in use below which it needs fewer hosts."""
+"""Share of a service's cores in use below which its load is low."""
 
 
 class Pools:
-    """Decides moves; each is written ahead."""
+    """Decides moves of hosts between pools; each order is written ahead."""
 
     def __init__(self, *, state: CellState) -> None:
-        """Work on these tables."""
+        """Operate on the given state."""
         self._state = state
         self._hosts_by_id: dict[str, PoolHost] = {}
         self._standby: frozenset[str] = frozenset()
         self._moves_by_host: dict[str, MoveRow] = {}
         self._waits_since: dict[StepKey, float] = {}
         self._low_load_since: dict[str, float] = {}
-        """Since when a service's load has been low."""
+        """Time since which the load of a service has been low."""
         self._moved_at: dict[str, float] = {}
-        """When a service last got a host."""
+        """Time at which a service last got a host."""
         self.ahead: WriteAhead[str] = WriteAhead()
-        """Hosts whose rows are to be written, and orders that wait for them."""
+        """Hosts with rows to write, and the orders that wait for them."""
 
     @property
     def is_active(self) -> bool:
-        """Whether there are hosts that could be moved, so that their list is needed."""
+        """Whether there are standby pools, so that the list of hosts is needed."""
         return bool(self._standby)
 
     def restore(self, rows: Iterable[MoveRow]) -> None:
-        """Take over what earlier leaders stored."""
+        """Restore the rows that earlier leaders stored."""
         self._moves_by_host = {row.host: row for row in rows}
 
     def set_standby(self, services: frozenset[str]) -> None:
-        """Take the names of the pools whose hosts are off."""
+        """Set the names of the pools whose hosts are switched off."""
         self._standby = services
 
     def set_hosts(self, hosts: Iterable[PoolHost]) -> None:
-        """Take the platform's list of hosts."""
+        """Update the hosts from the platform's list."""
         self._hosts_by_id = {host.host: host for host in hosts}
 
     def decide(self, *, now: float) -> None:
-        """Order the moves that are worth it now."""
+        """Order the moves that are due."""
         if not self._standby or not self._hosts_by_id:
             return
         self._track_waits(now)
@@ -70,7 +70,7 @@
             self._waits_since.setdefault(key, now)
 
     def _short_services(self, now: float) -> dict[str, Step]:
-        """Return the services that lack room, each with a step that waits for it."""
+        """Return the services that lack capacity, each with a step that waits for it."""
         short: dict[str, Step] = {}
         for key, since in sorted(self._waits_since.items()):
             job = self._state.jobs_by_id.get(key.job)
@@ -90,11 +90,13 @@
             if step.label and step.label not in host.labels:
                 continue
             self._moved_at[service] = now
-            self._move(MoveRow(host=host.host, home=host.pool, pool=service), "tasks wait for room")
+            self._move(
+                MoveRow(host=host.host, home=host.pool, pool=service), "tasks wait for capacity"
+            )
             return
 
     def _shrink(self, now: float, short: Collection[str]) -> None:
-        """Give a host back, unless work of its service waits, which might need it."""
+        """Return at most one host, unless tasks of its service wait and might need it."""
         for host, row in list(self._moves_by_host.items()):
             if not row.is_settled or row.pool == row.home:
                 continue
@@ -107,7 +109,7 @@
             if not executor.runs_by_task:
                 self._low_load_since.pop(row.pool, None)
                 back = MoveRow(host=host, home=row.home, pool=row.home)
-                self._move(back, "its service has room without it")
+                self._move(back, "its service has capacity without it")
             return
 
     def _is_load_low(self, service: str, now: float, *, is_short: bool) -> bool:
@@ -127,7 +129,7 @@
         self._state.note("host.moved", row.host, cause=cause, fields={"pool": row.pool})
 
     def on_order(self, order: HostOrder, outcome: HostOutcome) -> bool:
-        """Apply what became of an order; return whether it should be sent again."""
+        """Apply the outcome of an order; return whether it should be sent again."""
         row = self._moves_by_host.get(order.host)
         if row is None or row.pool != order.pool or row.is_settled:
             return False
@@ -143,7 +145,7 @@
         return False
 
     def unresolved_orders(self) -> list[HostOrder]:
-        """Return the orders whose fate an earlier leader left open."""
+        """Return the orders of earlier leaders whose outcome is unknown."""
         return [
             HostOrder(host=row.host, pool=row.pool)
             for row in self._moves_by_host.values()
@@ -151,5 +153,5 @@
         ]
 
     def take_rows(self) -> dict[str, MoveRow | None]:
-        """Return what to store of hosts, None for those that are home again."""
+        """Return the rows to store by host; None for hosts that are back in their home pool."""
         return {host: self._moves_by_host.get(host) for host in self.ahead.take_keys()}
--- a/src/galenastall/coordination/cell/waiting_report.py
+++ b/src/galenastall/coordination/cell/waiting_report.py
@@ -1,4 +1,4 @@
-"""Why steps wait: one line a second for all, and a line for each of some jobs that wait long."""
+"""Logs why steps wait: one summary per second, and lines for some of the longest waiting jobs."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -16,44 +16,44 @@
 from galenastall.state.cell.jobs import StepKey
 
 LONG_WAIT_S: Final = 5.0
-"""A job that has waited for longer without a start gets a line of its own: twice what tickets last,
-so that a wait for one round of advice is passed over."""
+"""A job that has waited longer without a start gets its own line. This is twice the validity of
+tickets, so that a wait for one round of advice is not reported."""
 JOB_REPORT_INTERVAL_S: Final = 10.0
-"""Least time between two lines of one job."""
+"""Minimum time between two lines about the same job."""
 MAX_JOB_LINES: Final = 10
-"""Lines of single jobs in one report, so a second: a 15th of what the log takes of one kind. With
-TELL_AGAIN_S a hundred jobs that wait are told in turn."""
+"""Maximum lines about single jobs per report, that is per second: a 15th of the log budget of one
+event. With JOB_REPORT_INTERVAL_S a hundred waiting jobs are reported in rotation."""
 MAX_COUNTS: Final = 60
-"""Counts by queue and reason that one line holds; smaller ones are added up as `others`."""
+"""Maximum counts by queue and reason in one line; the smallest are summed up as `others`."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Wait:
-    """A step that waits, at one report."""
+    """A waiting step at the time of a report."""
 
     job: JobRun
     step: StepRun
     since: float
-    """Leader's time since which it has waited without a start, to a second."""
+    """Leader's time since which it has waited without a start; accurate to one second."""
     reason: WaitReason
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _WaitStart:
-    """A step as an earlier report found it."""
+    """The start of a step's wait, as recorded by an earlier report."""
 
     at: float
     runs: int
-    """Sum of the numbers of its tasks' runs, which each start raises."""
+    """Sum of the run numbers of its tasks, which each start increases."""
 
 
 class WaitingReport:
-    """Tells the reasons of the last decision; once a second."""
+    """Logs the wait reasons of the last decision, once per second."""
 
     def __init__(
         self, *, state: CellState, advice: AdviceBook, observations: WaitSight, plan: RoomPlan
     ) -> None:
-        """Read these tables."""
+        """Read the given state."""
         self._plan = plan
         self._state = state
         self._advice = advice
@@ -61,10 +61,10 @@
         self._since_by_step: dict[StepKey, _WaitStart] = {}
         self._reported_at_by_job: dict[str, float] = {}
         self.steps_by_reason: Counter[WaitReason] = Counter()
-        """Waiting steps at the last report."""
+        """Number of waiting steps at the last report."""
 
     def report(self, closed_by_id: Mapping[str, Closed]) -> None:
-        """Note the lines for the log; `closed_by_id` names the executors that are not open."""
+        """Log the waiting steps; `closed_by_id` holds the executors that are not open."""
         waits = [self._refined(wait, closed_by_id) for wait in self._waits()]
         self.steps_by_reason = Counter(wait.reason for wait in waits)
         self._report_counts(waits)
@@ -93,10 +93,10 @@
         return _WaitStart(at=self._state.now, runs=runs)
 
     def _refined(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> _Wait:
-        """Return a gang's wait with what a decision has no time to find out.
+        """Return the wait of a gang with a reason that is too expensive to find in a decision.
 
-        Only gangs for which a decision looks for a start come here, and the limits of `turns` bound
-        these.
+        This affects only gangs for which a decision searches for a start; the limits in `turns`
+        bound their number.
         """
         if wait.reason not in {WaitReason.ROOM_LATER, WaitReason.NO_ROOM_AHEAD}:
             return wait
@@ -176,7 +176,7 @@
 
 
 def refine_reason(reason: WaitReason, step: StepRun, room: ApprovedRoom) -> WaitReason:
-    """Return why a gang has no room now, from all the room of its executors."""
+    """Return why a gang cannot start now, from the total capacity of its approved executors."""
     wanted = step.step.count
     if room.places < wanted:
         return WaitReason.TOO_FEW_APPROVED
@@ -185,6 +185,6 @@
     if room.places_free >= wanted:
         return WaitReason.ROOM_KEPT
     if reason is WaitReason.NO_ROOM_AHEAD and room.places_kept > 0:
-        # A gang for which no start was found keeps nothing itself.
+        # A gang without a planned start reserves nothing itself.
         return WaitReason.PLANNED_FOR_OTHERS
     return reason
--- a/src/galenastall/protocol/cell/__init__.py
+++ b/src/galenastall/protocol/cell/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and interfaces of a cell: between entry hosts, and to store, executors and advisor."""
+"""Messages between the entry hosts of a cell, and its interfaces to the platform."""
--- a/src/galenastall/protocol/cell/config.py
+++ b/src/galenastall/protocol/cell/config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the product sees it."""
+"""The operator's configuration in typed form."""
 
 from dataclasses import dataclass, field
 
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueueRoute:
-    """Which requests of callers belong to a queue."""
+    """Maps requests of callers to a queue."""
 
     host: str
     """Value of the request's Host header, without a port."""
     path_prefix: str
     queue: Queue
     is_public: bool = False
-    """Whether callers need no key."""
+    """Whether callers may submit without a key."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Credential:
-    """A key by which callers act for a workspace; the key itself is never kept."""
+    """A key that lets callers act for a workspace; only its digest is stored."""
 
     digest: str
     """SHA-256 of the key in hexadecimal digits."""
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellConfig:
-    """One version of the configuration, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: tuple[QueueRoute, ...] = ()
     services: frozenset[str] = field(default_factory=frozenset)
-    """Services that it lists; `named_services` has those of the routes too."""
+    """Explicitly listed services; `named_services` also includes those of the routes."""
     standby_services: frozenset[str] = field(default_factory=frozenset)
-    """Services whose hosts are off until they are moved."""
+    """Services whose hosts are switched off until they are moved to another service."""
     workspaces: tuple[Workspace, ...] = ()
     credentials: tuple[Credential, ...] = ()
     requires_keys: bool = False
-    """Whether callers of queues that are not public need a key."""
+    """Whether callers need a key for queues that are not public."""
 
     @property
     def named_services(self) -> frozenset[str]:
--- a/src/galenastall/protocol/cell/executor_port.py
+++ b/src/galenastall/protocol/cell/executor_port.py
@@ -1,4 +1,4 @@
-"""What the leader says to executors and hears from them."""
+"""Interface through which the leader calls executors."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,25 +12,25 @@
 
 
 class StartVerdict(StrEnum):
-    """What an executor did with a start."""
+    """Result of a start order at an executor."""
 
     STARTED = "started"
-    """The run is there, from this order or an earlier one."""
+    """The run exists, from this order or an earlier one."""
     OLD_RUN = "old_run"
-    """This run, or a later one, has been stopped or has ended there."""
+    """This run, or a later one, was stopped or has ended on the executor."""
     NO_ROOM = "no_room"
     TOO_LATE = "too_late"
-    """The named deadline had passed."""
+    """The deadline of the order had passed."""
     NO_TICKET = "no_ticket"
-    """The advisor's ticket is missing, of another step or has expired."""
+    """The advisor's ticket is missing, belongs to another step or has expired."""
     UNHEALTHY = "unhealthy"
-    """It did nothing and may recover."""
+    """The executor did nothing, and may recover."""
     FENCED = "fenced"
-    """Another leader has shown it a higher token."""
+    """Another leader has presented a higher token."""
     OTHER_EXECUTOR = "other_executor"
-    """An executor of another name answers at this address."""
+    """An executor of another name answered at this address."""
     MALFORMED = "malformed"
-    """It could not read the order: a defect of ours."""
+    """The order could not be parsed: a defect on our side."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -39,7 +39,7 @@
 
     verdict: StartVerdict
     clock_ms: int | None
-    """Its clock, if the answer carried it."""
+    """The executor's clock, if the answer contained it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -48,13 +48,13 @@
 
     verdict: StartVerdict
     executor_id: str
-    """Who answered: the one that was meant, or another incarnation of it."""
+    """The executor that answered: the intended one, or another incarnation of it."""
     listing: Listing | None
-    """None unless the verdict is STARTED, which here says that it obeyed."""
+    """None unless the verdict is STARTED, which here means that the request was carried out."""
 
 
 class ExecutorPort(Protocol):
-    """Calls to executors; a Failure says whether the call may have taken effect."""
+    """Calls to executors; a Failure states whether the call may have taken effect."""
 
     async def start(
         self, *, address: str, order: StartOrder, deadline_ms: int, token: int, timeout_s: float
@@ -64,12 +64,12 @@
     async def stop(
         self, *, address: str, order: StopOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
-        """Stop a run, and have it rejected if it comes later."""
+        """Stop a run, and reject its start if that arrives later."""
 
     async def throttle(
         self, *, address: str, order: PaceOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
-        """Let a run work at a share of its speed; idempotent."""
+        """Limit a run to a share of its full speed; idempotent."""
 
     async def renew(
         self,
@@ -82,7 +82,7 @@
         token: int,
         timeout_s: float,
     ) -> Result[ListingAnswer, StepError]:
-        """Renew the lease, acknowledge ends up to `noted`, and list what runs and has ended.
+        """Renew the lease, acknowledge ends up to `noted`, and list running and ended runs.
 
-        Waits up to `wait_s` for an end. With `deadline_ms` None the lease stays as it is.
+        Waits up to `wait_s` for a run to end. With `deadline_ms` None the lease is unchanged.
         """
--- a/src/galenastall/protocol/cell/messages.py
+++ b/src/galenastall/protocol/cell/messages.py
@@ -12,42 +12,42 @@
 
 
 class SubmitVerdict(StrEnum):
-    """What became of a submission."""
+    """Outcome of a submission."""
 
     ACCEPTED = "accepted"
-    """Durable, now or before."""
+    """The job is durable, from this submission or an earlier one."""
     NOT_RUN = "not_run"
-    """Not stored, and never will be."""
+    """The job is not stored, and never will be."""
     UNKNOWN = "unknown"
-    """It may be stored."""
+    """The job may be stored."""
     TAKEN = "taken"
-    """Another workspace has a job of this id."""
+    """Another workspace has a job with this id."""
 
 
 @PEER_MESSAGES.register("cell.hello")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Hello:
-    """A host makes itself known to the leader; sent again and again."""
+    """Announces a host to the leader; sent periodically."""
 
     address: str
-    """Where its peer link listens."""
+    """Address at which its peer link listens."""
     weight: float
     """Cores that it can use for leading; heavier hosts are preferred as leaders."""
     uptime_s: float
-    """Since its process started. In a rolling restart the youngest are stopped last."""
+    """Time since its process started. A rolling restart stops the youngest hosts last."""
     is_leaving: bool = False
     lag_s: float = 0.0
-    """By how much its loop is late on average."""
+    """Average lag of its event loop."""
     is_willing: bool = True
-    """False for a while after it fell behind as leader."""
+    """False for a while after it was overloaded as leader."""
     config_version: int = 0
-    """Version of the configuration in force there."""
+    """Version of the configuration in force on the host."""
 
 
 @PEER_MESSAGES.register("cell.beat")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
-    """Heartbeat of the leader to each host that it knows."""
+    """Heartbeat from the leader to each host that it knows."""
 
     token: int
     """Fencing token of its term."""
@@ -56,7 +56,7 @@
     """Seconds since the store last confirmed the term."""
     config_version: int
     addresses_by_host: dict[str, str] = field(default_factory=dict)
-    """All hosts that it knows, itself included; empty if the receiver was told them before."""
+    """All hosts that the leader knows, including itself; empty if already sent to the receiver."""
     heaviest: float = 0.0
     """Weight of the heaviest other host that could lead."""
 
@@ -64,13 +64,13 @@
 @PEER_MESSAGES.register("cell.can_lead")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CanLead:
-    """Ask whether a host reaches the store; answered with a failure if it does not."""
+    """Query whether a host reaches the store; answered with a failure if it does not."""
 
 
 @PEER_MESSAGES.register("cell.take_over")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TakeOver:
-    """A leader that stops or gives way asks this host to claim at once."""
+    """Request to claim leadership at once, from a leader that stops or hands over."""
 
     token: int
 
@@ -78,13 +78,13 @@
 @PEER_MESSAGES.register("cell.ask_leader")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GetLeader:
-    """Ask another host who leads, if none is heard here."""
+    """Query another host for the leader, when no heartbeats arrive."""
 
 
 @PEER_MESSAGES.register("cell.leader")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaderAnswer:
-    """The leader that a host hears, or is; no host if it hears none."""
+    """The leader that the answering host follows, or is; empty if it knows none."""
 
     token: int = 0
     host_id: str = ""
@@ -94,19 +94,19 @@
 @PEER_MESSAGES.register("cell.submit")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SubmitJob:
-    """Hand a job in; idempotent by its id."""
+    """Submit a job; idempotent by its id."""
 
     job: CellJob
     patience_s: float
-    """How long the caller's side waits for an answer."""
+    """How long the sender waits for an answer."""
     config_version: int = 0
-    """Version of the configuration by which the call was let in."""
+    """Version of the configuration by which the call was admitted."""
 
 
 @PEER_MESSAGES.register("cell.submitted")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SubmitAnswer:
-    """What became of a submission."""
+    """Outcome of a submission."""
 
     verdict: SubmitVerdict
     cause: str = ""
@@ -115,7 +115,7 @@
 @PEER_MESSAGES.register("cell.ask_job")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GetJob:
-    """Ask for a job's phase."""
+    """Query a job's phase."""
 
     job_id: str
     patience_s: float
@@ -147,7 +147,7 @@
 @PEER_MESSAGES.register("cell.count_pending")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CountPending:
-    """Ask how many accepted jobs of a queue have had no start."""
+    """Query how many accepted jobs of a queue have not started yet."""
 
     queue_name: str
     config_version: int = 0
@@ -156,7 +156,7 @@
 @PEER_MESSAGES.register("cell.pending")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PendingAnswer:
-    """The number asked for."""
+    """The number of accepted jobs that have not started yet."""
 
     count: int
 
@@ -164,7 +164,7 @@
 @PEER_MESSAGES.register("cell.get_advice")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GetAdvice:
-    """Ask the advisor in the leader's stead: it serves one call at a time for each host."""
+    """Request to call the advisor for the leader; each host may make one call at a time."""
 
     step: StepKey
     executor_ids: tuple[str, ...]
@@ -174,7 +174,7 @@
 @PEER_MESSAGES.register("cell.advice")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdviceAnswer:
-    """What the advisor said."""
+    """The advisor's answer."""
 
     approved: tuple[Approval, ...]
     validity_s: float
@@ -182,14 +182,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CachedAdvice:
-    """An advisor's answer that a host passed on, or could not pass on."""
+    """An advisor's answer that a host has forwarded to the leader, or could not forward."""
 
     step: StepKey
     executor_ids: tuple[str, ...]
-    """Executors that were asked about."""
+    """Executors named in the call."""
     approved: tuple[Approval, ...]
     good_for_s: float
-    """For how long the tickets are still good; negative if they have expired."""
+    """Remaining validity of the tickets; negative if they have expired."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -199,13 +199,13 @@
     step: StepKey
     executor_ids: tuple[str, ...]
     left_s: float
-    """Until it is given up."""
+    """Remaining time until the call is given up."""
 
 
 @PEER_MESSAGES.register("cell.recover_advice")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecoverAdvice:
-    """A new leader asks what the advisor told a host about these steps under earlier leaders."""
+    """Query by a new leader for the advisor's answers about these steps under earlier leaders."""
 
     steps: tuple[StepKey, ...]
 
@@ -213,7 +213,7 @@
 @PEER_MESSAGES.register("cell.recovered_advice")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecoveredAdvice:
-    """What a host knows of advice, oldest first."""
+    """The advice that a host has cached, oldest first."""
 
     answers: tuple[CachedAdvice, ...] = ()
     under_way: PendingAdviceCall | None = None
@@ -222,7 +222,7 @@
 @PEER_MESSAGES.register("cell.await_advice")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AwaitAdvice:
-    """Wait for the answer to the call that was under way, which comes as AdviceAnswer."""
+    """Wait for the answer to the pending call, which arrives as AdviceAnswer."""
 
     step: StepKey
 
@@ -230,7 +230,7 @@
 @PEER_MESSAGES.register("cell.get_config")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GetConfig:
-    """Ask a host for its configuration, if it is newer."""
+    """Request the configuration of a host, if it is newer."""
 
     known_version: int
 
@@ -238,6 +238,6 @@
 @PEER_MESSAGES.register("cell.config")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigAnswer:
-    """The configuration; None if it is not newer than the asker's."""
+    """The configuration; None if it is not newer than the sender's of the request."""
 
     config: CellConfig | None
--- a/src/galenastall/protocol/cell/ports.py
+++ b/src/galenastall/protocol/cell/ports.py
@@ -1,4 +1,4 @@
-"""What a cell needs of the platform besides its executors: store, lists, configuration, advice."""
+"""Interfaces of a cell to the platform, except executors: store, lists, configuration, advisor."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -16,75 +16,75 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeaderRecord:
-    """The newest claim."""
+    """The newest claim of leadership."""
 
     token: int
     host_id: str
     address: str
     weight: float = 0.0
-    """Weight of the host; 0 if the claim does not name it."""
+    """Weight of the host; 0 if the claim does not state it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreView:
-    """What a look at the store shows of who leads."""
+    """Result of polling the store for the leader."""
 
     leader: LeaderRecord | None
     log_end: int
-    """End of the state; it moves with each claim, and while a leader is confirmed."""
+    """End offset of the state log; it advances with each claim, and while a leader is confirmed."""
 
 
 class StatePort(Protocol):
     """Durable state of the cell; writes are fenced by token.
 
-    Failures: CONFLICT says that a newer token stands. UNREACHABLE, OVERLOADED and UNAVAILABLE
-    say that nothing was done. After TIMEOUT and CUT the call may have been carried out, or may
-    be carried out later.
+    Failures: CONFLICT means that a newer token exists. UNREACHABLE, OVERLOADED and UNAVAILABLE
+    mean that nothing was done. After TIMEOUT and CUT the call may have been carried out, or may
+    still be carried out later.
     """
 
     @property
     def append_bytes(self) -> int:
-        """Most that one append may write, keys and values together."""
+        """Maximum bytes that one append may write, keys and values together."""
 
     async def claim(
         self, *, host_id: str, address: str, weight: float, log_end: int
     ) -> Result[int, StepError]:
-        """Append a claim and return its token; tokens are unique and rise.
+        """Append a claim and return its token; tokens are unique and increasing.
 
         `tip` is the state's end as the claimant last saw it: CONFLICT says that something has been
         written since, by a leader or another claimant, and that nothing was appended.
         """
 
     async def fence(self, *, token: int) -> Result[None, StepError]:
-        """Have all writes under lower tokens refused from now on."""
+        """Reject all writes under lower tokens from now on."""
 
     async def append(
         self, *, token: int, sequence: int, values_by_key: dict[str, bytes], timeout_s: float
     ) -> Result[None, StepError]:
-        """Write all values or none; repeating a sequence number repeats nothing."""
+        """Write all values or none; idempotent by sequence number."""
 
     async def load(self) -> Result[dict[str, bytes], StepError]:
         """Return the newest value of each key."""
 
     async def poll(self) -> Result[StoreView, StepError]:
-        """Return who claimed last and how far the state goes."""
+        """Return the newest claim and the end of the state log."""
 
 
 class FleetPort(Protocol):
     """The platform's list of executors."""
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
-        """Return the list as it is now."""
+        """Return the current list."""
 
 
 class ConfigPort(Protocol):
     """The operator's configuration."""
 
     async def wait(self) -> Result[CellConfig | None, StepError]:
-        """Return the newest configuration once it may have changed, None if there is none."""
+        """Wait until the configuration may have changed, and return it; None if there is none."""
 
     async def newest(self) -> Result[CellConfig | None, StepError]:
-        """Return the newest configuration now, None if it was returned before."""
+        """Return the newest configuration at once; None if it was returned before."""
 
 
 class AdvisorPort(Protocol):
@@ -97,10 +97,10 @@
 
 
 class HostsPort(Protocol):
-    """The platform's hosts and the operator's waves of maintenance."""
+    """The platform's hosts and the operator's maintenance waves."""
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        """Return the waves that the configuration's last reads have shown."""
+        """Return the waves found by the last reads of the configuration."""
 
     async def list_hosts(self) -> Result[tuple[PoolHost, ...], StepError]:
         """Return the hosts of all pools."""
@@ -108,9 +108,9 @@
     async def order(
         self, order: HostOrder, *, holder: str, token: int
     ) -> Result[HostOutcome, StepError]:
-        """Give an order; CONFLICT says that a newer leader has given one to this host."""
+        """Send an order; CONFLICT means that a newer leader has sent one to this host."""
 
     async def report_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
-        """Tell the operator of a wave's state; fenced and repeatable like the cell's state."""
+        """Report a wave's state to the operator; fenced and idempotent like writes of the state."""
--- a/src/galenastall/state/cell/__init__.py
+++ b/src/galenastall/state/cell/__init__.py
@@ -1,1 +1,1 @@
-"""Records of a cell: jobs of queues, their tasks and the executors that run them."""
+"""Data types of a cell: jobs in queues, their tasks and the executors that run them."""
--- a/src/galenastall/state/cell/executor_ids.py
+++ b/src/galenastall/state/cell/executor_ids.py
@@ -1,7 +1,7 @@
-"""Ids of executors.
+"""Executor ids.
 
-An executor may start again under the name that it had. It then holds and knows nothing of before,
-so it has an id of its own: the platform's name of it, and the time of its start.
+An executor may restart under its previous name, without any of its earlier runs or state. Each
+incarnation therefore has its own id: the platform's name of the executor and its start time.
 """
 
 from typing import Final
@@ -10,9 +10,9 @@
 
 
 def make_executor_id(name: str, started_at_ms: int | None) -> str:
-    """Return the id of the incarnation born at `born_ms` since 1970; None where that is not known.
+    """Return the id of an incarnation; `started_at_ms` is milliseconds since 1970, None if unknown.
 
-    Different names and times give different ids, whatever characters a name holds.
+    Different names and times give different ids, whatever characters a name contains.
     """
     if started_at_ms is None and _SEPARATOR not in name:
         return name
@@ -20,12 +20,12 @@
 
 
 def executor_name(executor_id: str) -> str:
-    """Return what the platform calls an executor in all of its incarnations."""
+    """Return the platform's name of an executor, which all its incarnations share."""
     name, separator, _ = executor_id.rpartition(_SEPARATOR)
     return name if separator else executor_id
 
 
 def started_at_ms_of(executor_id: str) -> int | None:
-    """Return when an incarnation was born, in milliseconds since 1970; None if not told."""
+    """Return the start time of an incarnation in milliseconds since 1970; None if unknown."""
     _, separator, started_at_ms = executor_id.rpartition(_SEPARATOR)
     return int(started_at_ms) if separator and started_at_ms else None
--- a/src/galenastall/state/cell/hosts.py
+++ b/src/galenastall/state/cell/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of pools as the platform lists them, and waves of maintenance."""
+"""Hosts of pools as listed by the platform, and maintenance waves."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,13 +9,13 @@
 from galenastall.state.resources import Resources
 
 WAVE_PREFIX: Final = "wave/"
-"""Keys of the stored progress of waves."""
+"""Key prefix of the stored progress of waves."""
 MOVE_PREFIX: Final = "move/"
-"""Keys of hosts that are not in their home pool."""
+"""Key prefix of hosts that are not in their home pool."""
 
 
 class HostState(StrEnum):
-    """What a host does now."""
+    """Current state of a host."""
 
     UP = "up"
     MOVING = "moving"
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PoolHost:
-    """One host of a pool; an executor is an incarnation of it."""
+    """One host of a pool; an executor is an incarnation running on it."""
 
     host: str
     pool: str
-    """The service whose executors live here, or a pool of hosts that are off."""
+    """The service whose executors run on the host, or a standby pool of switched-off hosts."""
     state: HostState
     capacity: Resources
     labels: tuple[str, ...] = ()
@@ -38,22 +38,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MaintenanceWave:
-    """Hosts that are each to be taken down for maintenance once."""
+    """A set of hosts, each to be taken down for maintenance once."""
 
     number: int
     hosts: tuple[str, ...]
     duration_s: float
-    """Within which all of them should have begun."""
+    """Time within which maintenance of all hosts should have begun."""
     most_down: int
-    """Hosts of the wave that may be down for it at once."""
+    """Maximum number of its hosts that may be down for maintenance at once."""
 
 
 class WaveRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Stored progress of a wave; written before an order leaves."""
+    """Stored progress of a wave; written before an order is sent."""
 
     number: int
     first_seen_at: float
-    """Wall time in seconds at which a leader first read of it."""
+    """Wall time in seconds at which a leader first read the wave."""
     ordered: tuple[str, ...] = ()
     """Hosts whose maintenance was ordered and is not known to have begun."""
     begun: tuple[str, ...] = ()
@@ -61,15 +61,15 @@
 
 
 class MoveRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A host that was moved out of its home pool, or is about to be; written before the order."""
+    """A host that was or will be moved out of its home pool; written before the order is sent."""
 
     host: str
     home: str
-    """The pool of hosts that are off which it came from."""
+    """The standby pool that the host came from."""
     pool: str
-    """Where it was last ordered to."""
+    """The target pool of the last order."""
     is_settled: bool = False
-    """Whether the platform has confirmed that order."""
+    """Whether the platform has confirmed the order."""
 
 
 def encode_move(row: MoveRow) -> bytes:
--- a/src/galenastall/state/cell/phases.py
+++ b/src/galenastall/state/cell/phases.py
@@ -1,10 +1,10 @@
-"""Phases of jobs and tasks, and the ways in which a run ends."""
+"""Phases of jobs and tasks, and outcomes of runs."""
 
 from enum import StrEnum
 
 
 class JobPhase(StrEnum):
-    """What callers are told about a job."""
+    """Phase of a job as shown to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -14,15 +14,15 @@
 
 
 ENDED_PHASES = frozenset({JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED})
-"""Phases after which nothing of a job starts."""
+"""Phases in which nothing of a job starts any more."""
 
 
 class TaskPhase(StrEnum):
-    """Where a task stands."""
+    """Scheduling phase of a task."""
 
     WAITING = "waiting"
     ASSIGNED = "assigned"
-    """A run of it may exist on the executor that it is assigned to."""
+    """A run may exist on the assigned executor."""
     DONE = "done"
 
 
@@ -31,15 +31,15 @@
 
     DONE = "done"
     FAILED = "failed"
-    """By its own fault or its executor's; counts as an attempt."""
+    """By a fault of the task or of its executor; counts as an attempt."""
     STOPPED = "stopped"
     LAPSED = "lapsed"
-    """Its lease ran out."""
+    """Its lease expired."""
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
-    """It waited too long for the other members of its gang."""
+    """It timed out waiting for the other members of its gang."""
     NEVER_STARTED = "never_started"
-    """The executor is known to have refused it or never to have got it."""
+    """The executor has refused the run or has certainly never received it."""
     LOST = "lost"
     """Its executor's incarnation has ended."""
--- a/src/galenastall/state/cell/rows.py
+++ b/src/galenastall/state/cell/rows.py
@@ -1,4 +1,4 @@
-"""Durable rows of a job: its definition, written once, and its progress, written at each change."""
+"""Durable rows of jobs: the definition, written once, and the progress, written at each change."""
 
 from typing import Final
 
@@ -10,13 +10,13 @@
 from galenastall.state.cell.workspaces import NO_WORKSPACE
 
 JOB_PREFIX: Final = "job/"
-"""Keys of definitions; dropped when the job has ended."""
+"""Key prefix of definitions; a definition is deleted when its job has ended."""
 PROGRESS_PREFIX: Final = "run/"
-"""Keys of progress; kept for as long as callers may ask for an ended job."""
+"""Key prefix of progress; kept as long as callers may query an ended job."""
 
 
 class _Prefix:
-    """The prefixes as names that a match can compare with."""
+    """The prefixes as dotted names, which `match` compares by value instead of capturing."""
 
     JOB = JOB_PREFIX
     PROGRESS = PROGRESS_PREFIX
@@ -32,38 +32,38 @@
     index: int
     phase: TaskPhase
     run: int
-    """Number of its last run; rises with each start."""
+    """Number of its last run; increases with each start."""
     executor_id: str = ""
-    """Where its last run is, or may be; empty unless assigned."""
+    """Executor that has or may have its last run; empty unless assigned."""
     failures: int = 0
     """Runs that ended as failed."""
     checkpoint: str = ""
     crashes: int = 0
-    """Executors that have crashed under it."""
+    """Number of executors that crashed while running it."""
     blame: int = 0
-    """How much of these crashes is put down to it."""
+    """Share of these crashes that is attributed to the task."""
 
 
 class ProgressRow(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Progress of one job; tasks that never had a run are left out."""
+    """Progress of one job; tasks that never had a run are omitted."""
 
     phase: JobPhase
     queue_name: str
     has_started: bool = False
     occurrences_opened: int = 0
     done_occurrences: tuple[int, ...] = ()
-    """Numbers of a timed job's other occurrences that are done; their tasks are left out."""
+    """Numbers of further completed occurrences of a recurring job; their tasks are omitted."""
     ended_at: float = 0.0
-    """Wall time in seconds of its end; 0 while it goes on."""
+    """Wall time in seconds of the job's end; 0 until then."""
     tasks: tuple[TaskRow, ...] = ()
     done_before: int = 0
-    """All occurrences with lower numbers are done; they are not named one by one."""
+    """All occurrences with lower numbers are done; they are not listed in `done_occurrences`."""
     workspace: str = NO_WORKSPACE
-    """Owner of the job; its definition is dropped before this row."""
+    """Owner of the job; kept here because the definition is deleted before this row."""
 
 
 class Rows(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that the store keeps about jobs."""
+    """All rows in the store, decoded."""
 
     jobs_by_id: dict[str, CellJob]
     progress_by_id: dict[str, ProgressRow]
@@ -84,7 +84,7 @@
 
 
 def decode_rows(values_by_key: dict[str, bytes]) -> Rows:
-    """Return the typed rows; what can't be read is named, not dropped in silence."""
+    """Return the decoded rows; keys that cannot be decoded are listed in `unreadable`."""
     jobs_by_id: dict[str, CellJob] = {}
     progress_by_id: dict[str, ProgressRow] = {}
     waves: list[WaveRow] = []
--- a/src/galenastall/state/cell/workspaces.py
+++ b/src/galenastall/state/cell/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces of a cell: who owns jobs, what they may run at once, and their shares."""
+"""Workspaces of a cell: job ownership, concurrent resource limits and shares."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,21 +6,21 @@
 from galenastall.state.resources import NOTHING, Resources
 
 NO_WORKSPACE: Final = ""
-"""Owner of a job that was handed in on a public queue."""
+"""Owner of a job that was submitted to a public queue."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Workspace:
-    """One workspace, from the configuration in force when it was read."""
+    """One workspace, from the configuration in force when the workspace was read."""
 
     name: str
     weight: float = 1.0
-    """Its share when not all fits, and the jobs a second that are on its account."""
+    """Its share under contention, and the jobs per second that it is entitled to."""
     limit: Resources = NOTHING
-    """What its tasks may have at once across all executors; 0 of a resource is no limit."""
+    """Limit on concurrent use by its tasks across all executors; 0 for a resource is no limit."""
 
     def allows(self, used: Resources) -> bool:
-        """Whether it may have so much at once."""
+        """Return whether the workspace may use this much at once."""
         limit = self.limit
         return (
             _is_within(used.cores_milli, limit.cores_milli)
@@ -29,7 +29,7 @@
         )
 
     def max_additional(self, need: Resources, *, used: Resources, most: int) -> int:
-        """Return how many of `need` it may add to what it uses, `most` at the highest."""
+        """Return how many tasks of `need` the workspace may add to `used`, at most `most`."""
         limit = self.limit
         count = min(
             _count(need.cores_milli, limit.cores_milli, used.cores_milli, most),
@@ -50,8 +50,8 @@
 
 
 def may_access(*, owner: str, workspace: str) -> bool:
-    """Whether a caller of `workspace` may see and cancel a job of `owner`.
+    """Return whether a caller of `workspace` may query and cancel a job of `owner`.
 
-    A job without an owner is open to all callers of its queue.
+    A job without an owner is accessible to all callers of its queue.
     """
     return owner in {NO_WORKSPACE, workspace}
--- a/tests/test_cell_hosts.py
+++ b/tests/test_cell_hosts.py
@@ -1,4 +1,4 @@
-"""Waves of maintenance and moves of hosts: rules on the core, and a cluster under trouble."""
+"""Maintenance waves and moves of hosts: rules of the core, and a simulated cluster under faults."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -46,7 +46,7 @@
 
 
 class HostHarness(Rig):
-    """A core whose executors each live on a host of the same name."""
+    """A scheduler core whose executors each run on a host of the same name."""
 
     names = ("e1", "e2", "e3")
 
@@ -58,7 +58,7 @@
         self.core.hosts.set_hosts(make_hosts(self.names), wall=self.wall)
 
     def orders(self) -> list[HostOrder]:
-        """Decide, make it durable, and return the orders to hosts that leave."""
+        """Make a decision, commit it, and return the orders to send to hosts."""
         self.step()
         return self.core.hosts.take_ready()
 
@@ -66,7 +66,7 @@
         return self.core.hosts.on_order(order, outcome, wall=self.wall)
 
     def keep_listing(self, orders: Iterable[StartOrder], percent: int = 100) -> None:
-        """List these runs where they are, at work."""
+        """Deliver listings with these runs at the given progress."""
         by_executor: dict[str, list[ListedRun]] = {name: [] for name in self.names}
         for order in orders:
             run = ListedRun(task=order.task, run=order.run, percent=percent)
@@ -185,10 +185,10 @@
 
 
 class TestAvailability:
-    """A service's tasks go off a host one after the other, as far as its step declares."""
+    """Tasks of a service leave a host one by one, within the limit that its step declares."""
 
     def serve(self, most_unavailable: int) -> tuple[HostHarness, list[StartOrder]]:
-        """Run two tasks of a service on each host, all at work for long."""
+        """Run two tasks of a service on each host, all available for long enough."""
         harness = HostHarness()
         step = make_step(
             6,
@@ -221,7 +221,7 @@
         harness.see(*(make_info(name, cores=8000) for name in harness.names))
         harness.keep_listing([order for order in orders if order is not stopped])
         assert harness.stops() == []
-        # Two a host are allowed and there are three hosts: there is no other place for it.
+        # Two per host are allowed, on three hosts: there is no other place for the task.
         others = [order for order in orders if order is not stopped]
         assert harness.step() == []
         harness.now += 2 * AVAILABLE_AFTER_S
@@ -305,7 +305,7 @@
 
 
 async def random_waves(cluster: Cluster, world: World, rng: Random) -> None:
-    """Take all hosts down in turn, by two waves, through trouble."""
+    """Take down all hosts in turn, in two waves, under random faults."""
     await cluster.wait_for_leader()
     until = trio.current_time() + 30.0
     hosts = sorted({executor.info.host for executor in world.executors.values()})
@@ -321,7 +321,7 @@
             await cluster.start(name)
     await check_all_end(cluster)
     with trio.fail_after(60.0):
-        while world.hosts.told != {1: True, 2: True}:  # noqa: ASYNC110 - nobody tells the test
+        while world.hosts.told != {1: True, 2: True}:  # noqa: ASYNC110 - no event to wait for
             await trio.sleep(0.2)
 
 
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -1,4 +1,4 @@
-"""Loads on which a rule repeats, or room is held, without regard to what came of it before."""
+"""Regressions: rules that repeated an action, or held capacity, regardless of the outcome."""
 
 from collections import deque
 from dataclasses import replace
@@ -32,7 +32,7 @@
 
 
 def show(harness: Rig, percent_by_order: dict[StartOrder, int]) -> None:
-    """List what runs on each executor, all runs of one executor together."""
+    """Deliver one listing per executor, with all of its runs and their progress."""
     for info in harness.infos:
         own = {o: p for o, p in percent_by_order.items() if o.executor_id == info.executor_id}
         running = tuple(ListedRun(task=o.task, run=o.run, percent=p) for o, p in own.items())
@@ -44,7 +44,7 @@
 
 
 class TestSimultaneousRefusals:
-    """Starts that leave together are refused together: that is one refusal, not one a start."""
+    """Refusals of starts that were sent together count as one refusal, not one per start."""
 
     def test_starts_that_left_together_do_not_double_the_pause_of_each_other(self) -> None:
         harness = Rig(make_info("e0"))
@@ -73,7 +73,7 @@
 
 class TestGangNotStarted:
     def test_a_gang_avoids_an_executor_that_did_not_start_it_for_another_reason(self) -> None:
-        """As too late for its clock, say: it comes to the same as a refusal for want of health."""
+        """For example too late by its clock: the effect is that of a refusal as unhealthy."""
         harness = Rig(*(make_info(f"e{number}") for number in range(3)))
         harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         for order in harness.step():
@@ -88,7 +88,7 @@
 
 
 class TestOneRack:
-    """A rack that fits is taken before it is asked which executors are avoided."""
+    """Guards against choosing a rack without regard to the executors that the gang avoids."""
 
     def start(self) -> tuple[Rig, list[StartOrder]]:
         racks = {"e0": "r1", "e1": "r1", "e2": "r2", "e3": "r2"}
@@ -107,7 +107,8 @@
         assert {order.executor_id for order in harness.step()} == {"e2", "e3"}
 
     def test_a_stalled_gang_goes_to_the_other_rack(self) -> None:
-        """Nobody is paused, so it came back to the executor that hangs, for twice as long each."""
+        """No executor is paused here, so the gang used to return to the hanging one, each time for
+        twice as long."""
         harness, orders = self.start()
         harness.run_all(orders)
         for _ in range(8):
@@ -139,7 +140,7 @@
 
 
 class TestJobRefusedEverywhere:
-    """Each start of one job is refused, as malformed say; all others would be taken."""
+    """Each start of one job is refused, for example as malformed; other jobs would be accepted."""
 
     def test_it_does_not_close_all_executors(self) -> None:
         harness = Rig(*(make_info(f"e{number}") for number in range(4)))
@@ -164,7 +165,7 @@
 
 
 class TestServiceThatFailsAtOnce:
-    """A task that goes on until cancelled is started again however often it fails."""
+    """A task that runs until cancelled is restarted no matter how often it fails."""
 
     def run_for(self, seconds: float) -> tuple[Rig, int]:
         harness = Rig(*(make_info(f"e{number}") for number in range(4)))
@@ -192,7 +193,7 @@
 
 
 class ThrottledFillersHarness(Rig):
-    """A task that serves on e0 beside fillers on all executors."""
+    """A service task on one executor, and filler tasks on all executors."""
 
     def __init__(self, *, fillers: int) -> None:
         super().__init__(*(make_info(f"e{number}") for number in range(3)))
@@ -208,7 +209,7 @@
         self.host = self.serving[0].executor_id
 
     def run_for(self, seconds: float) -> None:
-        """Let runs work at the pace that their executor was ordered."""
+        """Let fillers progress at the rate to which their executor is throttled."""
         for _ in range(round(seconds / LISTED_EVERY_S)):
             self.now += LISTED_EVERY_S
             for order in self.fillers:
@@ -263,7 +264,7 @@
 
 class TestOverdueGangs:
     def test_many_overdue_gangs_do_not_delay_timely_work(self) -> None:
-        """One at a time, but one after the other: each takes the whole cell."""
+        """Only one starts at a time, but in direct succession, and each occupies the cell."""
         harness = StreamRig(executors=8, load=0.5)
         harness.play(5.0)
         for number in range(10):
@@ -296,7 +297,7 @@
 
 
 class AdvisorOutageHarness(LineRig):
-    """The advisor answers nothing from some moment on."""
+    """The advisor stops answering once `is_advisor_down` is set."""
 
     is_advisor_down = False
 
@@ -307,7 +308,7 @@
 
 class TestGangThatIsDone:
     def test_a_member_that_does_not_end_frees_its_capacity(self) -> None:
-        """The first member that is done makes the gang's step done; the rest was never stopped."""
+        """The first completed member completes the step; the others were never stopped."""
         harness = Rig(make_info("e0"), make_info("e1"))
         harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         done, left = harness.step()
@@ -325,7 +326,7 @@
 
 
 class TestRowsOfTimedJobs:
-    """A row that the store refuses is sent for ever, and nothing else is written any more."""
+    """A row too large for the store is retried forever, and blocks all other writes."""
 
     def timed(self, count: int, times: int) -> JobRun:
         recurrence = Recurrence(first_due=WALL, interval_s=1.0, times=times)
@@ -345,7 +346,7 @@
         assert len(encode_progress(run.row())) < RECORD_BYTES
 
     def test_a_job_whose_occurrences_are_all_due_at_once_is_refused(self) -> None:
-        """All of them are opened in one call: a thousand million times 4,000 tasks here."""
+        """All occurrences would be opened in one call: here 1,000,000,000 times 4,000 tasks."""
         body = msgspec.json.encode(
             {"steps": [{"count": 4_000}], "repetitions": 1_000_000_000, "intervalMs": 0}
         )
@@ -379,7 +380,7 @@
 
 class TestUrgentAdviceCalls:
     def test_queued_calls_are_not_repeated_without_bound(self) -> None:
-        """Hosts are asked through one call at a time; here they make two a second."""
+        """Each host makes one call at a time; here all hosts together complete two per second."""
         harness = AdvisedRig(executors=4, hosts=3)
         urgent = replace(ADVISED, name="urgent", priority=0)
         harness.core.set_queues([QUEUE, ADVISED, urgent])
@@ -410,11 +411,11 @@
             harness.now += LISTED_EVERY_S
             show(harness, {order: 40})
             stops += harness.stops()
-        assert stops, "it has stood still for 120 s"
+        assert stops, "it has been stalled for 120 s"
 
 
 class TestLateTasksThatFillAnExecutor:
-    """Gangs that are late are brought forward; a single task is not, and keeps no room either."""
+    """Late gangs move forward in the queue; a late single task does not, nor reserves capacity."""
 
     def test_one_starts_despite_a_stream_of_small_tasks(self) -> None:
         harness = StreamRig(executors=16, load=0.95)
@@ -427,7 +428,7 @@
 
 class TestTicketsThatAreRefused:
     def test_a_gang_avoids_an_executor_that_refused_its_ticket(self) -> None:
-        """Its ticket is asked for again, and it is placed there again."""
+        """Otherwise it requests a new ticket and is placed on the same executor again."""
         harness = AdvisedRig(executors=3, hosts=6)
         harness.hand_in(make_step(2, cores=4000, is_gang=True))
         for ask in harness.asks():
@@ -445,7 +446,7 @@
 
 
 class PoolHarness(HostHarness):
-    """A service of three hosts, and one that can be moved in; moves are carried out at once."""
+    """A service of three hosts and one standby host; moves are carried out at once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -461,7 +462,7 @@
         self.see(*(make_info(name) for name in self.names), *spares)
 
     def run_for(self, seconds: float) -> set[str]:
-        """Let runs go on without an end; return the jobs that were started."""
+        """Let runs continue without ending; return the jobs that were started."""
         started: set[str] = set()
         for _ in range(round(seconds)):
             self.now += 1.0
@@ -486,7 +487,7 @@
 
 class TestMovedHosts:
     def test_a_host_that_cannot_be_returned_serves_waiting_tasks(self) -> None:
-        """It is closed while the load is low, also if a task goes on there until cancelled."""
+        """It is cordoned while the load is low, even if a long-running task prevents its return."""
         harness = PoolHarness()
         full = make_step(4, cores=4000, estimate_s=200.0)
         harness.submit(make_job(full, job_id=OTHER))
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -1,4 +1,4 @@
-"""What the leader tells of steps that wait, executors that are closed and runs that it stops."""
+"""Reports of the leader about waiting steps, closed executors and stopped runs."""
 
 from dataclasses import replace
 from enum import StrEnum
@@ -47,11 +47,11 @@
 ADVISED = replace(QUEUE, name="advised", advisor=TIMING)
 OTHER = "f" * 16
 FULL = 4000
-"""Thousandths of a core that an executor has."""
+"""Capacity of an executor in thousandths of a core."""
 
 
 class WaitReportHarness(Rig):
-    """A core of some executors, and what it tells."""
+    """A scheduler core with some executors, and the reports that it logs."""
 
     def __init__(self, *, executors: int = 2, hosts: int = 6) -> None:
         super().__init__(*(make_info(f"e{number:03}") for number in range(executors)))
@@ -64,7 +64,7 @@
         self.submit(make_job(step, job_id=job_id, queue=ADVISED))
 
     def fill(self, executors: int, *, cores: int = FULL, estimate_s: float = 9.0) -> None:
-        """Run a task on each of some executors."""
+        """Run one task on each of the first `executors` executors."""
         for number in range(executors):
             step = make_step(1, cores=cores, estimate_s=estimate_s)
             self.submit(make_job(step, job_id=f"{number:016x}"))
@@ -76,7 +76,7 @@
         return self.commit()
 
     def why(self, job_id: str = JOB) -> WaitReason:
-        """Decide, and return why the job's first step was not started."""
+        """Make a decision, and return why the job's first step was not started."""
         self.decide()
         return self.reason(job_id)
 
@@ -84,7 +84,7 @@
         return self.core._placer.sight.reason_of(StepKey(job_id, 0, 0))
 
     def answer(self, *approved: str) -> None:
-        """Answer all calls under way."""
+        """Answer all pending calls for advice."""
         asks, self.asks = self.asks, []
         for ask in asks:
             named = tuple(Approval(executor_id=i, ticket="t") for i in approved)
@@ -100,7 +100,7 @@
             self.listing(executor.executor_id, running)
 
     def wait(self, seconds: int) -> list[Note]:
-        """Let seconds pass with a decision and progress in each; return what was told."""
+        """Let seconds pass, with a decision and progress in each; return the notes logged."""
         self.core.take_notes()
         for _ in range(seconds):
             self.now += 1.0
@@ -237,10 +237,10 @@
         harness.decide()
         reasons = [harness.reason(job_id) for job_id in ids]
         assert reasons.count(WaitReason.ROOM_LATER) == 1
-        # One is planned; of the others a decision looks at so many in vain.
+        # One is planned; of the others, a decision tries FRUITLESS_PLANS without a result.
         assert reasons.count(WaitReason.NO_ROOM_AHEAD) == FRUITLESS_PLANS
         assert reasons.count(WaitReason.NOT_PLANNED) == PLANNED_GANGS - FRUITLESS_PLANS
-        # Later decisions look at all of them: who is left out has its turn.
+        # Later decisions rotate through the gangs, so that each of them is tried.
         (counts,) = fields_of(harness.wait(1), "cell.waiting")
         assert counts["advised:planned_for_others"] == str(PLANNED_GANGS)
 
@@ -285,7 +285,7 @@
 
 
 class TestRefinedReasons:
-    """What a report finds out of gangs that a decision planned."""
+    """A report refines the wait reasons of gangs that a decision tried to plan."""
 
     def reasons(self, harness: WaitReportHarness) -> set[str]:
         (counts,) = fields_of(harness.wait(1), "cell.waiting")
@@ -454,7 +454,7 @@
 
 class TestStops:
     def stalled(self) -> tuple[WaitReportHarness, list[Note]]:
-        """Run a gang of two whose members both stand still at 40 percent."""
+        """Run a gang of two whose members both stall at 40 percent."""
         harness = WaitReportHarness(executors=2)
         harness.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
         harness.run_all(harness.step())
@@ -509,7 +509,7 @@
 
 
 class _LeadershipState:
-    """What the gauges read of a host that leads."""
+    """The attributes of a leading host that the gauges read."""
 
     is_leading = True
     token = job_count = executor_count = 1
@@ -535,7 +535,7 @@
 
 
 class TestDocumentation:
-    """What the guide names is what the lines name."""
+    """The guide lists every reason and rule that log lines contain."""
 
     PAGE = Path(__file__).parents[1] / "docs" / "guide" / "observability.md"
 
@@ -554,7 +554,7 @@
 
 
 def gang_run(run: int, at_s: float, *, stopped_at_s: float, percent: str) -> list[str]:
-    """Return the lines of a gang of two whose run stands still and is stopped."""
+    """Return the log lines of a gang of two whose run stalls and is stopped."""
     tasks = ("0.0.0", "0.0.1")
     fields = {"rule": "stands_still", "run": str(run), "percent": percent}
     fields["stopped_so_far"] = str(run)
@@ -603,9 +603,9 @@
         text = "\n".join(format_waits(waits_of(parse_lines(STOPPED)), longest=1))
         assert "between runs 91.000 s" in text
         assert "2 runs; the longest time from the end of a run to the next 90.000 s" in text
-        assert "and not again since the last" in text
+        assert "and still waiting after the last" in text
         assert "stopped by the leader 2 times as stands_still at 40, 41%" in text
-        assert "told as waiting: room_kept 2, no_host 1" in text
+        assert "reported as waiting: room_kept 2, no_host 1" in text
 
     def test_stops_that_follow_the_end_of_a_job_are_left_out(self) -> None:
         stop = line(3.0, "run.stop", "a", "0.0.0", run="1", rule="job_ended", stopped_so_far="1")
@@ -642,5 +642,5 @@
         (tmp_path / "one.log").write_text("\n".join(STOPPED))
         result = CliRunner().invoke(app, ["explain", "--logs", str(tmp_path), "--waiting"])
         assert result.exit_code == 0, result.output
-        for text in ("room_kept 5", "stands_still at 40, 41%", "told as waiting"):
+        for text in ("room_kept 5", "stands_still at 40, 41%", "reported as waiting"):
             assert text in result.output
--- a/tests/test_cell_workspaces.py
+++ b/tests/test_cell_workspaces.py
@@ -1,4 +1,4 @@
-"""What workspaces see of each other, and how the configuration that tells them apart travels."""
+"""Isolation between workspaces, and propagation of the configuration that defines them."""
 
 from random import Random
 
--- a/tests/test_explain_waiting.py
+++ b/tests/test_explain_waiting.py
@@ -1,4 +1,4 @@
-"""What jobs waited for, told from log lines alone."""
+"""Wait times of jobs, computed from log lines alone."""
 
 from pathlib import Path
 
@@ -71,7 +71,7 @@
         )
         lines = format_waits(waits_of(parse_lines([*GANG, *short])), longest=1)
         assert lines[0].startswith("gangs: 2 jobs accepted, 2 started; ")
-        assert "for room 1.400 s" in lines[0]
+        assert "for capacity 1.400 s" in lines[0]
         assert len(lines) == 2
         assert lines[1].startswith("  a of gangs: 5.000 s, first start; ")
 
--- a/tests/test_log_stories.py
+++ b/tests/test_log_stories.py
@@ -1,4 +1,4 @@
-"""What became of a job, told from captured log lines of several processes."""
+"""Outcomes of jobs, explained from captured log lines of several processes."""
 
 import re
 from pathlib import Path
