--- a/src/galenastall/coordination/cell/maintenance.py
+++ b/src/galenastall/coordination/cell/maintenance.py
@@ -154,8 +154,8 @@
             self._state.note("wave.completed", str(progress.wave.number))
             return
         down = self._count_down(progress, wall)
-        room = progress.wave.most_down - down - len(progress.draining_since)
-        for host in self._next_hosts(progress, left)[: max(room, 0)]:
+        free_slots = progress.wave.most_down - down - len(progress.draining_since)
+        for host in self._next_hosts(progress, left)[: max(free_slots, 0)]:
             progress.draining_since[host] = wall
             self._state.note("host.emptied", host, cause=f"wave {progress.wave.number}")
         patience_s = progress.patience_s(self._down_s)
