--- a/src/galenastall/bench/peer_slopes.py
+++ b/src/galenastall/bench/peer_slopes.py
@@ -8,7 +8,7 @@
 import trio
 
 from galenastall.bench.slopes import REPEATS, slope
-from galenastall.coordination.ownership.ownership_messages import Beat
+from galenastall.coordination.ownership.ownership_messages import Heartbeat
 from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
 from galenastall.protocol import ownership_messages
 from galenastall.protocol.amount_rows import pack_summary
@@ -33,9 +33,9 @@
 bytes_slope: Final = partial(slope, x_name="beats", y_unit="bytes", sizes=(50, 200, 800))
 
 
-def make_beat(sequence: int) -> Beat:
+def make_beat(sequence: int) -> Heartbeat:
     """Return a beat of ordinary times."""
-    return Beat(
+    return Heartbeat(
         sender=Incarnation("north-1-entry-1.0123456789ab"),
         receiver=Incarnation("north-1-entry-2.0123456789ab"),
         sequence=1_000_000 + sequence,
@@ -119,7 +119,7 @@
     near = ZmqPeerLink(host_id=NEAR, incarnation=Incarnation("near"), clock=clock)
     far = ZmqPeerLink(host_id=FAR, incarnation=Incarnation("far"), clock=clock)
     sink = _Sink()
-    far.handle(Beat, sink.take)
+    far.handle(Heartbeat, sink.take)
     far.handle(JobBeat, sink.take)
     async with trio.open_nursery() as nursery:
         await nursery.start(near.run)
--- a/src/galenastall/coordination/jobs/assignees.py
+++ b/src/galenastall/coordination/jobs/assignees.py
@@ -16,7 +16,7 @@
 """Tasks of one shard that may wait at one assignee: enough for a worker owner to choose from."""
 URGENT_EXTRA: Final = 256
 """Further tasks if they are urgent: these may preempt, which only the assignee can decide."""
-BEYOND_ROOM: Final = 16
+OVERCOMMIT_CHUNK: Final = 16
 """Tasks given at once to a host that has no room for them now."""
 AVOID_S: Final = 1.0
 """How long an assignee that refused tasks is passed over, in seconds."""
@@ -30,7 +30,7 @@
     """Tasks of this shard that are assigned there and were not reported started."""
     avoid_until: float = 0.0
 
-    def count_whole(self, need: Resources) -> int:
+    def count_placeable(self, need: Resources) -> int:
         """Return how many such tasks fit at most, none of them split over two workers."""
         most = NOTHING
         for hole in self.summary.holes:
@@ -39,26 +39,26 @@
         return min(count_fitting(self.summary.free - self.pending, need), in_workers)
 
 
-def fits_whole(summary: CapacitySummary, need: Resources) -> bool:
+def fits_some_worker(summary: CapacitySummary, need: Resources) -> bool:
     """Return whether some worker there is large enough when empty."""
     return _fits_one(summary.largest_worker, need)
 
 
-def count_fitting(room: Resources, need: Resources) -> int:
+def count_fitting(capacity: Resources, need: Resources) -> int:
     """Return how many tasks of this size the total room would hold; an upper bound."""
     bounds = [
         free // asked
         for free, asked in (
-            (room.cores_milli, need.cores_milli),
-            (room.memory_mb, need.memory_mb),
-            (room.accelerators, need.accelerators),
+            (capacity.cores_milli, need.cores_milli),
+            (capacity.memory_mb, need.memory_mb),
+            (capacity.accelerators, need.accelerators),
         )
         if asked > 0
     ]
     return max(min(bounds), 0) if bounds else DEFAULT_BACKLOG
 
 
-class AssigneeBook:
+class AssigneeTable:
     """The living worker owners of a data centre as one job shard sees them."""
 
     def __init__(self, *, backlog: int = DEFAULT_BACKLOG) -> None:
@@ -98,10 +98,10 @@
         *,
         need: Resources,
         urgency: Urgency,
-        want: int,
+        max_tasks: int,
         now: float,
         avoid: Container[HostId] = (),
-        within_room: bool = False,
+        within_capacity: bool = False,
     ) -> tuple[HostId, int] | None:
         """Return a host and how many of `want` like tasks to assign there; None if nowhere.
 
@@ -114,10 +114,10 @@
         for host, each in self._by_host.items():
             if each.queued >= limit or each.avoid_until > now:
                 continue
-            if not fits_whole(each.summary, need):
+            if not fits_some_worker(each.summary, need):
                 continue
             fitting = count_fitting(each.summary.free - each.pending, need)
-            if within_room and fitting <= 0:
+            if within_capacity and fitting <= 0:
                 continue
             rank = (host not in avoid, fitting, -each.queued)
             if best is None or rank > best[:3]:
@@ -125,10 +125,10 @@
         if best is None:
             return None
         _, fitting, _, host = best
-        room = fitting if fitting > 0 else BEYOND_ROOM
-        return host, min(want, room, limit - self._by_host[host].queued)
+        capacity = fitting if fitting > 0 else OVERCOMMIT_CHUNK
+        return host, min(max_tasks, capacity, limit - self._by_host[host].queued)
 
-    def with_room(self, need: Resources) -> dict[HostId, int]:
+    def hosts_with_capacity(self, need: Resources) -> dict[HostId, int]:
         """Return how many such tasks each host could start now, for those that could."""
         fitting = {
             host: count_fitting(each.summary.free - each.pending, need)
@@ -143,7 +143,7 @@
         if each is None:
             return
         each.queued += count
-        each.pending = each.pending + _times(need, count)
+        each.pending = each.pending + _multiply(need, count)
 
     def reserve(self, host: HostId, need: Resources, count: int) -> None:
         """Count tasks against a host's room but not against its backlog, as for a gang's hold."""
@@ -160,9 +160,9 @@
         """Return how many tasks of a gang to hold at which host, on as few hosts as will do."""
         fitting = sorted(
             (
-                (each.count_whole(need), host)
+                (each.count_placeable(need), host)
                 for host, each in self._by_host.items()
-                if each.avoid_until <= now and fits_whole(each.summary, need)
+                if each.avoid_until <= now and fits_some_worker(each.summary, need)
             ),
             key=lambda entry: (-entry[0], entry[1]),
         )
@@ -177,14 +177,14 @@
 
     def can_ever_run(self, need: Resources) -> bool:
         """Return whether some worker that is known now is large enough when empty."""
-        return any(fits_whole(each.summary, need) for each in self._by_host.values())
+        return any(fits_some_worker(each.summary, need) for each in self._by_host.values())
 
 
 def _fits_one(holes: tuple[Hole, ...], need: Resources) -> bool:
     return any(need.fits_in(hole.free) for hole in holes)
 
 
-def _times(need: Resources, count: int) -> Resources:
+def _multiply(need: Resources, count: int) -> Resources:
     return Resources(
         cores_milli=need.cores_milli * count,
         memory_mb=need.memory_mb * count,
--- a/src/galenastall/coordination/jobs/attempt_rules.py
+++ b/src/galenastall/coordination/jobs/attempt_rules.py
@@ -9,7 +9,7 @@
 from galenastall.state.work import TaskPhase
 
 
-class NextMove(StrEnum):
+class NextAction(StrEnum):
     """What to do with the task."""
 
     OFFER = "offer"
@@ -26,33 +26,35 @@
 class Verdict:
     """A move, and the phase with which the task ends if it does."""
 
-    move: NextMove
+    action: NextAction
     phase: TaskPhase = TaskPhase.CANCELLED
 
 
-def judge(run: JobRun, index: int, report: TaskReport, settings: ShardSettings) -> Verdict:
+def decide_next_action(
+    run: JobRun, index: int, report: TaskReport, settings: ShardSettings
+) -> Verdict:
     """Return what to do after the last report on an attempt.
 
     A task that may have run is tried again only if it is idempotent; otherwise it ends as what is
     known of it: failed, or unknown.
     """
     if run.is_stopped:
-        return Verdict(move=NextMove.CLOSE, phase=phase_when_stopped(run, report.kind))
+        return Verdict(action=NextAction.CLOSE, phase=phase_when_stopped(run, report.kind))
     if report.kind is ReportKind.RETURNED:
-        return Verdict(move=NextMove.OFFER)
+        return Verdict(action=NextAction.OFFER)
     if report.kind is ReportKind.REFUSED:
-        move = NextMove.STOP_JOB if report.give_up else NextMove.CLOSE
-        return Verdict(move=move, phase=TaskPhase.CANCELLED)
+        action = NextAction.STOP_JOB if report.give_up else NextAction.CLOSE
+        return Verdict(action=action, phase=TaskPhase.CANCELLED)
     if report.kind is ReportKind.DONE and not run.is_service:
-        return Verdict(move=NextMove.CLOSE, phase=TaskPhase.DONE)
+        return Verdict(action=NextAction.CLOSE, phase=TaskPhase.DONE)
     if run.is_service:
-        return Verdict(move=NextMove.RETRY)
+        return Verdict(action=NextAction.RETRY)
     if report.kind is ReportKind.FAILED and is_bad_job(run, index, report, settings):
-        return Verdict(move=NextMove.STOP_JOB, phase=TaskPhase.FAILED)
+        return Verdict(action=NextAction.STOP_JOB, phase=TaskPhase.FAILED)
     if run.state.spec.idempotent:
-        return Verdict(move=NextMove.RETRY)
+        return Verdict(action=NextAction.RETRY)
     phase = TaskPhase.FAILED if report.kind is ReportKind.FAILED else TaskPhase.UNKNOWN
-    return Verdict(move=NextMove.CLOSE, phase=phase)
+    return Verdict(action=NextAction.CLOSE, phase=phase)
 
 
 def phase_when_stopped(run: JobRun, kind: ReportKind) -> TaskPhase:
--- a/src/galenastall/coordination/jobs/census.py
+++ b/src/galenastall/coordination/jobs/census.py
@@ -14,7 +14,7 @@
 class Census:
     """One round of asking all entry hosts."""
 
-    def __init__(self, *, doubts: int, queues_void_at: float) -> None:
+    def __init__(self, *, doubts: int, queues_expire_at: float) -> None:
         """Start with no answers.
 
         `doubts` is the shard's count of doubts at the start: later ones need another census. At
@@ -22,7 +22,7 @@
         valid any more.
         """
         self.doubts = doubts
-        self._queues_void_at = queues_void_at
+        self._queues_expire_at = queues_expire_at
         self._answered: set[HostId] = set()
         self._workers: set[HostId] = set()
 
@@ -49,4 +49,4 @@
         """
         if self.missing_workers(workers):
             return False
-        return now > self._queues_void_at or not self.missing_hosts(roster)
+        return now > self._queues_expire_at or not self.missing_hosts(roster)
--- a/src/galenastall/coordination/jobs/gang_desk.py
+++ b/src/galenastall/coordination/jobs/gang_coordinator.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
+from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.gangs import Gang, GangPhase, GangStep, GangStepKind
 from galenastall.coordination.jobs.job_run import Assigned, JobRun
 from galenastall.coordination.jobs.shard_commands import GangCall, ShardSettings, StopBatch
@@ -21,11 +21,11 @@
 from galenastall.state.ids import HostId, JobId, make_task_id
 
 
-class GangDesk:
+class GangCoordinator:
     """Drives every gang of a shard; the shard closes tasks when a gang has ended."""
 
     def __init__(
-        self, *, settings: ShardSettings, assignees: AssigneeBook, intents: TaskIntents
+        self, *, settings: ShardSettings, assignees: AssigneeTable, intents: TaskIntents
     ) -> None:
         """Start without gangs; `intents` takes the tasks that need a record first."""
         self._intents = intents
@@ -57,7 +57,7 @@
         """Return where a gang stands."""
         return self._gangs_by_id[job_id].phase
 
-    def kinds_of(self, job_id: JobId) -> dict[int, ReportKind]:
+    def report_kinds_of(self, job_id: JobId) -> dict[int, ReportKind]:
         """Return the last word on each task of the present attempt."""
         return self._gangs_by_id[job_id].kind_by_index
 
@@ -133,7 +133,7 @@
         if gang is not None:
             self._push(job_id, gang.cancel(now))
 
-    def resolve(self, run: JobRun, doubtful: Iterable[int], now: float) -> None:
+    def resolve(self, run: JobRun, unconfirmed: Iterable[int], now: float) -> None:
         """Go on after a census: what is nowhere is lost to its gang's attempt."""
         job_id = run.state.spec.job_id
         gang = self._gangs_by_id[job_id]
@@ -144,7 +144,7 @@
             }
             gang.resume(kinds, now)
             return
-        for index in sorted(doubtful):
+        for index in sorted(unconfirmed):
             self._push(job_id, gang.on_report(index, gang.attempt, ReportKind.LOST, now))
 
     def is_over(self, job_id: JobId) -> bool:
@@ -161,10 +161,10 @@
         return self._gangs_by_id[job_id].may_have_run
 
     def _try_to_begin(self, run: JobRun, gang: Gang, now: float) -> None:
-        if run.doubtful or run.is_stopped or gang.not_before > now or run.assigned_by_index:
+        if run.unconfirmed or run.is_stopped or gang.not_before > now or run.assigned_by_index:
             return
         spec = run.state.spec
-        if run.giving or not self._all_given(run):
+        if run.awaiting_record or not self._are_all_recorded(run):
             return
         plan = self._assignees.plan_gang(need=run.need, tasks=spec.tasks, now=now)
         if plan is None:
@@ -176,11 +176,11 @@
             self._assignees.reserve(host, run.need, count)
         self._push(spec.job_id, gang.begin(plan, attempt=attempt, now=now))
 
-    def _all_given(self, run: JobRun) -> bool:
-        if not run.is_once or run.state.may_have_run(0):
+    def _are_all_recorded(self, run: JobRun) -> bool:
+        if not run.is_at_most_once or run.state.may_have_run(0):
             return True
         indices = list(range(run.state.spec.tasks))
-        run.giving.update(indices)
+        run.awaiting_record.update(indices)
         self._intents.add(run.state.spec.job_id, indices)
         return False
 
--- a/src/galenastall/coordination/jobs/gangs.py
+++ b/src/galenastall/coordination/jobs/gangs.py
@@ -152,7 +152,7 @@
             return self._note_started(index, kind, now)
         if kind is not ReportKind.DONE:
             return self._undo(now)
-        self._settle(now)
+        self._end_if_complete(now)
         return []
 
     def tick(self, now: float) -> list[GangStep]:
@@ -196,7 +196,7 @@
         )
         if is_mixed or is_broken:
             self.phase = GangPhase.UNDOING
-        self._settle(now)
+        self._end_if_complete(now)
 
     def cancel(self, now: float) -> list[GangStep]:
         """Give up: release what is held, stop what may run."""
@@ -247,7 +247,7 @@
     def _undo(self, now: float) -> list[GangStep]:
         self.phase = GangPhase.UNDOING
         steps = self._stops()
-        self._settle(now)
+        self._end_if_complete(now)
         return steps
 
     def _stops(self) -> list[GangStep]:
@@ -257,12 +257,12 @@
             if any(self.kind_by_index.get(index) not in ENDING_KINDS for index in indices)
         ]
 
-    def _settle(self, now: float) -> None:
+    def _end_if_complete(self, now: float) -> None:
         ended = [kind for kind in self.kind_by_index.values() if kind in ENDING_KINDS]
         if len(ended) == self._tasks:
             self.phase = GangPhase.ENDED
 
     def _backoff(self) -> float:
         longest: float = min(BACKOFF_S * 2 ** min(self.failed_tries, 10), MAX_BACKOFF_S)
-        spread = int(xxhash.xxh32_intdigest(f"{self.key}/{self.failed_tries}".encode())) / 2**32
-        return longest * (0.5 + spread / 2)
+        jitter = int(xxhash.xxh32_intdigest(f"{self.key}/{self.failed_tries}".encode())) / 2**32
+        return longest * (0.5 + jitter / 2)
--- a/src/galenastall/coordination/jobs/job_closing.py
+++ b/src/galenastall/coordination/jobs/job_closing.py
@@ -1,7 +1,7 @@
 """Close tasks and end jobs of one shard."""
 
 from galenastall.coordination.jobs.attempt_rules import phase_when_stopped
-from galenastall.coordination.jobs.job_ends import ToldBy
+from galenastall.coordination.jobs.job_ends import ReportSource
 from galenastall.coordination.jobs.job_run import JobRun
 from galenastall.coordination.jobs.shard_tables import ShardTables
 from galenastall.coordination.placement.task_reports import (
@@ -20,12 +20,12 @@
         """Work on these tables."""
         self._tables = tables
 
-    def after_gang(self, run: JobRun, now: float) -> None:
+    def finish_gang_attempt(self, run: JobRun, now: float) -> None:
         """End or retry a gang's job once its run is over."""
         job_id, gangs = run.state.spec.job_id, self._tables.gangs
-        if job_id not in gangs or run.doubtful or not gangs.is_over(job_id):
+        if job_id not in gangs or run.unconfirmed or not gangs.is_over(job_id):
             return
-        kinds = gangs.kinds_of(job_id)
+        kinds = gangs.report_kinds_of(job_id)
         is_done = bool(kinds) and all(kind is ReportKind.DONE for kind in kinds.values())
         if not is_done and not run.is_stopped:
             cause = run.history() or "its gang broke off"
@@ -39,18 +39,18 @@
         for index in list(run.state.open_indices()):
             kind = kinds.get(index, ReportKind.RETURNED)
             assigned = assigned_by_index.get(index)
-            told_by = None
+            source = None
             if assigned is not None:
-                told_by = ToldBy(
+                source = ReportSource(
                     host=assigned.host,
                     task_id=make_task_id(job_id, index),
                     attempt=assigned.attempt,
                 )
-            self.close(run, index, phase_when_stopped(run, kind), told_by)
+            self.close(run, index, phase_when_stopped(run, kind), source)
 
-    def resolve(self, run: JobRun, doubtful: set[int], *, may_have_lost_ends: bool) -> None:
+    def resolve(self, run: JobRun, unconfirmed: set[int], *, may_have_lost_ends: bool) -> None:
         """Settle tasks that nobody has: give them out again, or close them."""
-        for index in sorted(doubtful):
+        for index in sorted(unconfirmed):
             if not run.is_open(index):
                 continue
             if may_have_lost_ends:
@@ -59,21 +59,21 @@
                 self.close(run, index, run.stop_phase)
             else:
                 run.tries_by_index[index] = next_attempt(run.tries_by_index.get(index, 0))
-                run.give_back(index)
+                run.return_to_queue(index)
 
     def close(
-        self, run: JobRun, index: int, phase: TaskPhase, told_by: ToldBy | None = None
+        self, run: JobRun, index: int, phase: TaskPhase, source: ReportSource | None = None
     ) -> None:
         """Note the final end of a task, once."""
         if run.close(index, phase):
-            self._tables.ends.add(run.state.spec.job_id, index, phase, told_by)
+            self._tables.ends.add(run.state.spec.job_id, index, phase, source)
 
     def stop_run(self, run: JobRun, phase: TaskPhase, detail: str, now: float) -> None:
         """Stop a job: nothing of it is given out any more, and what runs is stopped."""
         run.is_stopped = True
         run.stop_phase = phase
         run.detail = run.detail or detail
-        self._tables.giver.discard(run)
+        self._tables.dispatcher.discard(run)
         job_id = run.state.spec.job_id
         self._tables.gangs.cancel(job_id, now)
         for index, assigned in run.assigned_by_index.items():
@@ -81,12 +81,12 @@
                 task_id = make_task_id(job_id, index)
                 self._tables.stop_task(assigned.host, task_id, assigned.attempt)
 
-    def end_if_over(self, run: JobRun) -> None:
+    def end_if_complete(self, run: JobRun) -> None:
         """End a job of which nothing is left."""
-        if run.is_ending or run.assigned_by_index or run.doubtful:
+        if run.is_ending or run.assigned_by_index or run.unconfirmed:
             return
         if run.is_stopped:
-            run.giving.clear()
+            run.awaiting_record.clear()
         job_id = run.state.spec.job_id
         if run.is_stopped:
             if job_id in self._tables.gangs and not self._tables.gangs.is_over(job_id):
@@ -96,7 +96,7 @@
         elif run.is_service or run.open_count > 0:
             return
         run.is_ending = True
-        self._tables.giver.discard(run)
+        self._tables.dispatcher.discard(run)
         self._tables.gangs.forget(job_id)
         self._tables.ends.finish(run)
         self._tables.notes.add("job_ended", (job_id,), run.detail)
--- a/src/galenastall/coordination/jobs/job_ends.py
+++ b/src/galenastall/coordination/jobs/job_ends.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ToldBy:
+class ReportSource:
     """The assignee that keeps an end until it is durable."""
 
     host: HostId
@@ -33,15 +33,15 @@
         self._shard = shard
         self._indices: dict[tuple[JobId, TaskPhase], list[int]] = {}
         self._ranges: dict[tuple[JobId, TaskPhase], list[IndexRange]] = {}
-        self._pending: dict[JobId, dict[int, ToldBy]] = {}
+        self._pending: dict[JobId, dict[int, ReportSource]] = {}
         self._ended_runs: dict[JobId, JobRun] = {}
         self._ended_jobs: list[JobEnded] = []
 
-    def add(self, job_id: JobId, index: int, phase: TaskPhase, told_by: ToldBy | None) -> None:
+    def add(self, job_id: JobId, index: int, phase: TaskPhase, source: ReportSource | None) -> None:
         """Note one task's end, and who told of it and waits for it to be durable."""
         self._indices.setdefault((job_id, phase), []).append(index)
-        if told_by is not None:
-            self._pending.setdefault(job_id, {})[index] = told_by
+        if source is not None:
+            self._pending.setdefault(job_id, {})[index] = source
 
     def add_ranges(self, job_id: JobId, phase: TaskPhase, ranges: tuple[IndexRange, ...]) -> None:
         """Note the end of many tasks that no worker knows of."""
@@ -79,9 +79,9 @@
         self._ended_jobs = []
         return (TasksEnded(shard=self._shard, ends=ends) if ends else None), jobs
 
-    def logged(self, record: TasksEnded) -> list[ToldBy]:
+    def logged(self, record: TasksEnded) -> list[ReportSource]:
         """Take note that a record is durable; return the reports that were waiting for it."""
-        settled: list[ToldBy] = []
+        settled: list[ReportSource] = []
         for end in record.ends:
             pending = self._pending.get(end.job_id)
             if pending is None:
--- a/src/galenastall/coordination/jobs/job_run.py
+++ b/src/galenastall/coordination/jobs/job_run.py
@@ -18,7 +18,7 @@
 from galenastall.state.resources import Resources
 from galenastall.state.work import TaskPhase, TaskSpec, Workload
 
-_OPEN_RUN: Final = re.compile(rb"\x00+")
+_OPEN_SEGMENT: Final = re.compile(rb"\x00+")
 FAILURES_KEPT: Final = 50
 """Failed attempts kept for a job's history."""
 
@@ -51,7 +51,7 @@
     state: JobState
     base_attempt: int
     assigned_by_index: dict[int, Assigned] = field(default_factory=dict)
-    doubtful: set[int] = field(default_factory=set)
+    unconfirmed: set[int] = field(default_factory=set)
     """May be somewhere; nobody has said so yet. Not given out until a census is complete."""
     tries_by_index: dict[int, int] = field(default_factory=dict)
     failures: list[TaskFailure] = field(default_factory=list)
@@ -59,7 +59,7 @@
     """Attempts lost with their workers, one soon after the other; a task may take these down."""
     delayed: set[int] = field(default_factory=set)
     """Wait for their retry time."""
-    giving: set[int] = field(default_factory=set)
+    awaiting_record: set[int] = field(default_factory=set)
     """Must not run twice, and wait for the record that lets them be given out."""
     is_stopped: bool = False
     """Gives out nothing more: cancelled, or stopped for its failures."""
@@ -77,7 +77,7 @@
     _next: int = 0
 
     @property
-    def is_once(self) -> bool:
+    def is_at_most_once(self) -> bool:
         """Whether a task that may have run must not be started again."""
         return bool(self.state.given)
 
@@ -98,8 +98,8 @@
         """Return how many tasks could be given out now."""
         if self.is_stopped:
             return 0
-        held_back = len(self.assigned_by_index) + len(self.doubtful)
-        return self.open_count - held_back - len(self.delayed) - len(self.giving)
+        held_back = len(self.assigned_by_index) + len(self.unconfirmed)
+        return self.open_count - held_back - len(self.delayed) - len(self.awaiting_record)
 
     @property
     def need(self) -> Resources:
@@ -118,7 +118,7 @@
         ended = self.state.phase_of(index)
         if ended is not None:
             return ended
-        if index in self.doubtful:
+        if index in self.unconfirmed:
             return TaskPhase.UNKNOWN
         assigned = self.assigned_by_index.get(index)
         if assigned is None or assigned.kind is ReportKind.QUEUED:
@@ -132,15 +132,15 @@
         taken: list[int] = []
         while self._returned and len(taken) < count:
             index = heapq.heappop(self._returned)
-            if self._may_give(index):
+            if self._is_assignable(index):
                 taken.append(index)
         while self._next < self.state.spec.tasks and len(taken) < count:
-            if self._may_give(self._next):
+            if self._is_assignable(self._next):
                 taken.append(self._next)
             self._next += 1
         return taken
 
-    def give_back(self, index: int) -> None:
+    def return_to_queue(self, index: int) -> None:
         """Let a task wait again."""
         if index < self._next:
             heapq.heappush(self._returned, index)
@@ -155,9 +155,9 @@
 
     def close_waiting(self, phase: TaskPhase) -> tuple[IndexRange, ...]:
         """Close all that wait, at once; return the ranges."""
-        held_back = self.assigned_by_index.keys() | self.doubtful
+        held_back = self.assigned_by_index.keys() | self.unconfirmed
         self.delayed.clear()
-        self.giving.clear()
+        self.awaiting_record.clear()
         self._returned.clear()
         self._next = self.state.spec.tasks
         if self.is_service:
@@ -209,7 +209,7 @@
         )
 
     def _open_segments(self, held_back: list[int]) -> Iterator[IndexRange]:
-        for match in _OPEN_RUN.finditer(self.state.codes):
+        for match in _OPEN_SEGMENT.finditer(self.state.codes):
             start, stop = match.span()
             first = bisect.bisect_left(held_back, start)
             for index in held_back[first : bisect.bisect_left(held_back, stop)]:
@@ -219,11 +219,11 @@
             if stop > start:
                 yield IndexRange(start=start, stop=stop)
 
-    def _may_give(self, index: int) -> bool:
+    def _is_assignable(self, index: int) -> bool:
         return (
             index not in self.assigned_by_index
-            and index not in self.doubtful
+            and index not in self.unconfirmed
             and index not in self.delayed
-            and index not in self.giving
+            and index not in self.awaiting_record
             and self.is_open(index)
         )
--- a/src/galenastall/coordination/jobs/job_shard.py
+++ b/src/galenastall/coordination/jobs/job_shard.py
@@ -75,7 +75,7 @@
     @property
     def needs_census(self) -> bool:
         """Whether some task is in doubt."""
-        return bool(self._tables.doubtful_jobs)
+        return bool(self._tables.unconfirmed_jobs)
 
     def add_job(self, state: JobState, *, is_fresh: bool, now: float) -> None:
         """Take on a job; unless it is fresh, all its open tasks are in doubt."""
@@ -87,14 +87,14 @@
         if state.spec.workload is Workload.GANG:
             self.gangs.add(run)
         if not is_fresh:
-            run.doubtful = {index for index in state.open_indices() if state.may_have_run(index)}
-            if run.doubtful:
-                self._tables.doubtful_jobs.add(job_id)
+            run.unconfirmed = {index for index in state.open_indices() if state.may_have_run(index)}
+            if run.unconfirmed:
+                self._tables.unconfirmed_jobs.add(job_id)
                 self._tables.doubts += 1
         if state.cancelled:
             self._closing.stop_run(run, TaskPhase.CANCELLED, "cancelled", now)
-        self._tables.giver.requeue(run)
-        self._closing.end_if_over(run)
+        self._tables.dispatcher.requeue(run)
+        self._closing.end_if_complete(run)
 
     def on_tasks_ended(self, end: EndedRanges) -> None:
         """Take in ends that the log holds, which an earlier owner of the shard may have written."""
@@ -105,13 +105,13 @@
             for index in range(each.start, min(each.stop, run.state.spec.tasks)):
                 if not run.close(index, end.phase):
                     continue
-                run.doubtful.discard(index)
+                run.unconfirmed.discard(index)
                 run.delayed.discard(index)
                 assigned = run.assigned_by_index.pop(index, None)
                 if assigned is not None:
                     task_id = make_task_id(end.job_id, index)
                     self._tables.stop_task(assigned.host, task_id, assigned.attempt)
-        self._closing.end_if_over(run)
+        self._closing.end_if_complete(run)
 
     def cancel(self, job_id: JobId, now: float) -> CancelCounts | None:
         """Stop a job; the cost doesn't grow with what waits. None if it isn't live here."""
@@ -119,20 +119,20 @@
         if run is None:
             return None
         closed = 0 if run.is_service else run.state.spec.tasks - run.open_count
-        in_hand = len(run.assigned_by_index) + len(run.doubtful)
+        placed = len(run.assigned_by_index) + len(run.unconfirmed)
         counts = CancelCounts(
-            never_started=run.state.spec.tasks - closed - in_hand,
-            stopping=in_hand,
+            never_started=run.state.spec.tasks - closed - placed,
+            stopping=placed,
             already_done=closed,
         )
         run.state.cancelled = True
         if not run.is_stopped:
             self._tables.notes.add("cancelled", (job_id,), "the caller cancelled it")
             self._closing.stop_run(run, TaskPhase.CANCELLED, "cancelled", now)
-            self._closing.end_if_over(run)
+            self._closing.end_if_complete(run)
         return counts
 
-    def resolve_doubts(
+    def resolve_unconfirmed(
         self, now: float, *, may_have_lost_ends: Callable[[JobState], bool] = lambda _job: False
     ) -> int:
         """After a complete census: give out again what nobody has; return how many.
@@ -141,24 +141,24 @@
         end; then a task that must not run twice is closed as unknown instead.
         """
         count = 0
-        doubtful_jobs, self._tables.doubtful_jobs = self._tables.doubtful_jobs, set()
-        for job_id in sorted(doubtful_jobs):
+        unconfirmed_jobs, self._tables.unconfirmed_jobs = self._tables.unconfirmed_jobs, set()
+        for job_id in sorted(unconfirmed_jobs):
             run = self.runs_by_id.get(job_id)
             if run is None:
                 continue
-            doubtful, run.doubtful = run.doubtful, set()
-            count += len(doubtful)
+            unconfirmed, run.unconfirmed = run.unconfirmed, set()
+            count += len(unconfirmed)
             self._tables.notes.add(
-                "resolved", (job_id,), f"{len(doubtful)} tasks in doubt are nowhere"
+                "resolved", (job_id,), f"{len(unconfirmed)} tasks in doubt are nowhere"
             )
             if job_id in self.gangs:
-                self.gangs.resolve(run, doubtful, now)
-                self._closing.after_gang(run, now)
+                self.gangs.resolve(run, unconfirmed, now)
+                self._closing.finish_gang_attempt(run, now)
             else:
-                is_lost = run.is_once and may_have_lost_ends(run.state)
-                self._closing.resolve(run, doubtful, may_have_lost_ends=is_lost)
-            self._tables.giver.requeue(run)
-            self._closing.end_if_over(run)
+                is_lost = run.is_at_most_once and may_have_lost_ends(run.state)
+                self._closing.resolve(run, unconfirmed, may_have_lost_ends=is_lost)
+            self._tables.dispatcher.requeue(run)
+            self._closing.end_if_complete(run)
         return count
 
     def on_assignee_gone(self, host: HostId) -> int:
@@ -168,7 +168,7 @@
         for run in self.runs_by_id.values():
             gone = [i for i, each in run.assigned_by_index.items() if each.host == host]
             for index in gone:
-                self._tables.doubt(run, index)
+                self._tables.mark_unconfirmed(run, index)
             if gone:
                 self._tables.notes.add(
                     "in_doubt", (run.state.spec.job_id, host), "its assignee is gone"
@@ -181,9 +181,9 @@
     ) -> ShardDecision:
         """Return what to send now, with at most `limit` tasks to assign."""
         self.assignees.update(summaries)
-        self._tables.giver.wake_delayed(now)
+        self._tables.dispatcher.requeue_due(now)
         self.gangs.decide(now)
-        batches = self._tables.giver.assign(now, limit)
+        batches = self._tables.dispatcher.assign(now, limit)
         recalls: list[StopBatch] = []
         if now >= self._recall_at:
             self._recall_at = now + self.settings.recall_every_s
@@ -237,16 +237,16 @@
         self.gangs.on_start(job_id, host, key, is_started=is_started, now=now)
         run = self.runs_by_id.get(job_id)
         if run is not None:
-            self._closing.after_gang(run, now)
-            self._closing.end_if_over(run)
+            self._closing.finish_gang_attempt(run, now)
+            self._closing.end_if_complete(run)
 
     def forget(self, job_id: JobId) -> None:
         """Drop a job whose end is in the log."""
         run = self.runs_by_id.pop(job_id, None)
         self.gangs.forget(job_id)
-        self._tables.doubtful_jobs.discard(job_id)
+        self._tables.unconfirmed_jobs.discard(job_id)
         if run is not None:
-            self._tables.giver.discard(run)
+            self._tables.dispatcher.discard(run)
 
     def on_given(self, record: TasksGiven, *, is_logged: bool) -> None:
         """Take in that tasks may be given out, or that their record is not in the log."""
@@ -258,11 +258,11 @@
                 run.state.give(given.ranges)
             for each in given.ranges:
                 for index in range(each.start, each.stop):
-                    if index in run.giving:
-                        run.giving.discard(index)
-                        run.give_back(index)
-            self._tables.giver.requeue(run)
-            self._closing.end_if_over(run)
+                    if index in run.awaiting_record:
+                        run.awaiting_record.discard(index)
+                        run.return_to_queue(index)
+            self._tables.dispatcher.requeue(run)
+            self._closing.end_if_complete(run)
 
 
 def _stop_batch(host: HostId, attempts: dict[TaskId, int]) -> StopBatch:
--- a/src/galenastall/coordination/jobs/recalls.py
+++ b/src/galenastall/coordination/jobs/recalls.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
+from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.job_run import JobRun
 from galenastall.coordination.jobs.shard_commands import ShardSettings, StopBatch
 from galenastall.coordination.placement.task_reports import ReportKind, TaskAttempt
@@ -16,7 +16,7 @@
 
 
 def find_recalls(
-    runs: Iterable[JobRun], assignees: AssigneeBook, settings: ShardSettings, now: float
+    runs: Iterable[JobRun], assignees: AssigneeTable, settings: ShardSettings, now: float
 ) -> list[StopBatch]:
     """Return tasks to recall by host, at most as many of a job as others have room for."""
     tasks_by_host: dict[HostId, list[TaskAttempt]] = {}
@@ -32,23 +32,23 @@
         ]
         if not stuck:
             continue
-        room_by_host = assignees.with_room(run.need)
+        capacity_by_host = assignees.hosts_with_capacity(run.need)
         for index, assigned in stuck:
             host = assigned.host
-            room = sum(count for other, count in room_by_host.items() if other != host)
-            if room <= 0 or host in run.avoided_hosts >= room_by_host.keys():
+            capacity = sum(count for other, count in capacity_by_host.items() if other != host)
+            if capacity <= 0 or host in run.avoided_hosts >= capacity_by_host.keys():
                 continue
             run.avoided_hosts.add(host)
             attempt = TaskAttempt(
                 task_id=make_task_id(spec.job_id, index), attempt=assigned.attempt
             )
             tasks_by_host.setdefault(host, []).append(attempt)
-            _take_one(room_by_host, host)
+            _decrement_one(capacity_by_host, host)
     return [StopBatch(host=host, tasks=tuple(tasks)) for host, tasks in tasks_by_host.items()]
 
 
-def _take_one(room_by_host: dict[HostId, int], but: HostId) -> None:
-    for host, count in room_by_host.items():
-        if host != but and count > 0:
-            room_by_host[host] = count - 1
+def _decrement_one(capacity_by_host: dict[HostId, int], excluded: HostId) -> None:
+    for host, count in capacity_by_host.items():
+        if host != excluded and count > 0:
+            capacity_by_host[host] = count - 1
             return
--- a/src/galenastall/coordination/jobs/report_intake.py
+++ b/src/galenastall/coordination/jobs/report_intake.py
@@ -2,9 +2,13 @@
 
 from collections.abc import Callable
 
-from galenastall.coordination.jobs.attempt_rules import NextMove, judge, retry_delay_s
+from galenastall.coordination.jobs.attempt_rules import (
+    NextAction,
+    decide_next_action,
+    retry_delay_s,
+)
 from galenastall.coordination.jobs.job_closing import JobClosing
-from galenastall.coordination.jobs.job_ends import ToldBy
+from galenastall.coordination.jobs.job_ends import ReportSource
 from galenastall.coordination.jobs.job_run import Assigned, JobRun, TaskFailure
 from galenastall.coordination.jobs.shard_tables import ShardTables
 from galenastall.coordination.placement.task_reports import (
@@ -41,22 +45,22 @@
             return self._on_closed(run, index, host, report)
         assigned = run.assigned_by_index.get(index)
         is_ending = report.kind in ENDING_KINDS
-        if assigned is None and is_ending and index not in run.doubtful:
+        if assigned is None and is_ending and index not in run.unconfirmed:
             return True
-        if assigned is None and is_ending and self._leaves_doubt(run, index, report):
+        if assigned is None and is_ending and self._stays_unconfirmed(run, index, report):
             return True
         if assigned is not None and report.attempt < assigned.attempt:
             return self._reject(host, report)
-        if assigned is not None and _is_second_copy(assigned, host, report):
+        if assigned is not None and _is_duplicate(assigned, host, report):
             self._tables.duplicates += 1
             self._tables.notes.add(
                 "duplicate", (report.task_id, host), f"also at {assigned.worker_id}"
             )
             return self._reject(host, report)
-        if assigned is not None and _is_hearsay(assigned, host, report):
+        if assigned is not None and _is_from_former_assignee(assigned, host, report):
             return True
         if report.kind is ReportKind.ORPHANED:
-            self._tables.doubt(run, index)
+            self._tables.mark_unconfirmed(run, index)
             return True
         self._merge(run, index, host, report, now)
         if job_id in self._tables.gangs:
@@ -65,10 +69,10 @@
             self._end_attempt(run, index, host, report, now)
         if run.is_stopped and not is_ending:
             self._tables.stop_task(host, report.task_id, report.attempt)
-        self._closing.end_if_over(run)
+        self._closing.end_if_complete(run)
         return not is_ending or self.is_settled(run, index)
 
-    def _leaves_doubt(self, run: JobRun, index: int, report: TaskReport) -> bool:
+    def _stays_unconfirmed(self, run: JobRun, index: int, report: TaskReport) -> bool:
         """Whether a task in doubt stays so after the end of an attempt, which is remembered.
 
         It would be given out again; but whoever had it may have let it wait as a later attempt, or
@@ -76,9 +80,9 @@
         """
         if run.state.spec.job_id in self._tables.gangs:
             return False
-        if judge(run, index, report, self._tables.settings).move not in (
-            NextMove.OFFER,
-            NextMove.RETRY,
+        if decide_next_action(run, index, report, self._tables.settings).action not in (
+            NextAction.OFFER,
+            NextAction.RETRY,
         ):
             return False
         tries = report.attempt - run.base_attempt
@@ -90,7 +94,7 @@
         return True
 
     def _merge(self, run: JobRun, index: int, host: HostId, report: TaskReport, now: float) -> None:
-        run.doubtful.discard(index)
+        run.unconfirmed.discard(index)
         known = run.assigned_by_index.get(index)
         is_gang = run.state.spec.workload is Workload.GANG
         was_queued = known is not None and known.kind is ReportKind.QUEUED and not is_gang
@@ -117,7 +121,7 @@
 
     def _on_closed(self, run: JobRun, index: int, host: HostId, report: TaskReport) -> bool:
         if report.kind is ReportKind.DONE:
-            self._closing.close(run, index, TaskPhase.DONE, _told_by(host, report))
+            self._closing.close(run, index, TaskPhase.DONE, _source_of(host, report))
         if report.kind not in ENDING_KINDS:
             return self._reject(host, report)
         return self.is_settled(run, index)
@@ -141,19 +145,19 @@
         elif report.kind is ReportKind.LOST:
             is_soon = now - assigned.since < self._tables.settings.max_retry_s
             run.add_loss(index, is_soon=is_soon)
-        verdict = judge(run, index, report, self._tables.settings)
-        if verdict.move is NextMove.OFFER:
-            self._tables.giver.offer_again(run, index)
-        elif verdict.move is NextMove.RETRY:
+        verdict = decide_next_action(run, index, report, self._tables.settings)
+        if verdict.action is NextAction.OFFER:
+            self._tables.dispatcher.requeue_task(run, index)
+        elif verdict.action is NextAction.RETRY:
             delay = retry_delay_s(run, index, self._tables.settings)
-            self._tables.giver.delay(run, index, now + delay)
+            self._tables.dispatcher.delay(run, index, now + delay)
             self._tables.notes.add(
                 "retry", (report.task_id,), f"{report.kind.value}: {report.detail}"
             )
         else:
-            if verdict.move is NextMove.STOP_JOB:
+            if verdict.action is NextAction.STOP_JOB:
                 self._closing.stop_run(run, verdict.phase, run.history() or report.detail, now)
-            self._closing.close(run, index, verdict.phase, _told_by(host, report))
+            self._closing.close(run, index, verdict.phase, _source_of(host, report))
             self._tables.notes.add_ended(report.task_id, report.worker_id, verdict.phase)
 
     def _on_gang_report(self, run: JobRun, index: int, report: TaskReport, now: float) -> None:
@@ -163,14 +167,14 @@
                 TaskFailure(index=index, worker_id=report.worker_id, detail=report.detail)
             )
         self._tables.gangs.on_report(run.state.spec.job_id, index, report, now)
-        self._closing.after_gang(run, now)
+        self._closing.finish_gang_attempt(run, now)
 
 
-def _told_by(host: HostId, report: TaskReport) -> ToldBy:
-    return ToldBy(host=host, task_id=report.task_id, attempt=report.attempt)
+def _source_of(host: HostId, report: TaskReport) -> ReportSource:
+    return ReportSource(host=host, task_id=report.task_id, attempt=report.attempt)
 
 
-def _is_second_copy(assigned: Assigned, host: HostId, report: TaskReport) -> bool:
+def _is_duplicate(assigned: Assigned, host: HostId, report: TaskReport) -> bool:
     if report.attempt > assigned.attempt or report.kind in ENDING_KINDS:
         return False
     if report.kind is ReportKind.QUEUED:
@@ -179,7 +183,7 @@
     return is_placed and assigned.host != host and assigned.worker_id != report.worker_id
 
 
-def _is_hearsay(assigned: Assigned, host: HostId, report: TaskReport) -> bool:
+def _is_from_former_assignee(assigned: Assigned, host: HostId, report: TaskReport) -> bool:
     """Return whether this host speaks of a task that another host has by now."""
     if assigned.host == host or report.attempt > assigned.attempt:
         return False
--- a/src/galenastall/coordination/jobs/shard_tables.py
+++ b/src/galenastall/coordination/jobs/shard_tables.py
@@ -1,12 +1,12 @@
 """What the parts of one job shard's core share."""
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
-from galenastall.coordination.jobs.gang_desk import GangDesk
+from galenastall.coordination.jobs.assignees import AssigneeTable
+from galenastall.coordination.jobs.gang_coordinator import GangCoordinator
 from galenastall.coordination.jobs.job_ends import JobEnds
 from galenastall.coordination.jobs.job_run import JobRun
 from galenastall.coordination.jobs.shard_commands import ShardSettings
 from galenastall.coordination.jobs.shard_notes import ShardNotes
-from galenastall.coordination.jobs.task_giver import TaskGiver
+from galenastall.coordination.jobs.task_dispatcher import TaskDispatcher
 from galenastall.coordination.jobs.task_intents import TaskIntents
 from galenastall.state.ids import HostId, JobId, TaskId
 
@@ -17,32 +17,34 @@
     def __init__(self, *, shard: int, settings: ShardSettings) -> None:
         """Create empty tables."""
         self.settings = settings
-        self.assignees = AssigneeBook(backlog=settings.backlog)
+        self.assignees = AssigneeTable(backlog=settings.backlog)
         self.ends = JobEnds(shard=shard)
         self.intents = TaskIntents(shard=shard)
-        self.gangs = GangDesk(settings=settings, assignees=self.assignees, intents=self.intents)
+        self.gangs = GangCoordinator(
+            settings=settings, assignees=self.assignees, intents=self.intents
+        )
         self.runs_by_id: dict[JobId, JobRun] = {}
         self.notes = ShardNotes()
-        self.giver = TaskGiver(
+        self.dispatcher = TaskDispatcher(
             runs_by_id=self.runs_by_id,
             assignees=self.assignees,
             intents=self.intents,
             notes=self.notes,
         )
         self.stops: dict[HostId, dict[TaskId, int]] = {}
-        self.doubtful_jobs: set[JobId] = set()
+        self.unconfirmed_jobs: set[JobId] = set()
         self.duplicates = 0
         """Tasks that were found at two workers; each is an alarm."""
         self.doubts = 0
         """Rises with each new doubt: a census that began before proves nothing about it."""
 
-    def doubt(self, run: JobRun, index: int) -> None:
+    def mark_unconfirmed(self, run: JobRun, index: int) -> None:
         """Put a task in doubt: only a census tells whether it is somewhere."""
         run.assigned_by_index.pop(index, None)
-        if index in run.doubtful:
+        if index in run.unconfirmed:
             return
-        run.doubtful.add(index)
-        self.doubtful_jobs.add(run.state.spec.job_id)
+        run.unconfirmed.add(index)
+        self.unconfirmed_jobs.add(run.state.spec.job_id)
         self.doubts += 1
 
     def stop_task(self, host: HostId, task_id: TaskId, attempt: int) -> None:
--- a/src/galenastall/coordination/jobs/task_giver.py
+++ b/src/galenastall/coordination/jobs/task_dispatcher.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
+from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.job_queue import JobQueue
 from galenastall.coordination.jobs.job_run import Assigned, JobRun
 from galenastall.coordination.jobs.shard_commands import AssignBatch
@@ -13,20 +13,20 @@
 from galenastall.state.ids import HostId, JobId, make_task_id
 from galenastall.state.work import Urgency, Workload
 
-CHUNK: Final = 16
+TASKS_PER_TURN: Final = 16
 """Tasks of one job given out before the next job has its turn."""
-MISSES: Final = 64
+MAX_UNPLACED_JOBS: Final = 64
 """Jobs that found no place before a decision gives up; the next begins with other teams."""
 
 
-class TaskGiver:
+class TaskDispatcher:
     """The waiting tasks of one shard's batches and services."""
 
     def __init__(
         self,
         *,
         runs_by_id: Mapping[JobId, JobRun],
-        assignees: AssigneeBook,
+        assignees: AssigneeTable,
         intents: TaskIntents,
         notes: ShardNotes,
     ) -> None:
@@ -40,49 +40,49 @@
 
     def assign(self, now: float, limit: int) -> list[AssignBatch]:
         """Give out up to `limit` waiting tasks."""
-        given_by_host: dict[HostId, list[tuple[JobRun, int]]] = {}
-        misses, left, before = 0, limit, limit + 1
-        while 0 < left < before and misses < MISSES:
+        assigned_by_host: dict[HostId, list[tuple[JobRun, int]]] = {}
+        unplaced, left, before = 0, limit, limit + 1
+        while 0 < left < before and unplaced < MAX_UNPLACED_JOBS:
             before = left
             for job_id in self._queue.in_order():
-                given = self._assign_some(job_id, min(CHUNK, left), now, given_by_host)
+                given = self._assign_some(job_id, min(TASKS_PER_TURN, left), now, assigned_by_host)
                 left -= given
-                misses += given == 0
-                if left <= 0 or misses >= MISSES:
+                unplaced += given == 0
+                if left <= 0 or unplaced >= MAX_UNPLACED_JOBS:
                     break
         return [
             AssignBatch(host=host, tasks=tuple(run.make_task(index) for run, index in given))
-            for host, given in given_by_host.items()
+            for host, given in assigned_by_host.items()
         ]
 
     def _assign_some(
         self,
         job_id: JobId,
-        want: int,
+        max_tasks: int,
         now: float,
-        given_by_host: dict[HostId, list[tuple[JobRun, int]]],
+        assigned_by_host: dict[HostId, list[tuple[JobRun, int]]],
     ) -> int:
         run = self._runs_by_id[job_id]
         spec = run.state.spec
         choice = self._assignees.choose(
             need=run.need,
             urgency=spec.urgency,
-            want=want,
+            max_tasks=max_tasks,
             now=now,
             avoid=run.avoided_hosts,
             # What is given out and then lost with its assignee may end as unknown.
-            within_room=run.is_once and spec.urgency is not Urgency.URGENT,
+            within_capacity=run.is_at_most_once and spec.urgency is not Urgency.URGENT,
         )
         if choice is None:
             self._note_waiting(run)
             return 0
         host, count = choice
-        indices = self._only_given(run, run.take(count))
+        indices = self._select_recorded(run, run.take(count))
         for index in indices:
             run.assigned_by_index[index] = Assigned(
                 host=host, attempt=run.attempt_of(index), since=now
             )
-            given_by_host.setdefault(host, []).append((run, index))
+            assigned_by_host.setdefault(host, []).append((run, index))
         if indices:
             run.waiting_reason = ""
             self._assignees.assigned(host, run.need, len(indices))
@@ -91,17 +91,17 @@
             self._queue.discard(spec)
         return len(indices)
 
-    def _only_given(self, run: JobRun, indices: list[int]) -> list[int]:
+    def _select_recorded(self, run: JobRun, indices: list[int]) -> list[int]:
         """Return the tasks that may be given out now; the others wait for their record."""
-        if not run.is_once:
+        if not run.is_at_most_once:
             return indices
         missing = [index for index in indices if not run.state.may_have_run(index)]
         if not missing:
             return indices
-        run.giving.update(missing)
+        run.awaiting_record.update(missing)
         self._intents.add(run.state.spec.job_id, missing)
         run.waiting_reason = "its tasks must not run twice: waits for their record in the log"
-        return [index for index in indices if index not in run.giving]
+        return [index for index in indices if index not in run.awaiting_record]
 
     def _note_waiting(self, run: JobRun) -> None:
         fits = self._assignees.can_ever_run(run.need)
@@ -110,9 +110,9 @@
             run.waiting_reason = reason
             self._notes.add("waits", (run.state.spec.job_id,), reason)
 
-    def offer_again(self, run: JobRun, index: int) -> None:
+    def requeue_task(self, run: JobRun, index: int) -> None:
         """Let a task wait again."""
-        run.give_back(index)
+        run.return_to_queue(index)
         self.requeue(run)
 
     def requeue(self, run: JobRun) -> None:
@@ -130,11 +130,11 @@
         """Give out nothing more of a job."""
         self._queue.discard(run.state.spec)
 
-    def wake_delayed(self, now: float) -> None:
+    def requeue_due(self, now: float) -> None:
         """Let tasks wait again whose time has come."""
         while self._delayed and self._delayed[0][0] <= now:
             _, job_id, index = heapq.heappop(self._delayed)
             run = self._runs_by_id.get(job_id)
             if run is not None and index in run.delayed:
                 run.delayed.discard(index)
-                self.offer_again(run, index)
+                self.requeue_task(run, index)
--- a/src/galenastall/coordination/ownership/membership.py
+++ b/src/galenastall/coordination/ownership/membership.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from galenastall.coordination.ownership.ownership_messages import Beat
+from galenastall.coordination.ownership.ownership_messages import Heartbeat
 from galenastall.coordination.ownership.ownership_timings import OwnershipTimings
 from galenastall.state.ids import HostId, Incarnation, Offset
 from galenastall.state.ownership_records import Member, Members
@@ -28,7 +28,7 @@
         self._me = me
         self.timings = timings
         """Replaced when operators change them."""
-        self._heard_at: dict[Incarnation, float] = {}
+        self._last_seen_at: dict[Incarnation, float] = {}
         self._view_by_incarnation: dict[Incarnation, PeerView] = {}
         self._absent_since_by_host: dict[HostId, float] = {}
         self._gone: frozenset[HostId] = frozenset()
@@ -36,40 +36,42 @@
     def track(self, members: Members, now: float) -> None:
         """Watch exactly these members; a new one gets the benefit of the doubt."""
         known = {member.incarnation for member in members}
-        for incarnation in known - self._heard_at.keys():
-            self._heard_at[incarnation] = now
-        for incarnation in self._heard_at.keys() - known:
-            del self._heard_at[incarnation]
+        for incarnation in known - self._last_seen_at.keys():
+            self._last_seen_at[incarnation] = now
+        for incarnation in self._last_seen_at.keys() - known:
+            del self._last_seen_at[incarnation]
             self._view_by_incarnation.pop(incarnation, None)
 
-    def excuse(self, now: float) -> None:
+    def reset_timeouts(self, now: float) -> None:
         """Forgive all silence up to now: this process itself was paused."""
-        for incarnation in self._heard_at:
-            self._heard_at[incarnation] = now
+        for incarnation in self._last_seen_at:
+            self._last_seen_at[incarnation] = now
 
-    def on_beat(self, beat: Beat, now: float) -> bool:
+    def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Take in a beat; return whether it is new."""
-        known = self._view_by_incarnation.get(beat.sender)
-        if known is not None and beat.sequence <= known.sequence:
+        known = self._view_by_incarnation.get(heartbeat.sender)
+        if known is not None and heartbeat.sequence <= known.sequence:
             return False
-        self._heard_at[beat.sender] = now
+        self._last_seen_at[heartbeat.sender] = now
         next_offset = (
-            beat.next_offset if known is None else max(known.next_offset, beat.next_offset)
+            heartbeat.next_offset
+            if known is None
+            else max(known.next_offset, heartbeat.next_offset)
         )
-        self._view_by_incarnation[beat.sender] = PeerView(
-            sequence=beat.sequence,
+        self._view_by_incarnation[heartbeat.sender] = PeerView(
+            sequence=heartbeat.sequence,
             next_offset=next_offset,
-            is_leaving=beat.is_leaving,
-            lacks_log=beat.lacks_log,
-            silent=frozenset(beat.silent),
+            is_leaving=heartbeat.is_leaving,
+            lacks_log=heartbeat.lacks_log,
+            silent=frozenset(heartbeat.silent),
         )
         return True
 
-    def on_listing(self, shown: frozenset[HostId], watched: Iterable[HostId], now: float) -> None:
+    def on_listing(self, listed: frozenset[HostId], watched: Iterable[HostId], now: float) -> None:
         """Note which of the `watched` hosts a list fetched at `now` shows live or leaving."""
         since = self._absent_since_by_host
         self._absent_since_by_host = {
-            host: since.get(host, now) for host in watched if host not in shown
+            host: since.get(host, now) for host in watched if host not in listed
         }
         self._gone = frozenset(
             host
@@ -85,23 +87,23 @@
         """Return whether the list has not shown the host for longer than it may lag."""
         return host in self._gone
 
-    def is_silent(self, incarnation: Incarnation, now: float) -> bool:
+    def is_unresponsive(self, incarnation: Incarnation, now: float) -> bool:
         """Return whether the member is unknown or was not heard for too long."""
         if incarnation == self._me.incarnation:
             return False
-        heard_at = self._heard_at.get(incarnation)
-        return heard_at is None or now - heard_at > self.timings.suspect_s
+        last_seen_at = self._last_seen_at.get(incarnation)
+        return last_seen_at is None or now - last_seen_at > self.timings.suspect_s
 
     def silent(self, now: float) -> tuple[Incarnation, ...]:
         """Return the tracked members that are silent, sorted."""
-        return tuple(sorted(i for i in self._heard_at if self.is_silent(i, now)))
+        return tuple(sorted(i for i in self._last_seen_at if self.is_unresponsive(i, now)))
 
-    def says_silent(self, voter: Incarnation, subject: Incarnation, now: float) -> bool:
+    def reports_unresponsive(self, voter: Incarnation, subject: Incarnation, now: float) -> bool:
         """Return whether a member that is heard says that it does not hear another."""
         if voter == self._me.incarnation:
-            return self.is_silent(subject, now)
+            return self.is_unresponsive(subject, now)
         view = self._view_by_incarnation.get(voter)
-        return view is not None and not self.is_silent(voter, now) and subject in view.silent
+        return view is not None and not self.is_unresponsive(voter, now) and subject in view.silent
 
     def live(self, members: Members, now: float) -> Members:
         """Return the members that can take on work."""
@@ -113,9 +115,9 @@
         view = self._view_by_incarnation.get(member.incarnation)
         if view is None or view.is_leaving or self.is_gone(member.host):
             return False
-        return not self.is_silent(member.incarnation, now)
+        return not self.is_unresponsive(member.incarnation, now)
 
-    def able(self, live: Members) -> Members:
+    def eligible(self, live: Members) -> Members:
         """Return those that may be given more: one that can't read the log serves no shard."""
         return tuple(member for member in live if member == self._me or not self._lacks_log(member))
 
--- a/src/galenastall/coordination/ownership/ownership.py
+++ b/src/galenastall/coordination/ownership/ownership.py
@@ -11,23 +11,23 @@
 from typing import Any, Final
 
 from galenastall.coordination.ownership.membership import Membership
-from galenastall.coordination.ownership.ownership_beats import BeatWriter
 from galenastall.coordination.ownership.ownership_claims import ClaimPlanner
+from galenastall.coordination.ownership.ownership_confirmations import Confirmations
+from galenastall.coordination.ownership.ownership_heartbeats import HeartbeatWriter
 from galenastall.coordination.ownership.ownership_holdings import Holdings
-from galenastall.coordination.ownership.ownership_legs import Legs
+from galenastall.coordination.ownership.ownership_maintenance import OwnershipMaintenance
 from galenastall.coordination.ownership.ownership_messages import (
     AppendRecord,
-    Beat,
     Expelled,
     Fence,
     FenceAck,
     FetchTail,
+    Heartbeat,
     OwnershipCommand,
     SendMessage,
 )
 from galenastall.coordination.ownership.ownership_takeover import Takeover
 from galenastall.coordination.ownership.ownership_timings import OwnershipTimings
-from galenastall.coordination.ownership.ownership_upkeep import Upkeep
 from galenastall.state.ids import Epoch, HostId, Offset, OwnableId, RecordId
 from galenastall.state.ownership_fold import OWNERSHIP_RECORDS, OwnershipFold
 from galenastall.state.ownership_records import (
@@ -42,7 +42,7 @@
 )
 from galenastall.state.records import LoggedRecord
 
-WRITTEN_ALONE: Final = (HandOver, Reroster)
+SERIAL_RECORDS: Final = (HandOver, Reroster)
 """Records with a generation: one at a time, so that the log has them in order."""
 
 
@@ -64,32 +64,32 @@
         self.me = me
         self.timings = timings
         self.fold = fold or OwnershipFold()
-        self.legs = Legs(me=me.incarnation, timings=timings)
+        self.confirmations = Confirmations(me=me.incarnation, timings=timings)
         self.membership = Membership(me=me, timings=timings)
         self.holdings = Holdings(me=me, fold=self.fold)
         self.claims = ClaimPlanner(
             me=me, timings=timings, fold=self.fold, membership=self.membership
         )
-        self._beats = BeatWriter(
+        self._heartbeats = HeartbeatWriter(
             me=me,
             timings=timings,
             fold=self.fold,
-            legs=self.legs,
+            confirmations=self.confirmations,
             membership=self.membership,
             holdings=self.holdings,
         )
-        self._upkeep = Upkeep(core=self)
+        self._maintenance = OwnershipMaintenance(core=self)
         self.takeovers_by_epoch: dict[Epoch, Takeover] = {}
         self.ownables: frozenset[OwnableId] | None = None
         self.live: Members = ()
         """Members that are heard and not leaving, this one included."""
-        self.able: Members = ()
+        self.eligible: Members = ()
         """Those of them that may be given more."""
         self.live_since = inf
         """Since when both have been the same."""
         self.is_leaving = False
         self.has_joined = False
-        self.is_out = False
+        self.is_removed = False
         self._last_tick = -inf
         self._commands: list[OwnershipCommand] = []
         self._in_flight: dict[RecordId, Any] = {}
@@ -97,7 +97,7 @@
         self._records_written = 0
         self._fetching_tail_until = -inf
         self._handlers: dict[type[Any], Callable[[HostId, Any, float], None]] = {
-            Beat: self._on_beat,
+            Heartbeat: self._on_heartbeat,
             Fence: self._on_fence,
             FenceAck: self._on_fence_ack,
         }
@@ -107,7 +107,9 @@
         holding = self.holdings.holding_by_ownable.get(ownable)
         if holding is None:
             return None
-        if self.legs.has_log(now) or self.legs.has_vouches(holding.roster, now):
+        if self.confirmations.has_log_confirmation(now) or self.confirmations.has_peer_confirmation(
+            holding.roster, now
+        ):
             return holding.epoch
         return None
 
@@ -117,7 +119,7 @@
         Takeovers go on waiting by the spans that this core was made with: no member acts on longer
         ones, so members may take over a change one after the other.
         """
-        self.legs.timings = timings
+        self.confirmations.timings = timings
         self.membership.timings = timings
         caps = self.timings
         self.timings = replace(
@@ -137,7 +139,7 @@
         if isinstance(logged.record, OWNERSHIP_RECORDS):
             self._after_record(logged, now)
 
-    def on_tip(self, *, read_at: float | None, next_offset: Offset, now: float) -> None:
+    def on_log_end(self, *, read_at: float | None, next_offset: Offset, now: float) -> None:
         """Note that all below `next_offset` was fed, which a read sent at `read_at` showed as tip.
 
         `read_at` None: the tip was not reached yet.
@@ -146,7 +148,7 @@
             self.fold.read_to(next_offset)
             self._refresh(self.fold.drain_touched())
         if read_at is not None and self.fold.is_complete:
-            self.legs.on_own_tip(read_at)
+            self.confirmations.on_own_log_end(read_at)
 
     def on_tail(
         self, *, start: Offset, end: Offset, records: Sequence[LoggedRecord], now: float
@@ -161,17 +163,17 @@
                 self.on_record(logged, now)
         self.fold.skip_to(end)
 
-    def on_message(self, sender: HostId, message: Beat | Fence | FenceAck, now: float) -> None:
+    def on_message(self, sender: HostId, message: Heartbeat | Fence | FenceAck, now: float) -> None:
         """Take in a message from another member."""
         self._handlers[type(message)](sender, message, now)
 
-    def on_listing(self, shown: frozenset[HostId], now: float) -> None:
+    def on_listing(self, listed: frozenset[HostId], now: float) -> None:
         """Take in which hosts the platform's list shows live or leaving, as fetched at `now`."""
         watched = {member.host for member in self.fold.members()}
         for state in self.fold.state_by_ownable.values():
             if state.tenure is not None:
                 watched.update(member.host for member in state.tenure.members)
-        self.membership.on_listing(shown, watched, now)
+        self.membership.on_listing(listed, watched, now)
 
     def on_ownables(self, ownables: frozenset[OwnableId]) -> None:
         """Replace the set of what should have an owner."""
@@ -188,35 +190,39 @@
         if record is None:
             return
         self._retry_at_by_type[type(record)] = now + self.timings.append_retry_s
-        if not isinstance(record, WRITTEN_ALONE):
+        if not isinstance(record, SERIAL_RECORDS):
             return
         if outcome is AppendOutcome.UNKNOWN:
-            self._upkeep.must_confirm = True
+            self._maintenance.must_confirm = True
             return
-        self.legs.drop_roster(record.generation)
+        self.confirmations.drop_roster(record.generation)
         if not self.is_leaving:
             self._refresh(self.holdings.resume_undone(record.generation))
 
     def on_tick(self, now: float) -> None:
         """Do what is due; call several times per `beat_s`."""
         if now - self._last_tick > self.timings.suspect_s / 2:
-            self.membership.excuse(now)
+            self.membership.reset_timeouts(now)
         self._last_tick = now
         if self.is_leaving and not self.has_joined:
-            self.is_out = True
-        if self.is_out or not self.fold.is_complete or self.legs.tip_read_at == -inf:
+            self.is_removed = True
+        if (
+            self.is_removed
+            or not self.fold.is_complete
+            or self.confirmations.log_end_read_at == -inf
+        ):
             return
         if not self.fold.has_member(self.me):
             self._join(now)
             return
         self._update_live(now)
-        self._commands.extend(self._beats.round(now, is_leaving=self.is_leaving))
+        self._commands.extend(self._heartbeats.round(now, is_leaving=self.is_leaving))
         self._advance_takeovers(now)
-        if self.legs.has_log(now):
-            self._upkeep.run(now)
+        if self.confirmations.has_log_confirmation(now):
+            self._maintenance.run(now)
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is under way that a tick would carry on."""
         under_way = self.takeovers_by_epoch or self._in_flight or self.is_leaving
         return not under_way and self.fold.has_member(self.me)
@@ -228,7 +234,7 @@
 
     def append(self, record: Any, now: float) -> bool:
         """Append unless one of its kind is under way or failed a moment ago."""
-        kinds = WRITTEN_ALONE if isinstance(record, WRITTEN_ALONE) else (type(record),)
+        kinds = SERIAL_RECORDS if isinstance(record, SERIAL_RECORDS) else (type(record),)
         if any(isinstance(other, kinds) for other in self._in_flight.values()):
             return False
         if any(now < self._retry_at_by_type.get(kind, -inf) for kind in kinds):
@@ -254,11 +260,11 @@
 
     def _join(self, now: float) -> None:
         if self.has_joined:
-            self.is_out = True
+            self.is_removed = True
             if not self.is_leaving:
                 self._commands.append(Expelled())
             return
-        if self.legs.has_log(now):
+        if self.confirmations.has_log_confirmation(now):
             self.append(Join(member=self.me, seen=self.fold.next_offset), now)
 
     def _after_record(self, logged: LoggedRecord, now: float) -> None:
@@ -267,9 +273,9 @@
         entry = self.fold.roster_by_incarnation.get(self.me.incarnation)
         self._in_flight.pop(logged.record_id, None)
         if isinstance(record, OwnershipSnapshot) and self._in_flight:
-            self._doubt_in_flight()
-        if isinstance(record, (*WRITTEN_ALONE, OwnershipSnapshot)) and entry is not None:
-            self.legs.confirm_generation(entry.generation)
+            self._drop_in_flight()
+        if isinstance(record, (*SERIAL_RECORDS, OwnershipSnapshot)) and entry is not None:
+            self.confirmations.confirm_generation(entry.generation)
             resumed = self.holdings.resume(entry.generation)
         self.holdings.forget_read()
         self._refresh(self.fold.drain_touched().union(resumed))
@@ -277,15 +283,15 @@
             self._start_takeover(Epoch(logged.offset), now)
         elif isinstance(record, Activate) and record.by == self.me:
             self.takeovers_by_epoch.pop(record.epoch, None)
-        self._upkeep.on_record(record, now)
+        self._maintenance.on_record(record, now)
         members = self.fold.members()
         self.membership.track(members, now)
         self.has_joined = self.has_joined or entry is not None
 
-    def _doubt_in_flight(self) -> None:
+    def _drop_in_flight(self) -> None:
         """Stop waiting for records that a snapshot may have stood in for."""
-        if any(isinstance(record, WRITTEN_ALONE) for record in self._in_flight.values()):
-            self._upkeep.must_confirm = True
+        if any(isinstance(record, SERIAL_RECORDS) for record in self._in_flight.values()):
+            self._maintenance.must_confirm = True
         self._in_flight.clear()
 
     def _refresh(self, ownables: Iterable[OwnableId]) -> None:
@@ -315,58 +321,60 @@
         )
 
     def _send_fences(self, takeover: Takeover, now: float) -> None:
-        if now - takeover.fence_sent_at < self.timings.beat_s:
+        if now - takeover.fence_sent_at < self.timings.heartbeat_s:
             return
         takeover.fence_sent_at = now
         for member in takeover.unacked(self.fold):
             if member != self.me:
-                fence = self._beats.fence(member, takeover)
+                fence = self._heartbeats.fence(member, takeover)
                 self._commands.append(SendMessage(to=member.host, message=fence))
 
     def _update_live(self, now: float) -> None:
         live = self.membership.live(self.fold.members(), now)
         if self.is_leaving:
             live = tuple(member for member in live if member != self.me)
-        able = self.membership.able(live)
-        if (live, able) != (self.live, self.able):
-            self.live, self.able = live, able
+        eligible = self.membership.eligible(live)
+        if (live, eligible) != (self.live, self.eligible):
+            self.live, self.eligible = live, eligible
             self.live_since = now
 
-    def _on_beat(self, sender: HostId, beat: Beat, now: float) -> None:
-        if beat.receiver != self.me.incarnation or self.is_out:
+    def _on_heartbeat(self, sender: HostId, heartbeat: Heartbeat, now: float) -> None:
+        if heartbeat.receiver != self.me.incarnation or self.is_removed:
             return
-        for claim in beat.claims:
-            self.holdings.hear(claim)
+        for claim in heartbeat.claims:
+            self.holdings.note_claim(claim)
             self._refresh(claim.ownables)
-        if beat.sender not in self.fold.roster_by_incarnation:
+        if heartbeat.sender not in self.fold.roster_by_incarnation:
             return
-        self.membership.on_beat(beat, now)
-        sent_at = self.legs.sent_at(beat.echo)
+        self.membership.on_heartbeat(heartbeat, now)
+        sent_at = self.confirmations.sent_at(heartbeat.echo)
         if sent_at is None:
             return
-        self.legs.on_echo(beat.sender, sent_at)
-        if beat.tip_age_ms >= 0:
-            self._on_peer_tip(sender, beat, sent_at, now)
+        self.confirmations.on_echo(heartbeat.sender, sent_at)
+        if heartbeat.tip_age_ms >= 0:
+            self._on_peer_log_end(sender, heartbeat, sent_at, now)
 
-    def _on_peer_tip(self, sender: HostId, beat: Beat, sent_at: float, now: float) -> None:
-        read_at = sent_at - beat.tip_age_ms / 1000 * self.timings.rate_factor
-        if read_at <= self.legs.tip_read_at or not self.fold.is_complete:
+    def _on_peer_log_end(
+        self, sender: HostId, heartbeat: Heartbeat, sent_at: float, now: float
+    ) -> None:
+        read_at = sent_at - heartbeat.tip_age_ms / 1000 * self.timings.rate_factor
+        if read_at <= self.confirmations.log_end_read_at or not self.fold.is_complete:
             return
-        if beat.next_offset <= self.fold.next_offset:
-            self.legs.on_tip(read_at)
-        elif now - self.legs.tip_read_at > self.timings.read_s / 2:
+        if heartbeat.next_offset <= self.fold.next_offset:
+            self.confirmations.on_log_end(read_at)
+        elif now - self.confirmations.log_end_read_at > self.timings.read_s / 2:
             self._fetch_tail(sender, now)
 
     def _fetch_tail(self, peer: HostId, now: float) -> None:
         if now < self._fetching_tail_until:
             return
-        self._fetching_tail_until = now + self.timings.beat_s
+        self._fetching_tail_until = now + self.timings.heartbeat_s
         self._commands.append(FetchTail(peer=peer, start=self.fold.next_offset))
 
     def _on_fence(self, sender: HostId, fence: Fence, now: float) -> None:
-        if fence.receiver != self.me.incarnation or self.is_out:
+        if fence.receiver != self.me.incarnation or self.is_removed:
             return
-        self.holdings.hear(fence.claim)
+        self.holdings.note_claim(fence.claim)
         self._refresh(fence.claim.ownables)
         ack = FenceAck(sender=self.me.incarnation, epoch=fence.claim.epoch)
         self._commands.append(SendMessage(to=sender, message=ack))
--- a/src/galenastall/coordination/ownership/ownership_candidates.py
+++ b/src/galenastall/coordination/ownership/ownership_candidates.py
@@ -44,8 +44,8 @@
 ) -> Iterable[tuple[OwnableId, HostId]]:
     mean = len(ownables) / len(hosts)
     cap = max(ceil(mean), round(mean * LOAD_CAP))
-    room_by_host = dict.fromkeys(hosts, cap)
+    remaining_by_host = dict.fromkeys(hosts, cap)
     for ownable in sorted(ownables):
-        host = next(host for host in rank(hosts, ownable) if room_by_host[host])
-        room_by_host[host] -= 1
+        host = next(host for host in rank(hosts, ownable) if remaining_by_host[host])
+        remaining_by_host[host] -= 1
         yield ownable, host
--- a/src/galenastall/coordination/ownership/ownership_claims.py
+++ b/src/galenastall/coordination/ownership/ownership_claims.py
@@ -38,7 +38,7 @@
         *,
         ownables: frozenset[OwnableId],
         live: Members,
-        able: Members,
+        eligible: Members,
         now: float,
         is_settled: bool,
     ) -> Claim | None:
@@ -46,24 +46,27 @@
 
         `live` take turns with what is free or of a dead owner; `able` may be given more.
         """
-        wanted = self.wanted(ownables, able) if is_settled else {}
-        group = self._dead_group(live, now) or tuple(self._free(ownables, wanted, live, now))
+        wanted = self.wanted(ownables, eligible) if is_settled else {}
+        group = self._group_of_dead_owners(live, now) or tuple(
+            self._free(ownables, wanted, live, now)
+        )
         if not group:
             return None
         return Claim(by=self._me, ownables=tuple(sorted(group)), seen=self._fold.next_offset)
 
-    def wanted(self, ownables: frozenset[OwnableId], able: Members) -> dict[OwnableId, HostId]:
+    def wanted(self, ownables: frozenset[OwnableId], eligible: Members) -> dict[OwnableId, HostId]:
         """Return which of these members' hosts should own what, for an even spread."""
-        key = (ownables, able)
+        key = (ownables, eligible)
         if key != self._wanted_key:
             self._wanted_key = key
-            self._wanted = spread(ownables, sorted(member.host for member in able))
+            self._wanted = spread(ownables, sorted(member.host for member in eligible))
         return self._wanted
 
     def can_fence(self, members: Members, now: float) -> bool:
         """Return whether enough of a roster is dead or within reach that no majority is left."""
         reachable = sum(
-            self.is_dead(m) or not self._membership.is_silent(m.incarnation, now) for m in members
+            self.is_dead(m) or not self._membership.is_unresponsive(m.incarnation, now)
+            for m in members
         )
         return leaves_no_majority(reachable, members)
 
@@ -88,19 +91,19 @@
             if is_mine or self._is_my_turn(f"free/{ownable}", hosts, now, first_wait=1):
                 yield ownable
 
-    def _dead_group(self, live: Members, now: float) -> tuple[OwnableId, ...]:
+    def _group_of_dead_owners(self, live: Members, now: float) -> tuple[OwnableId, ...]:
         ownables_by_roster: dict[Members | None, list[OwnableId]] = defaultdict(list)
         verdict_by_case: dict[tuple[Epoch, Member | None, Epoch | None], bool] = {}
         seen: set[str] = set()
-        heard = {
+        responsive = {
             incarnation
             for incarnation in self._fold.roster_by_incarnation
-            if not self._membership.is_silent(incarnation, now)
+            if not self._membership.is_unresponsive(incarnation, now)
         }
         for ownable, state in self._fold.state_by_ownable.items():
             if state.claim.by is None:
                 continue
-            if state.claim.by.incarnation in heard and state.is_settled:
+            if state.claim.by.incarnation in responsive and state.is_settled:
                 continue
             tenure_epoch = state.tenure.epoch if state.tenure else None
             case = (state.claim.epoch, state.claim.by, tenure_epoch)
@@ -116,7 +119,7 @@
         claimant = state.claim.by
         if claimant is None or claimant == self._me:
             return False
-        if not self._is_lost_cause(state, claimant, now):
+        if not self._is_replaceable(state, claimant, now):
             return False
         if state.tenure is not None and not self.can_fence(state.tenure.members, now):
             return False
@@ -124,7 +127,7 @@
         seen.add(subject)
         return self._is_my_turn(subject, [member.host for member in live], now, first_wait=0)
 
-    def _is_lost_cause(self, state: OwnableState, claimant: Member, now: float) -> bool:
+    def _is_replaceable(self, state: OwnableState, claimant: Member, now: float) -> bool:
         if not self._fold.has_member(claimant):
             return True
         if state.is_settled:
@@ -133,14 +136,14 @@
         seen_at = self._claim_seen_at.setdefault(state.claim.epoch, now)
         if now - seen_at > self._timings.claim_stale_s:
             return True
-        return self._membership.is_silent(claimant.incarnation, now)
+        return self._membership.is_unresponsive(claimant.incarnation, now)
 
     def _is_dead_by_votes(self, owner: Member, members: Members, now: float) -> bool:
         """Return whether a majority finds an owner silent, of its own roster or of that of now.
 
         The owner may have been paused before it named members that have joined since.
         """
-        if not self._membership.is_silent(owner.incarnation, now):
+        if not self._membership.is_unresponsive(owner.incarnation, now):
             return False
         return any(
             is_majority(self._votes_against(owner, voters, now), voters)
@@ -149,7 +152,8 @@
 
     def _votes_against(self, owner: Member, voters: Members, now: float) -> int:
         return sum(
-            self.is_dead(m) or self._membership.says_silent(m.incarnation, owner.incarnation, now)
+            self.is_dead(m)
+            or self._membership.reports_unresponsive(m.incarnation, owner.incarnation, now)
             for m in voters
         )
 
--- a/src/galenastall/coordination/ownership/ownership_legs.py
+++ b/src/galenastall/coordination/ownership/ownership_confirmations.py
@@ -9,7 +9,7 @@
 Roster = frozenset[Incarnation]
 
 
-class Legs:
+class Confirmations:
     """Both legs as the times until which they stand; all of this member's own clock."""
 
     def __init__(self, *, me: Incarnation, timings: OwnershipTimings) -> None:
@@ -17,11 +17,11 @@
         self._me = me
         self.timings = timings
         """Replaced when operators change them."""
-        self.tip_read_at = -inf
+        self.log_end_read_at = -inf
         self._own_read_at = -inf
         self._sequence = 0
         self._sent_at_by_sequence: dict[int, float] = {}
-        self._vouched_at: dict[Incarnation, float] = {}
+        self._confirmed_at: dict[Incarnation, float] = {}
         self._until_by_roster: dict[Roster, float] = {}
         self._unconfirmed_by_generation: dict[int, Roster] = {}
 
@@ -39,19 +39,19 @@
         """Return when a round was sent; None if that is too long ago to count."""
         return self._sent_at_by_sequence.get(sequence)
 
-    def on_echo(self, voucher: Incarnation, sent_at: float) -> None:
+    def on_echo(self, peer: Incarnation, sent_at: float) -> None:
         """Count a vouch from the time at which the beat that it echoes was sent."""
-        self._vouched_at[voucher] = max(sent_at, self._vouched_at.get(voucher, -inf))
+        self._confirmed_at[peer] = max(sent_at, self._confirmed_at.get(peer, -inf))
         self._until_by_roster.clear()
 
-    def on_tip(self, read_at: float) -> None:
+    def on_log_end(self, read_at: float) -> None:
         """Count a read of the log's tip from the time at which it was sent, by whoever sent it."""
-        self.tip_read_at = max(self.tip_read_at, read_at)
+        self.log_end_read_at = max(self.log_end_read_at, read_at)
 
-    def on_own_tip(self, read_at: float) -> None:
+    def on_own_log_end(self, read_at: float) -> None:
         """Count a read of the log's tip that this member sent."""
         self._own_read_at = max(self._own_read_at, read_at)
-        self.on_tip(read_at)
+        self.on_log_end(read_at)
 
     def lacks_log(self, now: float) -> bool:
         """Return whether the log leg would not stand by this member's own reads."""
@@ -60,7 +60,7 @@
     def keep_only(self, members: Iterable[Incarnation]) -> None:
         """Forget vouches of all others."""
         kept = set(members)
-        self._vouched_at = {i: at for i, at in self._vouched_at.items() if i in kept}
+        self._confirmed_at = {i: at for i, at in self._confirmed_at.items() if i in kept}
         self._until_by_roster.clear()
 
     def expect_roster(self, generation: int, roster: Roster) -> None:
@@ -79,23 +79,23 @@
         self._unconfirmed_by_generation = {g: r for g, r in unconfirmed.items() if g > generation}
         self._until_by_roster.clear()
 
-    def has_log(self, now: float) -> bool:
+    def has_log_confirmation(self, now: float) -> bool:
         """Return whether the log leg stands."""
-        return now < self.tip_read_at + self.timings.read_s
+        return now < self.log_end_read_at + self.timings.read_s
 
-    def has_vouches(self, roster: Roster, now: float) -> bool:
+    def has_peer_confirmation(self, roster: Roster, now: float) -> bool:
         """Return whether the vouch leg stands for what is owned under `roster`."""
         until = self._until_by_roster.get(roster)
         if until is None:
             rosters = (roster, *self._unconfirmed_by_generation.values())
-            until = min(map(self._vouched_until, rosters))
+            until = min(map(self._confirmed_until, rosters))
             self._until_by_roster[roster] = until
         return now < until
 
-    def _vouched_until(self, roster: Roster) -> float:
-        vouched_at = self._vouched_at
+    def _confirmed_until(self, roster: Roster) -> float:
+        confirmed_at = self._confirmed_at
         times = sorted(
-            (inf if i == self._me else vouched_at.get(i, -inf) for i in roster), reverse=True
+            (inf if i == self._me else confirmed_at.get(i, -inf) for i in roster), reverse=True
         )
         majority = len(roster) // 2 + 1
         return times[majority - 1] + self.timings.vouch_s
--- a/src/galenastall/coordination/ownership/ownership_beats.py
+++ b/src/galenastall/coordination/ownership/ownership_heartbeats.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from galenastall.coordination.ownership.membership import Membership
+from galenastall.coordination.ownership.ownership_confirmations import Confirmations
 from galenastall.coordination.ownership.ownership_holdings import Holdings
-from galenastall.coordination.ownership.ownership_legs import Legs
 from galenastall.coordination.ownership.ownership_messages import (
-    Beat,
     ContestedClaim,
     Fence,
+    Heartbeat,
     SendMessage,
 )
 from galenastall.coordination.ownership.ownership_takeover import Takeover
@@ -18,11 +18,11 @@
 from galenastall.state.ownership_fold import OwnershipFold
 from galenastall.state.ownership_records import Member
 
-LEAST_GAP_S: Final = 0.1
+MIN_ROUND_INTERVAL_S: Final = 0.1
 """Least time between rounds, also when news should go out at once."""
 
 
-class BeatWriter:
+class HeartbeatWriter:
     """Sends a round at a steady pace, and at once when the set of silent members changes."""
 
     def __init__(
@@ -31,7 +31,7 @@
         me: Member,
         timings: OwnershipTimings,
         fold: OwnershipFold,
-        legs: Legs,
+        confirmations: Confirmations,
         membership: Membership,
         holdings: Holdings,
     ) -> None:
@@ -39,30 +39,30 @@
         self._me = me
         self._timings = timings
         self._fold = fold
-        self._legs = legs
+        self._legs = confirmations
         self._membership = membership
         self._holdings = holdings
         self._last_round_at = -inf
-        self._last_news: tuple[object, ...] = ()
+        self._last_status: tuple[object, ...] = ()
 
     def round(self, now: float, *, is_leaving: bool) -> Iterator[SendMessage]:
         """Yield a beat for each other member of the roster if a round is due."""
         peers = [m for m in self._fold.members() if m != self._me]
         silent = self._membership.silent(now)
         lacks_log = self._legs.lacks_log(now)
-        news = (silent, is_leaving, lacks_log)
-        gap = self._timings.beat_interval_s(peers=len(peers))
-        if news != self._last_news:
-            gap = LEAST_GAP_S
-        if now - self._last_round_at < gap or not peers:
+        status = (silent, is_leaving, lacks_log)
+        interval = self._timings.heartbeat_interval_s(peers=len(peers))
+        if status != self._last_status:
+            interval = MIN_ROUND_INTERVAL_S
+        if now - self._last_round_at < interval or not peers:
             return
         self._last_round_at = now
-        self._last_news = news
+        self._last_status = status
         sequence = self._legs.next_sequence(now)
-        tip_age_ms = ceil((now - self._legs.tip_read_at) * 1000)
+        tip_age_ms = ceil((now - self._legs.log_end_read_at) * 1000)
         for peer in peers:
-            echo, claims = self._vouch(peer)
-            beat = Beat(
+            echo, claims = self._confirm(peer)
+            heartbeat = Heartbeat(
                 sender=self._me.incarnation,
                 receiver=peer.incarnation,
                 sequence=sequence,
@@ -74,14 +74,14 @@
                 claims=claims,
                 lacks_log=lacks_log,
             )
-            yield SendMessage(to=peer.host, message=beat)
+            yield SendMessage(to=peer.host, message=heartbeat)
 
     def fence(self, member: Member, takeover: Takeover) -> Fence:
         """Return the message that asks `member` for its promise."""
         claim = ContestedClaim(epoch=takeover.epoch, ownables=takeover.ownables)
         return Fence(sender=self._me.incarnation, receiver=member.incarnation, claim=claim)
 
-    def _vouch(self, peer: Member) -> tuple[int, tuple[ContestedClaim, ...]]:
+    def _confirm(self, peer: Member) -> tuple[int, tuple[ContestedClaim, ...]]:
         view = self._membership.view(peer.incarnation)
         if view is None or view.next_offset < self._fold.known_from:
             return 0, ()
--- a/src/galenastall/coordination/ownership/ownership_holdings.py
+++ b/src/galenastall/coordination/ownership/ownership_holdings.py
@@ -5,7 +5,7 @@
 from math import inf
 from typing import Final
 
-from galenastall.coordination.ownership.ownership_legs import Roster
+from galenastall.coordination.ownership.ownership_confirmations import Roster
 from galenastall.coordination.ownership.ownership_messages import Activated, ContestedClaim, Lost
 from galenastall.state.ids import Epoch, Offset, OwnableId
 from galenastall.state.ownership_fold import OwnershipFold
@@ -31,8 +31,8 @@
         self._me = me
         self._fold = fold
         self.holding_by_ownable: dict[OwnableId, Holding] = {}
-        self._heard_epoch_by_ownable: dict[OwnableId, Epoch] = {}
-        self._heard_by_epoch: dict[Epoch, ContestedClaim] = {}
+        self._reported_epoch_by_ownable: dict[OwnableId, Epoch] = {}
+        self._reported_by_epoch: dict[Epoch, ContestedClaim] = {}
         self._suspended_until_generation: dict[OwnableId, float] = {}
         self._roster_by_members: dict[Members, Roster] = {}
 
@@ -41,27 +41,27 @@
         for ownable in ownables:
             yield from self._refresh(ownable)
 
-    def hear(self, claim: ContestedClaim) -> None:
+    def note_claim(self, claim: ContestedClaim) -> None:
         """Remember a claim that this member may not have read; refresh its ownables after."""
         if claim.epoch < self._fold.next_offset and self._fold.is_complete:
             return
-        self._heard_by_epoch[claim.epoch] = claim
+        self._reported_by_epoch[claim.epoch] = claim
         for ownable in claim.ownables:
-            heard = self._heard_epoch_by_ownable.get(ownable, Epoch(-1))
-            self._heard_epoch_by_ownable[ownable] = max(heard, claim.epoch)
+            reported = self._reported_epoch_by_ownable.get(ownable, Epoch(-1))
+            self._reported_epoch_by_ownable[ownable] = max(reported, claim.epoch)
 
     def forget_read(self) -> None:
         """Forget claims that the fold has read by now: it knows them."""
-        if not self._heard_by_epoch or not self._fold.is_complete:
+        if not self._reported_by_epoch or not self._fold.is_complete:
             return
         read_to = self._fold.next_offset
-        self._heard_by_epoch = {e: c for e, c in self._heard_by_epoch.items() if e >= read_to}
-        heard = self._heard_epoch_by_ownable
-        self._heard_epoch_by_ownable = {o: e for o, e in heard.items() if e >= read_to}
+        self._reported_by_epoch = {e: c for e, c in self._reported_by_epoch.items() if e >= read_to}
+        reported = self._reported_epoch_by_ownable
+        self._reported_epoch_by_ownable = {o: e for o, e in reported.items() if e >= read_to}
 
     def claims_from(self, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
         """Yield the claims by others that a member which read up to `offset` may not know."""
-        for epoch, claim in self._heard_by_epoch.items():
+        for epoch, claim in self._reported_by_epoch.items():
             if epoch >= offset:
                 yield claim
         if self._fold.max_claim_epoch < offset:
@@ -127,7 +127,7 @@
             return None
         if ownable in self._suspended_until_generation:
             return None
-        if self._heard_epoch_by_ownable.get(ownable, -1) > tenure.epoch:
+        if self._reported_epoch_by_ownable.get(ownable, -1) > tenure.epoch:
             return None
         return Holding(epoch=tenure.epoch, roster=self._roster(tenure.members))
 
--- a/src/galenastall/coordination/ownership/ownership_upkeep.py
+++ b/src/galenastall/coordination/ownership/ownership_maintenance.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from galenastall.coordination.ownership.ownership_candidates import rank, spread
-from galenastall.coordination.ownership.ownership_spread import plan_gifts
+from galenastall.coordination.ownership.ownership_spread import plan_transfers
 from galenastall.state.ids import OwnableId
 from galenastall.state.ownership_records import (
     Gift,
@@ -21,7 +21,7 @@
     from galenastall.coordination.ownership.ownership import OwnershipCore
 
 
-class Upkeep:
+class OwnershipMaintenance:
     """Plans this member's records, one step a tick."""
 
     def __init__(self, *, core: OwnershipCore) -> None:
@@ -30,9 +30,9 @@
         self.must_confirm = False
         """Whether a record with a generation may or may not be in the log."""
         self._generation = 0
-        self._gifts: tuple[Gift, ...] = ()
-        self._gifts_ready_at = inf
-        self._last_gifts_at = -inf
+        self._transfers: tuple[Gift, ...] = ()
+        self._transfers_ready_at = inf
+        self._last_transfers_at = -inf
         self._roster_changed_at = -inf
         self._snapshot_seen_at: float | None = None
         self._snapshot_due_since: float | None = None
@@ -53,8 +53,8 @@
             self._leave(now)
             return
         self._claim(now)
-        self._send_gifts(now)
-        self._plan_gifts(now)
+        self._send_transfers(now)
+        self._plan_transfers(now)
         self._reroster(now)
         self._remove_dead(now)
         self._snapshot(now)
@@ -69,49 +69,51 @@
         claim = core.claims.plan(
             ownables=core.ownables,
             live=core.live,
-            able=core.able,
+            eligible=core.eligible,
             now=now,
             is_settled=self._is_settled(now),
         )
         if claim is not None:
             core.append(claim, now)
 
-    def _plan_gifts(self, now: float) -> None:
+    def _plan_transfers(self, now: float) -> None:
         core = self._core
-        if core.ownables is None or self._gifts or core.holdings.suspended:
+        if core.ownables is None or self._transfers or core.holdings.suspended:
             return
-        if not self._is_settled(now) or now - self._last_gifts_at < core.timings.settle_s:
+        if not self._is_settled(now) or now - self._last_transfers_at < core.timings.settle_s:
             return
-        gifts = plan_gifts(
+        transfers = plan_transfers(
             owned=core.holdings.holding_by_ownable,
-            wanted=core.claims.wanted(core.ownables, core.able),
-            live=core.able,
+            wanted=core.claims.wanted(core.ownables, core.eligible),
+            live=core.eligible,
             me=core.me,
             limit=core.timings.handover_batch,
         )
-        if gifts:
-            self._stop_acting(gifts, now)
+        if transfers:
+            self._stop_acting(transfers, now)
 
-    def _stop_acting(self, gifts: tuple[Gift, ...], now: float) -> None:
+    def _stop_acting(self, transfers: tuple[Gift, ...], now: float) -> None:
         core = self._core
-        self._gifts = gifts
-        self._gifts_ready_at = now + core.timings.flight_s * core.timings.rate_factor
-        core.suspend([ownable for gift in gifts for ownable in gift.ownables])
+        self._transfers = transfers
+        self._transfers_ready_at = now + core.timings.flight_s * core.timings.rate_factor
+        core.suspend([ownable for transfer in transfers for ownable in transfer.ownables])
 
-    def _send_gifts(self, now: float) -> None:
+    def _send_transfers(self, now: float) -> None:
         core = self._core
-        if not self._gifts or now < self._gifts_ready_at:
+        if not self._transfers or now < self._transfers_ready_at:
             return
         generation = self._next_generation()
         members = core.wanted_members()
-        handover = HandOver(by=core.me, generation=generation, gifts=self._gifts, members=members)
+        handover = HandOver(
+            by=core.me, generation=generation, gifts=self._transfers, members=members
+        )
         if not core.append(handover, now):
             return
         self._generation = generation
-        ownables = [ownable for gift in self._gifts for ownable in gift.ownables]
+        ownables = [ownable for transfer in self._transfers for ownable in transfer.ownables]
         core.holdings.bind_suspension(ownables, generation)
-        self._gifts = ()
-        self._last_gifts_at = now
+        self._transfers = ()
+        self._last_transfers_at = now
 
     def _reroster(self, now: float) -> None:
         core = self._core
@@ -119,13 +121,13 @@
         roster = frozenset(member.incarnation for member in members)
         holdings = core.holdings.holding_by_ownable.values()
         is_current = all(holding.roster == roster for holding in holdings)
-        is_calm = now - self._roster_changed_at >= core.timings.settle_s
-        if not self.must_confirm and (is_current or not is_calm):
+        is_stable = now - self._roster_changed_at >= core.timings.settle_s
+        if not self.must_confirm and (is_current or not is_stable):
             return
         generation = self._next_generation()
         if core.append(Reroster(by=core.me, generation=generation, members=members), now):
             self._generation = generation
-            core.legs.expect_roster(generation, roster)
+            core.confirmations.expect_roster(generation, roster)
 
     def _remove_dead(self, now: float) -> None:
         core = self._core
@@ -133,7 +135,7 @@
             if member == core.me or not core.membership.is_gone(member.host):
                 continue
             is_mine = rank([m.host for m in core.live], member.incarnation)[:1] == [core.me.host]
-            if is_mine and core.membership.is_silent(member.incarnation, now):
+            if is_mine and core.membership.is_unresponsive(member.incarnation, now):
                 core.append(Leave(member=member), now)
                 return
 
@@ -159,11 +161,11 @@
         if not mine:
             core.append(Leave(member=core.me), now)
             return
-        if self._gifts_ready_at == inf or core.holdings.holding_by_ownable:
-            self._stop_acting(self._gifts, now)
+        if self._transfers_ready_at == inf or core.holdings.holding_by_ownable:
+            self._stop_acting(self._transfers, now)
             core.suspend(mine)
-        self._gifts = self._farewell_gifts(mine)
-        self._send_gifts(now)
+        self._transfers = self._leave_transfers(mine)
+        self._send_transfers(now)
 
     def _mine(self) -> list[OwnableId]:
         core = self._core
@@ -173,10 +175,12 @@
             if state.is_settled and state.claim.by == core.me
         ]
 
-    def _farewell_gifts(self, mine: list[OwnableId]) -> tuple[Gift, ...]:
+    def _leave_transfers(self, mine: list[OwnableId]) -> tuple[Gift, ...]:
         core = self._core
-        wanted = spread(mine, sorted(member.host for member in core.able))
-        return plan_gifts(owned=mine, wanted=wanted, live=core.able, me=core.me, limit=len(mine))
+        wanted = spread(mine, sorted(member.host for member in core.eligible))
+        return plan_transfers(
+            owned=mine, wanted=wanted, live=core.eligible, me=core.me, limit=len(mine)
+        )
 
     def _next_generation(self) -> int:
         return self._generation + 1
--- a/src/galenastall/coordination/ownership/ownership_messages.py
+++ b/src/galenastall/coordination/ownership/ownership_messages.py
@@ -15,7 +15,7 @@
     ownables: tuple[OwnableId, ...]
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """A ping, and the answer to the receiver's last ping, for all ownables at once.
 
     The echo vouches for everything that the receiver owns but what `claims` takes away: the sender
@@ -82,7 +82,7 @@
     """Send a one-way message to a member."""
 
     to: HostId
-    message: Beat | Fence | FenceAck
+    message: Heartbeat | Fence | FenceAck
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/galenastall/coordination/ownership/ownership_spread.py
+++ b/src/galenastall/coordination/ownership/ownership_spread.py
@@ -7,7 +7,7 @@
 from galenastall.state.ownership_records import Gift, Member, Members
 
 
-def plan_gifts(
+def plan_transfers(
     *,
     owned: Iterable[OwnableId],
     wanted: Mapping[OwnableId, HostId],
--- a/src/galenastall/coordination/ownership/ownership_takeover.py
+++ b/src/galenastall/coordination/ownership/ownership_takeover.py
@@ -63,11 +63,11 @@
             return self._claimed_at
         timings = self._timings
         fenced_at = max(self._fenced_at_by_roster.values())
-        legs_end = max(
+        confirmed_until = max(
             fenced_at + timings.vouch_s * timings.rate_factor,
             self._claimed_at + timings.read_s * timings.rate_factor,
         )
-        return legs_end + timings.flight_s * timings.rate_factor
+        return confirmed_until + timings.flight_s * timings.rate_factor
 
 
 def is_majority(count: int, members: Members) -> bool:
--- a/src/galenastall/coordination/ownership/ownership_timings.py
+++ b/src/galenastall/coordination/ownership/ownership_timings.py
@@ -21,9 +21,9 @@
     """Largest relative difference of a member's clock rate from true time."""
     list_lag_s: float = 30.0
     """A host that the platform's list has not shown for longer than this is dead for good."""
-    beat_s: float = 0.5
+    heartbeat_s: float = 0.5
     """Least time between two beats to the same member."""
-    beats_per_s: float = 12.0
+    heartbeats_per_s: float = 12.0
     """Beats a member sends a second at most; a large roster is told less often."""
     suspect_s: float = 2.5
     """Silence after which a member is suspected."""
@@ -47,6 +47,6 @@
         """By how much a wait on a slow clock must be stretched to outlast one on a fast clock."""
         return (1.0 + self.clock_rate_bound) / (1.0 - self.clock_rate_bound)
 
-    def beat_interval_s(self, *, peers: int) -> float:
+    def heartbeat_interval_s(self, *, peers: int) -> float:
         """Return the time between beats to each of `peers` members."""
-        return max(self.beat_s, peers / self.beats_per_s)
+        return max(self.heartbeat_s, peers / self.heartbeats_per_s)
--- a/src/galenastall/node/jobs/job_views.py
+++ b/src/galenastall/node/jobs/job_views.py
@@ -15,7 +15,7 @@
 def view_run(run: JobRun, ask: JobAsk) -> JobView:
     """Return the view of a live job, as its shard's owner has it."""
     counts = _ended_counts(run.state)
-    for index in (*run.assigned_by_index, *run.doubtful):
+    for index in (*run.assigned_by_index, *run.unconfirmed):
         phase = run.phase_of(index)
         if phase is not TaskPhase.WAITING and run.is_open(index):
             counts[phase.value] = counts.get(phase.value, 0) + 1
--- a/src/galenastall/node/jobs/shard_driver.py
+++ b/src/galenastall/node/jobs/shard_driver.py
@@ -8,7 +8,7 @@
 
 from galenastall.coordination.jobs.census import Census
 from galenastall.coordination.jobs.gangs import GangStepKind
-from galenastall.coordination.jobs.job_ends import ToldBy
+from galenastall.coordination.jobs.job_ends import ReportSource
 from galenastall.coordination.jobs.job_shard import JobShard
 from galenastall.coordination.jobs.shard_commands import (
     AssignAnswer,
@@ -264,7 +264,7 @@
 
     def _begin_census(self) -> None:
         void_at = self._clock.wall() + self._timings.valid_s + self._timings.skew_s
-        self._census = Census(doubts=self.core.doubts, queues_void_at=void_at)
+        self._census = Census(doubts=self.core.doubts, queues_expire_at=void_at)
         self._events.record(
             "shard.census",
             subjects=(shard_ownable(self.core.shard),),
@@ -279,7 +279,7 @@
                 self._is_at_barrier = True
                 nursery.start_soon(self._pass_barrier, self._census)
             return
-        count = self.core.resolve_doubts(
+        count = self.core.resolve_unconfirmed(
             self._clock.wall(), may_have_lost_ends=self._may_have_lost_ends
         )
         self._census = None
@@ -363,7 +363,7 @@
             await trio.sleep(self._timings.log_retry_s)
             self._logging.set()
 
-    def _tell_settled(self, settled: Iterable[ToldBy]) -> None:
+    def _tell_settled(self, settled: Iterable[ReportSource]) -> None:
         attempts_by_host: dict[HostId, list[TaskAttempt]] = {}
         for each in settled:
             attempt = TaskAttempt(task_id=each.task_id, attempt=each.attempt)
--- a/src/galenastall/node/ownership/ownership_service.py
+++ b/src/galenastall/node/ownership/ownership_service.py
@@ -16,11 +16,11 @@
 from galenastall.coordination.ownership.ownership_messages import (
     Activated,
     AppendRecord,
-    Beat,
     Expelled,
     Fence,
     FenceAck,
     FetchTail,
+    Heartbeat,
     Lost,
     OwnershipCommand,
     SendMessage,
@@ -99,7 +99,7 @@
         """Messages sent to peers, for metrics."""
         follower.subscribe(self)
         host_list.subscribe(self._on_listing)
-        for message_type in (Beat, Fence, FenceAck):
+        for message_type in (Heartbeat, Fence, FenceAck):
             peers.handle(message_type, self._on_message)
         peers.handle(TailRequest, self._on_tail_request)
 
@@ -142,7 +142,7 @@
     @property
     def has_log_leg(self) -> bool:
         """Whether the log's tip was read recently enough to act on."""
-        return self._core.legs.has_log(self._clock.now())
+        return self._core.confirmations.has_log_confirmation(self._clock.now())
 
     def ownables(self) -> frozenset[OwnableId]:
         """Return all that should have an owner in this data centre."""
@@ -161,7 +161,7 @@
             try:
                 while True:
                     self._tick()
-                    await trio.sleep(QUIET_TICK_S if self._core.is_quiet else TICK_S)
+                    await trio.sleep(QUIET_TICK_S if self._core.is_idle else TICK_S)
             finally:
                 self._nursery = None
 
@@ -183,12 +183,12 @@
 
     def _tick(self) -> None:
         now = self._clock.now()
-        self._core.on_tip(
+        self._core.on_log_end(
             read_at=self._follower.tip_read_at, next_offset=self._follower.next_offset, now=now
         )
         self._core.on_tick(now)
         self._carry_out()
-        if self._core.is_out and self._core.is_leaving:
+        if self._core.is_removed and self._core.is_leaving:
             self._left.set()
 
     def _on_listing(self, listing: HostListing, fetched_at: float) -> None:
--- a/src/galenastall/proof/ownership_costs.py
+++ b/src/galenastall/proof/ownership_costs.py
@@ -142,8 +142,8 @@
         node.core.may_act(names[number % len(names)], now)
     asked = time.process_time()
     for _ in range(TICKS):
-        node.core.legs.on_own_tip(now)
-        node.core.membership.excuse(now)
+        node.core.confirmations.on_own_log_end(now)
+        node.core.membership.reset_timeouts(now)
         now += 0.1
         node.core.on_tick(now)
         node.core.drain_commands()
--- a/src/galenastall/proof/ownership_model.py
+++ b/src/galenastall/proof/ownership_model.py
@@ -255,7 +255,7 @@
     def _tick(self, node: ModelNode) -> None:
         node.core.on_tick(node.local(self.now))
         self._carry_out(node)
-        if node.core.is_out and node.core.is_leaving:
+        if node.core.is_removed and node.core.is_leaving:
             self.kill(node.host)
 
     def _carry_out(self, node: ModelNode) -> None:
@@ -332,7 +332,7 @@
                 node.core.on_record(logged, now)
         node.read_to = max(node.read_to, end)
         if end >= node.read_to:
-            node.core.on_tip(read_at=sent_at, next_offset=node.read_to, now=now)
+            node.core.on_log_end(read_at=sent_at, next_offset=node.read_to, now=now)
 
     def _fetch_tail(self, node: ModelNode, command: FetchTail) -> None:
         if self._is_cut(node.host, command.peer):
--- a/src/galenastall/proof/ownership_weakenings.py
+++ b/src/galenastall/proof/ownership_weakenings.py
@@ -7,8 +7,8 @@
 
 from galenastall.coordination.ownership import ownership_claims, ownership_takeover
 from galenastall.coordination.ownership.ownership import OwnershipCore
+from galenastall.coordination.ownership.ownership_confirmations import Confirmations
 from galenastall.coordination.ownership.ownership_holdings import Holdings
-from galenastall.coordination.ownership.ownership_legs import Legs
 from galenastall.coordination.ownership.ownership_messages import ContestedClaim
 from galenastall.coordination.ownership.ownership_takeover import Takeover
 from galenastall.state.ids import Epoch, Offset, OwnableId
@@ -32,7 +32,10 @@
     def silence(self: Holdings, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
         return iter(())
 
-    with patch.object(Holdings, "hear", forget), patch.object(Holdings, "claims_from", silence):
+    with (
+        patch.object(Holdings, "note_claim", forget),
+        patch.object(Holdings, "claims_from", silence),
+    ):
         yield
 
 
@@ -73,7 +76,10 @@
     def may_act(self: OwnershipCore, ownable: OwnableId, now: float) -> Epoch | None:
         holding = self.holdings.holding_by_ownable.get(ownable)
         roster = frozenset(self.fold.roster_by_incarnation)
-        if holding and (self.legs.has_log(now) or self.legs.has_vouches(roster, now)):
+        if holding and (
+            self.confirmations.has_log_confirmation(now)
+            or self.confirmations.has_peer_confirmation(roster, now)
+        ):
             return holding.epoch
         return None
 
@@ -86,8 +92,8 @@
 def vouches_from_receipt() -> Iterator[None]:
     """Count a vouch from its arrival, not from the sending of the beat that it echoes."""
 
-    def latest(self: Legs, sequence: int) -> float | None:
+    def latest(self: Confirmations, sequence: int) -> float | None:
         return max(self._sent_at_by_sequence.values(), default=None)
 
-    with patch.object(Legs, "sent_at", latest):
+    with patch.object(Confirmations, "sent_at", latest):
         yield
--- a/tests/job_cluster.py
+++ b/tests/job_cluster.py
@@ -132,7 +132,7 @@
         self.roster: set[HostId] = set()
         self.views: dict[HostId, View] = {}
 
-    def give(self, ownable: OwnableId, host: HostId, *, epoch: int) -> None:
+    def assign(self, ownable: OwnableId, host: HostId, *, epoch: int) -> None:
         old = self.owner.get(ownable)
         epoch = max(epoch, old[1] + 1 if old else 0)
         self.owner[ownable] = (host, Epoch(epoch))
@@ -183,15 +183,15 @@
 class EntryHost:
     """The job side of one entry host."""
 
-    def __init__(self, *, host_id: HostId, life: int, cluster: "Cluster") -> None:
+    def __init__(self, *, host_id: HostId, start_number: int, cluster: "Cluster") -> None:
         self.host_id = host_id
         self.scope = trio.CancelScope()
         clock = cluster.clock
         self.log = LogSide(
             log=cluster.platform.log,
             clock=clock,
-            rng=random.Random(life),
-            writer=f"{host_id}.{life}",
+            rng=random.Random(start_number),
+            writer=f"{host_id}.{start_number}",
             streams=(STREAM,),
             live_hosts=lambda: len(cluster.owners.roster),
         )
@@ -225,7 +225,7 @@
             appender=self.log.appender,
             follower=self.follower,
             clock=clock,
-            incarnation=f"{host_id}.{life}",
+            incarnation=f"{host_id}.{start_number}",
             shards=cluster.shards,
             timings=cluster.job_timings,
             events=events,
@@ -240,7 +240,7 @@
             appender=self.log.appender,
             follower=self.follower,
             clock=clock,
-            rng=random.Random(life),
+            rng=random.Random(start_number),
             events=events,
         )
         self._cluster = cluster
@@ -277,7 +277,7 @@
         self.worker_timings = WorkerTimings()
         self.job_timings = JobTimings()
         self._nursery = nursery
-        self._lives = 0
+        self._start_count = 0
         self.ring = TimelineRing()
         """What happened on all hosts."""
         self._listing: HostListing | None = None
@@ -298,8 +298,8 @@
         return HostListing(as_of=self.clock.wall(), by_id=dict(self.platform.host_list.current()))
 
     async def start(self, name: str) -> EntryHost:
-        self._lives += 1
-        host = EntryHost(host_id=HostId(name), life=self._lives, cluster=self)
+        self._start_count += 1
+        host = EntryHost(host_id=HostId(name), start_number=self._start_count, cluster=self)
         self.hosts[host.host_id] = host
         await self._nursery.start(host.run)
         return host
@@ -313,13 +313,13 @@
     def worker_names(self) -> list[HostId]:
         return sorted(self.platform.host_list.current())
 
-    def give_worker(self, worker: str, host: str) -> None:
+    def assign_worker(self, worker: str, host: str) -> None:
         ownable = make_ownable_id(OwnableKind.WORKER, worker)
-        self.owners.give(ownable, HostId(host), epoch=self._write_claim(ownable, host))
+        self.owners.assign(ownable, HostId(host), epoch=self._write_claim(ownable, host))
 
-    def give_shard(self, shard: int, host: str) -> None:
+    def assign_shard(self, shard: int, host: str) -> None:
         ownable = shard_ownable(shard)
-        self.owners.give(ownable, HostId(host), epoch=self._write_claim(ownable, host))
+        self.owners.assign(ownable, HostId(host), epoch=self._write_claim(ownable, host))
 
     def _write_claim(self, ownable: OwnableId, host: str) -> int:
         """Put a claim into the log past all faults, and return its offset: the epoch."""
@@ -336,9 +336,9 @@
         """Give all workers and shards round robin to the hosts that live."""
         names = sorted(self.hosts)
         for index, worker in enumerate(self.worker_names()):
-            self.give_worker(worker, names[index % len(names)])
+            self.assign_worker(worker, names[index % len(names)])
         for shard in range(self.shards):
-            self.give_shard(shard, names[shard % len(names)])
+            self.assign_shard(shard, names[shard % len(names)])
 
     async def submit(self, spec: JobSpec, *, via: str = "a") -> None:
         appender = self.hosts[HostId(via)].log.appender
@@ -360,15 +360,15 @@
         records = self.platform.workers.ledger.records
         return sum(1 for record in records if record.task_id == task_id)
 
-    def assert_sound(self) -> None:
+    def assert_no_violations(self) -> None:
         """No host over capacity and no task in two places, ever."""
         self.platform.workers.settle()
         violations = self.platform.workers.violations
         assert violations.kept == []
 
-    async def until(self, is_so: Callable[[], bool], *, limit_s: float = 120.0) -> None:
+    async def until(self, condition: Callable[[], bool], *, limit_s: float = 120.0) -> None:
         for _ in range(int(limit_s / STEP_S)):
-            if is_so():
+            if condition():
                 return
             await trio.sleep(STEP_S)
         raise AssertionError(f"not so after {limit_s} s of the paused clock")
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -11,14 +11,14 @@
 from galenastall.state.ids import HostId, JobId
 
 HOSTS = (HostId("h1"), HostId("h2"), HostId("h3"))
-ROOM = 6
+CAPACITY = 6
 
 
 @dataclass
 class Owner:
     """A worker owner with room for some tasks, which holds, starts, releases and stops."""
 
-    room: int = ROOM
+    room: int = CAPACITY
     held: dict[str, tuple[int, float]] = field(default_factory=dict)
     started: set[str] = field(default_factory=set)
     running: set[tuple[str, int]] = field(default_factory=set)
@@ -53,7 +53,7 @@
         return True
 
 
-class World:
+class Simulation:
     """Gangs that compete for owners over a network that delays and loses."""
 
     def __init__(self, *, seed: int, sizes: list[int], loss: float) -> None:
@@ -72,12 +72,12 @@
         self.rng.shuffle(hosts)
         plan: dict[HostId, int] = {}
         for host in hosts:
-            count = min(size - sum(plan.values()), self.rng.randint(1, ROOM))
+            count = min(size - sum(plan.values()), self.rng.randint(1, CAPACITY))
             if count > 0:
                 plan[host] = count
         missing = size - sum(plan.values())
         for host in hosts:
-            more = min(missing, ROOM - plan.get(host, 0))
+            more = min(missing, CAPACITY - plan.get(host, 0))
             plan[host] = plan.get(host, 0) + more
             missing -= more
         return {host: count for host, count in plan.items() if count}
@@ -151,23 +151,25 @@
 class TestGangs:
     @given(
         st.integers(0, 10**6),
-        st.lists(st.integers(2, 3 * ROOM), min_size=1, max_size=4),
+        st.lists(st.integers(2, 3 * CAPACITY), min_size=1, max_size=4),
         st.sampled_from([0.0, 0.1, 0.4]),
     )
     def test_no_deadlock_and_no_part_left_behind(
         self, seed: int, sizes: list[int], loss: float
     ) -> None:
-        world = World(seed=seed, sizes=sizes, loss=loss)
+        simulation = Simulation(seed=seed, sizes=sizes, loss=loss)
         for _ in range(60):
-            world.owners[world.rng.choice(HOSTS)].refuses_starts = world.rng.random() < 0.2
-            world.step()
-            for gang in world.gangs:
+            simulation.owners[simulation.rng.choice(HOSTS)].refuses_starts = (
+                simulation.rng.random() < 0.2
+            )
+            simulation.step()
+            for gang in simulation.gangs:
                 if gang.phase is GangPhase.STARTED:
-                    assert len(list(world.running_of(gang))) == gang._tasks
-        world.settle(4000)
-        assert len(world.finished) == len(sizes)
-        assert all(not owner.running for owner in world.owners.values())
-        assert all(owner.used(world.now + 60) == 0 for owner in world.owners.values())
+                    assert len(list(simulation.running_of(gang))) == gang._tasks
+        simulation.settle(4000)
+        assert len(simulation.finished) == len(sizes)
+        assert all(not owner.running for owner in simulation.owners.values())
+        assert all(owner.used(simulation.now + 60) == 0 for owner in simulation.owners.values())
 
     def test_holds_are_asked_for_in_host_id_order_one_at_a_time(self) -> None:
         gang = Gang(job_id=JobId("g"), tasks=3)
--- a/tests/test_job_chaos.py
+++ b/tests/test_job_chaos.py
@@ -21,14 +21,14 @@
     def __init__(self, *, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
         self.rng = random.Random(seed)
-        self.lives = 0
+        self.replacements = 0
 
-    async def play(self, steps: int) -> None:
+    async def run(self, steps: int) -> None:
         faults: list[Callable[[], Awaitable[None]]] = [
             self.replace_host,
             self.move_ownership,
-            self.cut_host,
-            self.silence_worker,
+            self.isolate_host,
+            self.make_worker_unresponsive,
             self.lose_worker_answers,
             self.lose_peer_answers,
             self.log_outage,
@@ -38,7 +38,7 @@
                 await fault()
             await trio.sleep(self.rng.uniform(0.5, 8.0))
 
-    async def mend(self) -> None:
+    async def heal(self) -> None:
         self.cluster.net.cut.clear()
         self.cluster.net.lose_answer = lambda _a, _b, _m: False
         self.cluster.platform.log.set_faults(LogFaults())
@@ -50,24 +50,24 @@
         self.cluster.kill(old)
         self.cluster.platform.log.set_faults(LogFaults())
         self.cluster.owners.roster.discard(old)
-        self.lives += 1
-        await self.cluster.start(f"n{self.lives}")
+        self.replacements += 1
+        await self.cluster.start(f"n{self.replacements}")
         self.cluster.spread()
 
     async def move_ownership(self) -> None:
         names = sorted(self.cluster.hosts)
         for worker in self.cluster.worker_names():
-            self.cluster.give_worker(worker, self.rng.choice(names))
+            self.cluster.assign_worker(worker, self.rng.choice(names))
         for shard in range(self.cluster.shards):
-            self.cluster.give_shard(shard, self.rng.choice(names))
+            self.cluster.assign_shard(shard, self.rng.choice(names))
 
-    async def cut_host(self) -> None:
+    async def isolate_host(self) -> None:
         if self.cluster.net.cut:
             self.cluster.net.cut.clear()
             return
         self.cluster.net.isolate(self.rng.choice(sorted(self.cluster.hosts)), self.cluster.hosts)
 
-    async def silence_worker(self) -> None:
+    async def make_worker_unresponsive(self) -> None:
         worker = self.rng.choice(self.cluster.worker_names())
         faults = self.rng.choice(
             [WorkerFaults(unreachable=True), WorkerFaults(paused=True), WorkerFaults()]
@@ -100,11 +100,11 @@
                 await cluster.submit(make_spec(name, tasks=10, workload=Workload.GANG))
             await cluster.submit(make_spec("urgent", tasks=10, urgency=Urgency.URGENT))
             chaos = Chaos(cluster=cluster, seed=seed)
-            await chaos.play(steps=8)
-            cluster.assert_sound()
-            await chaos.mend()
+            await chaos.run(steps=8)
+            cluster.assert_no_violations()
+            await chaos.heal()
             await cluster.until(lambda: all(cluster.ended(name) for name in JOBS), limit_s=900)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert cluster.running() == {}
             fold = next(iter(cluster.hosts.values())).fold
             for name in ("batch", "urgent", "gang-one", "gang-two"):
--- a/tests/test_job_failures.py
+++ b/tests/test_job_failures.py
@@ -37,7 +37,7 @@
             set_all_workers(cluster, WorkerFaults(drop_after=0.3, drop_before=0.2))
             await cluster.submit(make_spec("j", tasks=40))
             await cluster.until(lambda: cluster.ended("j"), limit_s=600)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 40
             assert all(cluster.starts_of(f"j/{index}") == 1 for index in range(40))
 
@@ -56,7 +56,7 @@
             await cluster.submit(make_spec("j", tasks=60, idempotent=False))
             await cluster.submit(make_spec("g", tasks=10, workload=Workload.GANG))
             await cluster.until(lambda: cluster.ended("j") and cluster.ended("g"), limit_s=600)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
 
@@ -74,7 +74,7 @@
             cluster.owners.roster.discard(B)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
             assert all(cluster.starts_of(task) == 1 for task in running)
 
@@ -87,7 +87,7 @@
             cluster.kill("b")
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
     async def test_restarted_host_of_the_same_name_is_another_process(
@@ -101,9 +101,9 @@
             cluster.kill("b")
             await cluster.start("b")
             for worker in ("w1", "w3"):
-                cluster.give_worker(worker, "b")
+                cluster.assign_worker(worker, "b")
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
     async def test_all_entry_hosts_replaced_recovers_from_log_and_workers(
@@ -124,7 +124,7 @@
                 await cluster.start(name)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j") and cluster.ended("g"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 80
             assert all(cluster.starts_of(task) == 1 for task in running)
             assert {"s/0", "s/1"} <= cluster.running().keys()
@@ -145,7 +145,7 @@
                 await cluster.start(name)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("once"), limit_s=400)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             job = cluster.hosts[HostId("c")].fold.get(JobId("once"))
             assert job is not None
             assert len(lost) == job.count(TaskPhase.UNKNOWN) == 4
@@ -161,7 +161,7 @@
             cluster.owners.roster.discard(B)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert all(cluster.starts_of(f"j/{index}") == 1 for index in range(16))
 
 
@@ -188,7 +188,7 @@
             await trio.sleep(0.1)
             cluster.owners.roster.add(B)
             await cluster.until(lambda: cluster.ended("j"), limit_s=120)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
     async def test_what_was_sent_to_it_without_an_answer_runs(self, autojump_clock: Any) -> None:
@@ -205,25 +205,25 @@
             await trio.sleep(0.5)
             cluster.owners.roster.add(B)
             await cluster.until(lambda: cluster.ended("j"), limit_s=120)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
 
 class TestStaleOwner:
-    async def test_cut_off_shard_owner_and_its_queue_start_nothing_twice(
+    async def test_isolated_shard_owner_and_its_queue_start_nothing_twice(
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster(names="ab", shards=1) as cluster:
-            cluster.give_shard(0, "a")
+            cluster.assign_shard(0, "a")
             await cluster.submit(make_spec("j", tasks=100, run_s=4.0))
             await trio.sleep(2)
             cluster.net.isolate(A, cluster.hosts)
-            cluster.give_shard(0, "b")
+            cluster.assign_shard(0, "b")
             await trio.sleep(30)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             cluster.net.cut.clear()
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 100
             assert all(cluster.starts_of(f"j/{index}") == 1 for index in range(100))
 
@@ -251,11 +251,11 @@
             for commands in decision.by_worker:
                 await workers._starter.start(commands)
             await cluster.until(lambda: cluster.ended("j"), limit_s=120)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             records = cluster.platform.workers.ledger.records
             assert queued.isdisjoint((each.task_id, each.attempt) for each in records)
 
-    async def test_start_delayed_past_the_takeover_finds_its_room_free(
+    async def test_start_delayed_past_the_takeover_finds_its_capacity_free(
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster(names="abc") as cluster:
@@ -272,7 +272,7 @@
             cluster.owners.roster.discard(B)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=600)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
     async def test_fenced_owner_starts_nothing(self, autojump_clock: Any) -> None:
@@ -285,11 +285,11 @@
             for host in cluster.hosts.values():
                 host.view.is_fenced = False
             await cluster.until(lambda: cluster.ended("j"))
-            cluster.assert_sound()
+            cluster.assert_no_violations()
 
 
 class TestWorkers:
-    async def test_silent_worker_keeps_its_tasks_until_it_is_back(
+    async def test_unresponsive_worker_keeps_its_tasks_until_it_is_back(
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster() as cluster:
@@ -300,7 +300,7 @@
             assert len(cluster.running()) == 16
             cluster.platform.workers.set_faults("w0", WorkerFaults())
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert all(cluster.starts_of(f"j/{index}") == 1 for index in range(16))
 
     async def test_tasks_of_a_failed_worker_run_again_after_their_leases(
@@ -312,7 +312,7 @@
             await cluster.until(lambda: len(cluster.running()) == 16)
             cluster.platform.workers.set_faults("w0", WorkerFaults(down=True))
             await cluster.until(lambda: cluster.ended("j") and cluster.ended("once"), limit_s=400)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 16
 
     async def test_non_idempotent_task_of_a_failed_worker_is_unknown(
@@ -323,7 +323,7 @@
             await cluster.until(lambda: len(cluster.running()) == 8)
             cluster.platform.workers.set_faults("w0", WorkerFaults(down=True))
             await cluster.until(lambda: cluster.ended("once"), limit_s=400)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             job = cluster.hosts[A].fold.get(JobId("once"))
             assert job is not None
             assert job.end is not None
@@ -363,7 +363,7 @@
             set_all_workers(cluster, WorkerFaults())
             await cluster.until(lambda: len(cluster.running()) == 12, limit_s=120)
             await cluster.until(lambda: cluster.ended("g"), limit_s=120)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
 
     async def test_competing_gangs_all_run(self, autojump_clock: Any) -> None:
         async with open_cluster(names="abc", workers=6) as cluster:
@@ -374,12 +374,12 @@
             await cluster.until(
                 lambda: all(cluster.ended(f"g{index}") for index in range(6)), limit_s=300
             )
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert all(done_count(cluster, f"g{index}") == 14 for index in range(6))
 
 
 class TestCancellation:
-    async def test_wave_stops_everything_and_tells_the_truth(self, autojump_clock: Any) -> None:
+    async def test_many_cancellations_stop_all_running_tasks(self, autojump_clock: Any) -> None:
         async with open_cluster() as cluster:
             for index in range(30):
                 await cluster.submit(make_spec(f"j{index}", tasks=10, run_s=30.0))
@@ -391,7 +391,7 @@
             await cluster.until(
                 lambda: all(cluster.ended(f"j{index}") for index in range(30)), limit_s=60
             )
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert cluster.running() == {}
             started = sum(cluster.starts_of(f"j{j}/{i}") for j in range(30) for i in range(10))
             assert started == 16
@@ -410,7 +410,9 @@
 
 
 class TestLogOutage:
-    async def test_what_must_run_once_waits_for_its_record(self, autojump_clock: Any) -> None:
+    async def test_task_that_must_not_run_twice_waits_for_its_record(
+        self, autojump_clock: Any
+    ) -> None:
         async with open_cluster() as cluster:
             await cluster.submit(make_spec("first"))
             await cluster.until(lambda: cluster.ended("first"))
@@ -424,9 +426,9 @@
             assert (cluster.starts_of("once/0"), cluster.starts_of("often/0")) == (0, 1)
             cluster.platform.log.set_faults(LogFaults())
             await cluster.until(lambda: cluster.ended("once") and cluster.ended("often"))
-            cluster.assert_sound()
+            cluster.assert_no_violations()
 
-    async def test_submit_in_an_outage_says_what_it_got(self, autojump_clock: Any) -> None:
+    async def test_submit_in_an_outage_reports_its_durability(self, autojump_clock: Any) -> None:
         async with open_cluster() as cluster:
             await trio.sleep(2)
             cluster.platform.log.set_faults(LogFaults(outage=True))
@@ -441,7 +443,7 @@
             await trio.sleep(30)
             cluster.platform.log.set_faults(LogFaults())
             await cluster.until(lambda: cluster.ended("yes"), limit_s=60)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert cluster.starts_of("no/0") == 0
             assert [cluster.starts_of(f"yes/{index}") for index in range(4)] == [1, 1, 1, 1]
 
@@ -459,7 +461,7 @@
                 await cluster.start(name)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=120)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 16
 
 
@@ -478,12 +480,12 @@
                 await cluster.start(name)
             cluster.spread()
             await cluster.until(lambda: cluster.ended("j"), limit_s=400)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 48
 
 
 class TestDrain:
-    async def test_drained_host_gives_back_what_waits(self, autojump_clock: Any) -> None:
+    async def test_drained_host_returns_queued_tasks(self, autojump_clock: Any) -> None:
         async with open_cluster(names="ab") as cluster:
             await cluster.submit(make_spec("j", tasks=200, run_s=3.0))
             await trio.sleep(4)
@@ -493,12 +495,12 @@
             await host.workers.drain()
             cluster.owners.roster.discard(B)
             for worker in cluster.worker_names():
-                cluster.give_worker(worker, "a")
+                cluster.assign_worker(worker, "a")
             for shard in range(cluster.shards):
-                cluster.give_shard(shard, "a")
+                cluster.assign_shard(shard, "a")
             cluster.kill("b")
             await cluster.until(lambda: cluster.ended("j"), limit_s=300)
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert done_count(cluster, "j") == 200
             assert all(cluster.starts_of(task) == 1 for task in running)
 
@@ -510,7 +512,7 @@
             await cluster.submit(replace(spec, payload='{"run_s":5}'))
             await trio.sleep(60)
             assert all(cluster.starts_of(f"s/{index}") >= 3 for index in range(3))
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             assert not cluster.ended("s")
 
     async def test_larger_tasks_than_any_worker_are_refused(self, autojump_clock: Any) -> None:
--- a/tests/test_job_shard.py
+++ b/tests/test_job_shard.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
+from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.job_shard import JobShard
 from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport, first_attempt
@@ -43,12 +43,12 @@
     return TaskReport(task_id=TASK, attempt=attempt, kind=kind, worker_id=A, need_mb=need_mb)
 
 
-def given(shard: JobShard, now: float) -> list[TaskId]:
+def assigned_tasks(shard: JobShard, now: float) -> list[TaskId]:
     decision = shard.decide(now, summaries={A: make_summary()}, limit=10)
     return [task.task_id for batch in decision.assigns for task in batch.tasks]
 
 
-class TestDoubts:
+class TestUnconfirmedTasks:
     @pytest.mark.parametrize(
         "kind", [ReportKind.STOPPED, ReportKind.LOST, ReportKind.FAILED, ReportKind.RETURNED]
     )
@@ -58,15 +58,15 @@
         shard = make_shard()
         assert shard.on_reports(B, [report(kind)], 1.0)
         assert shard.needs_census
-        assert given(shard, 500.0) == []
-        shard.resolve_doubts(501.0)
-        assert given(shard, 501.0) == [TASK]
+        assert assigned_tasks(shard, 500.0) == []
+        shard.resolve_unconfirmed(501.0)
+        assert assigned_tasks(shard, 501.0) == [TASK]
 
     def test_a_task_that_is_done_is_closed_without_a_census(self) -> None:
         shard = make_shard()
         shard.on_reports(B, [report(ReportKind.DONE)], 1.0)
-        shard.resolve_doubts(2.0)
-        assert given(shard, 2.0) == []
+        shard.resolve_unconfirmed(2.0)
+        assert assigned_tasks(shard, 2.0) == []
 
 
 class TestLosses:
@@ -86,21 +86,21 @@
     shard = make_shard(is_fresh=True)
     now = 0.0
     waits_s: list[float] = []
-    attempt = give(shard, now)
+    attempt = assign_attempt(shard, now)
     for each_s in ran_s:
         assert attempt is not None
         now += each_s
         lost = TaskReport(task_id=TASK, attempt=attempt, kind=ReportKind.LOST, worker_id=A)
         shard.on_reports(A, [lost], now)
-        lost_at, attempt = now, give(shard, now)
+        lost_at, attempt = now, assign_attempt(shard, now)
         while attempt is None and now < lost_at + 100.0:
             now += 0.5
-            attempt = give(shard, now)
+            attempt = assign_attempt(shard, now)
         waits_s.append(now - lost_at)
     return waits_s
 
 
-def give(shard: JobShard, now: float) -> int | None:
+def assign_attempt(shard: JobShard, now: float) -> int | None:
     """Return the attempt under which the task is given out now, if it is."""
     decision = shard.decide(now, summaries={A: make_summary()}, limit=10)
     attempts = [task.attempt for batch in decision.assigns for task in batch.tasks]
@@ -110,16 +110,16 @@
 class TestNeedOfOverruns:
     def test_what_overran_is_given_out_with_what_it_needs(self) -> None:
         shard = make_shard(is_fresh=True)
-        assert given(shard, 0.0) == [TASK]
+        assert assigned_tasks(shard, 0.0) == [TASK]
         ended = report(ReportKind.STOPPED, epoch=2, need_mb=3000)
-        [told] = unpack_reports(pack_reports([ended]))
-        shard.on_reports(A, [told], 1.0)
+        [decoded] = unpack_reports(pack_reports([ended]))
+        shard.on_reports(A, [decoded], 1.0)
         [batch] = shard.decide(100.0, summaries={A: make_summary()}, limit=10).assigns
         assert [task.resources.memory_mb for task in batch.tasks] == [3000]
 
     def test_a_gang_is_planned_by_whole_workers(self) -> None:
-        book = AssigneeBook()
-        book.update({A: make_summary(), B: make_summary()})
+        table = AssigneeTable()
+        table.update({A: make_summary(), B: make_summary()})
         need = Resources(cores_milli=1000, memory_mb=3000)
-        assert book.plan_gang(need=need, tasks=4, now=0.0) == {A: 3, B: 1}
-        assert book.plan_gang(need=need, tasks=7, now=0.0) is None
+        assert table.plan_gang(need=need, tasks=4, now=0.0) == {A: 3, B: 1}
+        assert table.plan_gang(need=need, tasks=7, now=0.0) is None
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -10,7 +10,7 @@
         async with open_cluster() as cluster:
             await cluster.submit(make_spec("j", tasks=40))
             await cluster.until(lambda: cluster.ended("j"))
-            cluster.assert_sound()
+            cluster.assert_no_violations()
             job = cluster.hosts[HostId("a")].fold.get(JobId("j"))
             assert job is not None
             assert job.count(TaskPhase.DONE) == 40
@@ -18,9 +18,9 @@
 
 
 class TestGang:
-    async def test_gang_over_two_owners_starts_whole(self, autojump_clock: Any) -> None:
+    async def test_gang_over_two_owners_starts_completely(self, autojump_clock: Any) -> None:
         async with open_cluster() as cluster:
             await cluster.submit(make_spec("g", tasks=12, workload=Workload.GANG))
             await cluster.until(lambda: len(cluster.running()) == 12)
             await cluster.until(lambda: cluster.ended("g"))
-            cluster.assert_sound()
+            cluster.assert_no_violations()
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -64,7 +64,7 @@
         core = OwnershipCore(me=me, timings=caps)
         section = {"vouch_s": 0.5, "read_s": 0.5, "flight_s": 0.05, "list_lag_s": 99.0}
         core.apply_timings(make_ownership_timings(tree(ownership=section)))
-        assert (core.legs.timings.vouch_s, core.legs.timings.read_s) == (0.5, 0.5)
+        assert (core.confirmations.timings.vouch_s, core.confirmations.timings.read_s) == (0.5, 0.5)
         assert core.membership.timings.list_lag_s == 99.0
         waits = core.timings
         assert (waits.vouch_s, waits.read_s, waits.flight_s) == (3.0, 3.0, 0.5)
--- a/tests/test_ownership_hazards.py
+++ b/tests/test_ownership_hazards.py
@@ -23,14 +23,14 @@
 TAKEOVER_S = 12.0
 
 
-def served(hosts: int, seed: int = 1, settle_s: float = 6.0) -> OwnershipModel:
+def make_served_model(hosts: int, seed: int = 1, settle_s: float = 6.0) -> OwnershipModel:
     model = OwnershipModel(seed=seed, hosts=hosts)
     assert model.run_until(model.is_served, within=20) is not None
     model.run_for(settle_s)
     return model
 
 
-def split(model: OwnershipModel, away: set[HostId]) -> None:
+def isolate(model: OwnershipModel, away: set[HostId]) -> None:
     """Cut `away` off from the log and from all others."""
     for host in away:
         model.nodes_by_host[host].has_log = False
@@ -39,33 +39,33 @@
 
 class TestHazards:
     def test_owner_paused_resumes_after_a_takeover(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         model.pause(owner)
         assert model.run_until(model.is_served, within=TAKEOVER_S) is not None
-        (heir,) = model.actors(X)
+        (successor,) = model.actors(X)
         model.run_for(20)
         model.resume(owner)
-        assert owner != heir
+        assert owner != successor
         assert owner not in model.actors(X)
 
-    def test_owner_cut_off_from_the_log_alone_keeps_acting(self) -> None:
-        model = served(3)
+    def test_owner_isolated_from_the_log_alone_keeps_acting(self) -> None:
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         model.nodes_by_host[owner].has_log = False
         model.run_for(30)
         assert model.actors(X) == [owner]
 
-    def test_owner_cut_off_from_log_and_peers_is_replaced_and_stops_first(self) -> None:
-        model = served(3)
+    def test_owner_isolated_from_log_and_peers_is_replaced_and_stops_first(self) -> None:
+        model = make_served_model(3)
         (owner,) = model.actors(X)
-        split(model, {owner})
+        isolate(model, {owner})
         assert model.run_until(lambda: not model.actors(X), within=4) is not None
         assert model.run_until(model.is_served, within=TAKEOVER_S) is not None
         assert model.actors(X) != [owner]
 
     def test_owner_dying_in_an_outage_is_replaced_once_the_log_is_back(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         others = {o for o in model.ownables if model.actors(o) != [owner]}
         model.is_log_up = False
@@ -76,8 +76,8 @@
         model.is_log_up = True
         assert model.run_until(model.is_served, within=TAKEOVER_S) is not None
 
-    def test_command_in_flight_lands_before_the_heir_acts(self) -> None:
-        model = served(3)
+    def test_command_in_flight_lands_before_the_successor_acts(self) -> None:
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         model.kill(owner)
         sent_at = model.now
@@ -95,7 +95,7 @@
         assert model.is_served()
 
     def test_newcomer_in_the_middle_of_a_takeover(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         model.kill(owner)
         model.run_for(3.5)
@@ -104,7 +104,7 @@
         assert model.run_until(lambda: model.owned(newcomer) > 0, within=20) is not None
 
     def test_planned_stop_hands_over_without_a_takeover(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         model.nodes_by_host[owner].core.begin_leave()
         assert model.run_until(lambda: bool(model.actors(X)), within=0.1) is not None
@@ -113,14 +113,14 @@
         assert model.actors(X) != [owner]
 
     def test_rolling_restart_of_all(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         for host in list(model.alive()):
             model.restart(host)
             assert model.run_until(model.is_served, within=TAKEOVER_S) is not None
             model.run_for(3)
 
     def test_all_replaced_at_once(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         for host in list(model.alive()):
             model.kill(host)
         for _ in range(3):
@@ -140,7 +140,7 @@
 
         and no ownership.claimed of the three workers that it owned.
         """
-        model = served(2)
+        model = make_served_model(2)
         (owner,) = model.actors(X)
         model.join()
         assert model.run_until(lambda: self._all_know(model, members=3), within=5) is not None
@@ -160,7 +160,7 @@
             46.56  3  log.up
             46.60  3  shard.census         jobs/4
         """
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         node = model.nodes_by_host[owner]
         node.has_log = False
@@ -183,7 +183,7 @@
         return all(len(node.core.fold.members()) == members for node in nodes)
 
     def test_slow_pairwise_cut_does_not_cost_an_owner_its_ownables(self) -> None:
-        model = served(3)
+        model = make_served_model(3)
         (owner,) = model.actors(X)
         other = next(host for host in model.alive() if host != owner)
         model.cuts.add(frozenset((owner, other)))
@@ -193,14 +193,14 @@
 
 def minority_claims() -> None:
     """Three of five act on by vouches without the log; one of the other two may see it."""
-    model = served(5)
+    model = make_served_model(5)
     (owner,) = model.actors(X)
     others = [host for host in model.alive() if host != owner]
-    split(model, {owner, *others[:2]})
+    isolate(model, {owner, *others[:2]})
     model.run_for(20)
 
 
-def newcomers_vouch() -> None:
+def newcomers_confirm() -> None:
     """The owner and two newcomers are split off before the owner wrote a roster with them."""
     model = OwnershipModel(seed=3, hosts=3, timings=OwnershipTimings(list_lag_s=10.0, settle_s=8.0))
     assert model.run_until(model.is_served, within=40) is not None
@@ -208,23 +208,23 @@
     (owner,) = model.actors(X)
     newcomers = {model.join(), model.join()}
     model.run_for(3)
-    split(model, {owner, *newcomers})
+    isolate(model, {owner, *newcomers})
     model.run_for(20)
 
 
-def stale_beats() -> None:
+def stale_heartbeats() -> None:
     """A paused owner resumes, sends a round, and only then reads beats from before its loss."""
-    model = served(3)
+    model = make_served_model(3)
     (owner,) = model.actors(X)
     node = model.nodes_by_host[owner]
     node.has_log = False
     model.run_for(4)
     model.pause(owner)
     model.run_for(1)
-    early = list(node.inbox)
+    early_messages = list(node.inbox)
     model.run_for(20)
     assert model.is_served()
-    node.inbox[:] = [lambda: node.core.on_tick(node.local(model.now)), *early]
+    node.inbox[:] = [lambda: node.core.on_tick(node.local(model.now)), *early_messages]
     model.resume(owner)
     model.run_for(0.05)
 
@@ -239,24 +239,24 @@
     return run
 
 
-class TestWeakenedVariants:
+class TestMutations:
     """A checker that can't fail is a defect: each safeguard taken out must show."""
 
     @pytest.mark.parametrize(
-        ("weakening", "schedule"),
+        ("mutation", "schedule"),
         [
             ("no-fencing", seeds(12, 141)),
             ("no-waits", seeds(6, 7)),
             ("one-is-enough", minority_claims),
-            ("newer-roster", newcomers_vouch),
-            ("vouches-from-receipt", stale_beats),
+            ("newer-roster", newcomers_confirm),
+            ("vouches-from-receipt", stale_heartbeats),
         ],
     )
     def test_violation_with_the_safeguard_out_and_none_with_it(
-        self, weakening: str, schedule: Callable[[], None]
+        self, mutation: str, schedule: Callable[[], None]
     ) -> None:
         schedule()
-        with WEAKENINGS.get(weakening)(), pytest.raises(ViolationError):
+        with WEAKENINGS.get(mutation)(), pytest.raises(ViolationError):
             schedule()
 
 
@@ -266,7 +266,7 @@
         (result,) = search(runs=1, seed=seed)
         assert result.is_good, result
 
-    def test_tail_with_a_hole_is_not_handed_on(self) -> None:
+    def test_tail_with_a_gap_is_not_passed_on(self) -> None:
         tail = RecordTail()
         member = Member(host=HostId("a"), incarnation=Incarnation("a.1"))
         for offset in (0, 1, 5):
@@ -284,7 +284,7 @@
         assert kept is not None
         assert [logged.offset for logged in kept] == [5]
 
-    def test_failed_reroster_does_not_undo_a_handover_of_unknown_fate(self) -> None:
+    def test_failed_reroster_does_not_undo_a_handover_of_unknown_outcome(self) -> None:
         a, b = (Member(host=HostId(h), incarnation=Incarnation(f"{h}.1")) for h in "ab")
         core = OwnershipCore(me=a, timings=OwnershipTimings())
         feed(core, Join(member=a, seen=Offset(0)), Join(member=b, seen=Offset(0)))
@@ -312,7 +312,7 @@
             stream=StreamName("s"), offset=offset, record_id=RecordId(f"{offset}"), record=record
         )
         core.on_record(logged, 0.0)
-    core.on_tip(read_at=0.0, next_offset=core.fold.next_offset, now=0.0)
+    core.on_log_end(read_at=0.0, next_offset=core.fold.next_offset, now=0.0)
 
 
 def appended(core: OwnershipCore) -> list[AppendRecord]:
--- a/tests/test_ownership_service.py
+++ b/tests/test_ownership_service.py
@@ -93,7 +93,7 @@
     lost: list[OwnableId] = field(default_factory=list)
 
 
-def entry(name: str) -> ListedHost:
+def entry_host(name: str) -> ListedHost:
     return ListedHost(
         host_id=HostId(name), kind=HostKind.ENTRY, data_centre=DC, peer_address=f"{name}:1"
     )
@@ -109,7 +109,7 @@
     )
 
 
-class Rig:
+class Harness:
     def __init__(self, nursery: trio.Nursery) -> None:
         self.clock = TrioClock(wall_at_start=1_000_000.0)
         hosts = [worker(f"w{i}") for i in range(6)]
@@ -118,18 +118,18 @@
         self.bus = Bus()
         self.nodes: dict[str, Node] = {}
         self._nursery = nursery
-        self._lives = 0
+        self._start_count = 0
 
     async def start(self, name: str) -> Node:
         await self._nursery.start(self._run, name)
         return self.nodes[name]
 
     async def _run(self, name: str, *, task_status: trio.TaskStatus[None]) -> None:
-        self._lives += 1
+        self._start_count += 1
         services = self.platform.services(caller=HostId(name))
-        self.platform.host_list.put(entry(name))
-        incarnation = Incarnation(f"{name}.{self._lives}")
-        rng = random.Random(self._lives)
+        self.platform.host_list.put(entry_host(name))
+        incarnation = Incarnation(f"{name}.{self._start_count}")
+        rng = random.Random(self._start_count)
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 stream = data_centre_stream(DC)
@@ -184,13 +184,13 @@
 
 
 @asynccontextmanager
-async def rig_of(*names: str) -> AsyncIterator[Rig]:
+async def open_harness(*names: str) -> AsyncIterator[Harness]:
     async with trio.open_nursery() as nursery:
-        rig = Rig(nursery)
+        harness = Harness(nursery)
         for name in names:
-            await rig.start(name)
-        await rig.until(rig.all_served)
-        yield rig
+            await harness.start(name)
+        await harness.until(harness.all_served)
+        yield harness
         nursery.cancel_scope.cancel()
 
 
@@ -198,85 +198,87 @@
     async def test_first_start_gives_every_ownable_an_owner(
         self, autojump_clock: MockClock
     ) -> None:
-        async with rig_of("a", "b", "c") as rig:
+        async with open_harness("a", "b", "c") as harness:
             await trio.sleep(5)
-            for node in rig.nodes.values():
+            for node in harness.nodes.values():
                 kept = {o for o, _ in node.activated} - set(node.lost)
                 assert kept == node.service.owned()
                 assert len(node.service.owned()) == 4
                 assert node.service.roster() == {"a", "b", "c"}
-            owner = rig.nodes["a"].service.owner_of(OwnableId("worker/w0"))
-            assert [owner] == rig.actors(OwnableId("worker/w0"))
+            owner = harness.nodes["a"].service.owner_of(OwnableId("worker/w0"))
+            assert [owner] == harness.actors(OwnableId("worker/w0"))
 
     async def test_killed_owner_is_replaced(self, autojump_clock: MockClock) -> None:
-        async with rig_of("a", "b", "c") as rig:
-            rig.kill("a")
-            await rig.until(rig.all_served, within=12)
+        async with open_harness("a", "b", "c") as harness:
+            harness.kill("a")
+            await harness.until(harness.all_served, within=12)
 
     async def test_owner_killed_in_an_outage_is_replaced_after_it_and_the_rest_act_on(
         self, autojump_clock: MockClock
     ) -> None:
-        async with rig_of("a", "b", "c") as rig:
+        async with open_harness("a", "b", "c") as harness:
             await trio.sleep(5)
-            rig.platform.log.set_faults(LogFaults(outage=True))
+            harness.platform.log.set_faults(LogFaults(outage=True))
             await trio.sleep(120)
-            assert rig.all_served()
-            rig.kill("a")
-            survivors = {n: node.service.owned() for n, node in rig.nodes.items()}
+            assert harness.all_served()
+            harness.kill("a")
+            survivors = {n: node.service.owned() for n, node in harness.nodes.items()}
             await trio.sleep(60)
-            assert survivors == {n: node.service.owned() for n, node in rig.nodes.items()}
-            for name, node in rig.nodes.items():
-                assert all(rig.actors(ownable) == [name] for ownable in node.service.owned())
-            rig.platform.log.set_faults(LogFaults())
-            await rig.until(rig.all_served)
+            assert survivors == {n: node.service.owned() for n, node in harness.nodes.items()}
+            for name, node in harness.nodes.items():
+                assert all(harness.actors(ownable) == [name] for ownable in node.service.owned())
+            harness.platform.log.set_faults(LogFaults())
+            await harness.until(harness.all_served)
 
     async def test_all_replaced_at_once(self, autojump_clock: MockClock) -> None:
-        async with rig_of("a", "b", "c") as rig:
+        async with open_harness("a", "b", "c") as harness:
             for name in ("a", "b", "c"):
-                rig.kill(name)
+                harness.kill(name)
             for name in ("d", "e", "f"):
-                await rig.start(name)
-            await rig.until(rig.all_served)
+                await harness.start(name)
+            await harness.until(harness.all_served)
 
     async def test_drain_hands_over_and_leaves(self, autojump_clock: MockClock) -> None:
-        async with rig_of("a", "b", "c") as rig:
+        async with open_harness("a", "b", "c") as harness:
             await trio.sleep(5)
             with trio.fail_after(10):
-                await rig.nodes["b"].service.drain()
-            assert rig.nodes["b"].service.owned() == frozenset()
-            assert not rig.nodes["b"].service.is_member
-            del rig.nodes["b"]
-            await rig.until(rig.all_served, within=2)
-
-    async def test_host_cut_from_the_log_learns_from_peers(self, autojump_clock: MockClock) -> None:
-        async with rig_of("a", "b", "c") as rig:
+                await harness.nodes["b"].service.drain()
+            assert harness.nodes["b"].service.owned() == frozenset()
+            assert not harness.nodes["b"].service.is_member
+            del harness.nodes["b"]
+            await harness.until(harness.all_served, within=2)
+
+    async def test_host_isolated_from_the_log_learns_from_peers(
+        self, autojump_clock: MockClock
+    ) -> None:
+        async with open_harness("a", "b", "c") as harness:
             await trio.sleep(5)
-            rig.platform.cuts.replace([Cut(caller="a", services=frozenset({Service.LOG}))])
+            harness.platform.cuts.replace([Cut(caller="a", services=frozenset({Service.LOG}))])
             await trio.sleep(20)
-            rig.platform.add_host(worker("w9"))
-            await rig.until(lambda: len(rig.actors(OwnableId("worker/w9"))) == 1)
+            harness.platform.add_host(worker("w9"))
+            await harness.until(lambda: len(harness.actors(OwnableId("worker/w9"))) == 1)
             await trio.sleep(5)
-            owners = {n.service.owner_of(OwnableId("worker/w9")) for n in rig.nodes.values()}
-            assert owners == set(rig.actors(OwnableId("worker/w9")))
-            assert rig.all_served()
+            owners = {n.service.owner_of(OwnableId("worker/w9")) for n in harness.nodes.values()}
+            assert owners == set(harness.actors(OwnableId("worker/w9")))
+            assert harness.all_served()
 
     async def test_expelled_process_joins_again(self, autojump_clock: MockClock) -> None:
-        async with rig_of("a", "b", "c") as rig:
-            rig.platform.host_list.remove(HostId("a"))
-            rig.bus.cut.add(HostId("a"))
+        async with open_harness("a", "b", "c") as harness:
+            harness.platform.host_list.remove(HostId("a"))
+            harness.bus.cut.add(HostId("a"))
             await trio.sleep(30)
-            assert not rig.nodes["b"].service.roster() - {"b", "c"}
-            rig.platform.host_list.put(entry("a"))
-            rig.bus.cut.clear()
-            await rig.until(lambda: rig.nodes["b"].service.roster() == {"a", "b", "c"})
-            await rig.until(rig.all_served)
-            await rig.until(lambda: len(rig.nodes["a"].service.owned()) > 0)
+            assert not harness.nodes["b"].service.roster() - {"b", "c"}
+            harness.platform.host_list.put(entry_host("a"))
+            harness.bus.cut.clear()
+            await harness.until(lambda: harness.nodes["b"].service.roster() == {"a", "b", "c"})
+            await harness.until(harness.all_served)
+            await harness.until(lambda: len(harness.nodes["a"].service.owned()) > 0)
 
 
 class TestHostListPoller:
     async def test_failed_fetch_keeps_the_last_list(self, autojump_clock: MockClock) -> None:
         clock = TrioClock(wall_at_start=0.0)
-        platform = MemoryPlatform(clock=clock, seed=1, hosts=[entry("a"), entry("b")])
+        platform = MemoryPlatform(clock=clock, seed=1, hosts=[entry_host("a"), entry_host("b")])
         poller = HostListPoller(
             service=platform.services().host_list, clock=clock, rng=random.Random(1)
         )
@@ -295,8 +297,13 @@
         self, autojump_clock: MockClock
     ) -> None:
         clock = TrioClock(wall_at_start=0.0)
-        far = replace(entry("far"), data_centre=DataCentre("far"))
-        hosts = [entry("a"), worker("w"), far, replace(worker("v"), data_centre=far.data_centre)]
+        far = replace(entry_host("far"), data_centre=DataCentre("far"))
+        hosts = [
+            entry_host("a"),
+            worker("w"),
+            far,
+            replace(worker("v"), data_centre=far.data_centre),
+        ]
         platform = MemoryPlatform(clock=clock, seed=1, hosts=hosts)
         platform.host_list.set_faults(HostListFaults(lag_s=0.0))
         poller = HostListPoller(
@@ -305,26 +312,26 @@
             rng=random.Random(1),
             data_centre=DC,
         )
-        told: list[tuple[set[str], float]] = []
-        poller.subscribe(lambda listing, at: told.append((set(listing.by_id), at)))
+        listings: list[tuple[set[str], float]] = []
+        poller.subscribe(lambda listing, at: listings.append((set(listing.by_id), at)))
         await poller.poll_once()
-        assert told == [({"a", "w"}, 0.0), ({"a", "w", "far"}, 0.0)]
+        assert listings == [({"a", "w"}, 0.0), ({"a", "w", "far"}, 0.0)]
         await trio.sleep(2)
         await poller.poll_once()
-        assert told[2:] == [({"a", "w", "far"}, 2.0)], "an unchanged answer confirms the rows"
+        assert listings[2:] == [({"a", "w", "far"}, 2.0)], "an unchanged answer confirms the rows"
         assert poller.latest is not None
         assert poller.latest.as_of == 2.0
         platform.host_list.put(replace(far, host_id=HostId("new")))
         platform.host_list.remove(HostId("w"))
         await trio.sleep(ENTRY_HOSTS_EVERY_S)
         await poller.poll_once()
-        assert told[-1][0] == {"a", "far", "new"}
+        assert listings[-1][0] == {"a", "far", "new"}
         platform.host_list.set_faults(HostListFaults(outage=True))
         await trio.sleep(5)
         await poller.poll_once()
         assert poller.age_s() == pytest.approx(5, abs=0.1), "a failure confirms nothing"
 
-    async def test_leaving_host_is_told_within_a_poll(self, autojump_clock: MockClock) -> None:
+    async def test_leaving_host_is_reported_within_a_poll(self, autojump_clock: MockClock) -> None:
         clock = TrioClock(wall_at_start=0.0)
         platform = MemoryPlatform(clock=clock, seed=1, hosts=[worker("w")])
         platform.host_list.set_faults(HostListFaults(lag_s=0.0))
