--- a/src/galenastall/coordination/jobs/__init__.py
+++ b/src/galenastall/coordination/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""What a job shard's owner decides about tasks and gangs."""
+"""Scheduling decisions of a job shard's owner about tasks and gangs."""
--- a/src/galenastall/coordination/jobs/assignees.py
+++ b/src/galenastall/coordination/jobs/assignees.py
@@ -1,6 +1,6 @@
-"""Choose the worker-owning entry host for tasks, by gossiped capacity summaries.
+"""Choose the entry hosts that get tasks, as owners of workers, by gossiped capacity summaries.
 
-Summaries lag, so what was assigned since the last one counts against the free room that it showed.
+Summaries lag, so tasks assigned since the last one are deducted from the free capacity it showed.
 """
 
 from collections.abc import Container, Mapping
@@ -15,11 +15,11 @@
 DEFAULT_BACKLOG: Final = 256
 """Tasks of one shard that may wait at one assignee: enough for a worker owner to choose from."""
 URGENT_EXTRA: Final = 256
-"""Further tasks if they are urgent: these may preempt, which only the assignee can decide."""
+"""Extra backlog for urgent tasks: these may preempt, which only the assignee can decide."""
 OVERCOMMIT_CHUNK: Final = 16
-"""Tasks given at once to a host that has no room for them now."""
+"""Tasks assigned at once to a host that has no free capacity now."""
 AVOID_S: Final = 1.0
-"""How long an assignee that refused tasks is passed over, in seconds."""
+"""How long an assignee that refused tasks is skipped, in seconds."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -27,7 +27,7 @@
     summary: CapacitySummary
     pending: Resources = NOTHING
     queued: int = 0
-    """Tasks of this shard that are assigned there and were not reported started."""
+    """Tasks of this shard that are assigned there and not yet reported as started."""
     avoid_until: float = 0.0
 
     def count_placeable(self, need: Resources) -> int:
@@ -40,12 +40,12 @@
 
 
 def fits_some_worker(summary: CapacitySummary, need: Resources) -> bool:
-    """Return whether some worker there is large enough when empty."""
+    """Return whether some worker of the host is large enough when empty."""
     return _fits_one(summary.largest_worker, need)
 
 
 def count_fitting(capacity: Resources, need: Resources) -> int:
-    """Return how many tasks of this size the total room would hold; an upper bound."""
+    """Return how many tasks of this size the total capacity would hold; an upper bound."""
     bounds = [
         free // asked
         for free, asked in (
@@ -59,15 +59,15 @@
 
 
 class AssigneeTable:
-    """The living worker owners of a data centre as one job shard sees them."""
+    """The live worker owners of a data centre as one job shard sees them."""
 
     def __init__(self, *, backlog: int = DEFAULT_BACKLOG) -> None:
-        """Start with nobody; `backlog` bounds the tasks that wait at each assignee."""
+        """Start without hosts; `backlog` bounds the tasks that wait at each assignee."""
         self._backlog = backlog
         self._by_host: dict[HostId, _Assignee] = {}
 
     def update(self, summaries: Mapping[HostId, CapacitySummary]) -> None:
-        """Take the newest summaries; hosts that are missing get nothing more."""
+        """Replace the summaries; a host without one gets no more tasks."""
         kept = self._by_host
         self._by_host = {}
         for host, summary in sorted(summaries.items()):
@@ -81,7 +81,7 @@
             self._by_host[host] = known
 
     def forget(self, host: HostId) -> None:
-        """Drop what is counted against a host, since it is another process now."""
+        """Drop the counts of a host, since its process has been replaced."""
         self._by_host.pop(host, None)
 
     def hosts(self) -> tuple[HostId, ...]:
@@ -89,7 +89,7 @@
         return tuple(self._by_host)
 
     def avoid(self, host: HostId, now: float) -> None:
-        """Pass a host over for a moment, since it refused."""
+        """Skip a host for `AVOID_S` seconds, since it refused tasks."""
         if host in self._by_host:
             self._by_host[host].avoid_until = now + AVOID_S
 
@@ -103,11 +103,11 @@
         avoid: Container[HostId] = (),
         within_capacity: bool = False,
     ) -> tuple[HostId, int] | None:
-        """Return a host and how many of `want` like tasks to assign there; None if nowhere.
+        """Return a host and how many of `max_tasks` like tasks to assign there; None if nowhere.
 
-        The host with the most room left comes first. Beyond its free room a host is given a
-        bounded backlog, so that it has tasks of all teams to choose from. Hosts in `avoid` come
-        last. With `within_room` none is given more than it has room for.
+        The host with the most free capacity comes first. Beyond that capacity a host gets a
+        bounded backlog, so that it can choose between tasks of all teams. Hosts in `avoid`
+        come last. With `within_capacity` no host gets more than its free capacity.
         """
         limit = self._backlog + (URGENT_EXTRA if urgency is Urgency.URGENT else 0)
         best: tuple[bool, int, int, HostId] | None = None
@@ -138,7 +138,7 @@
         return {host: count for host, count in fitting.items() if count > 0}
 
     def assigned(self, host: HostId, need: Resources, count: int) -> None:
-        """Count tasks against a host's room and backlog."""
+        """Count tasks against a host's free capacity and backlog."""
         each = self._by_host.get(host)
         if each is None:
             return
@@ -146,18 +146,18 @@
         each.pending = each.pending + _multiply(need, count)
 
     def reserve(self, host: HostId, need: Resources, count: int) -> None:
-        """Count tasks against a host's room but not against its backlog, as for a gang's hold."""
+        """Count tasks against a host's free capacity but not its backlog, as for a gang's hold."""
         self.assigned(host, need, count)
         self.unqueued(host, count)
 
     def unqueued(self, host: HostId, count: int = 1) -> None:
-        """Count tasks as started, ended or given back."""
+        """Reduce a host's backlog by tasks that started, ended or were returned."""
         each = self._by_host.get(host)
         if each is not None:
             each.queued = max(each.queued - count, 0)
 
     def plan_gang(self, *, need: Resources, tasks: int, now: float) -> dict[HostId, int] | None:
-        """Return how many tasks of a gang to hold at which host, on as few hosts as will do."""
+        """Return how many tasks of a gang to hold at which host, using as few hosts as possible."""
         fitting = sorted(
             (
                 (each.count_placeable(need), host)
--- a/src/galenastall/coordination/jobs/attempt_rules.py
+++ b/src/galenastall/coordination/jobs/attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt that is over: end the task, try again, or stop the job."""
+"""Decide what follows the end of an attempt: end the task, retry it, or stop the job."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,21 +10,21 @@
 
 
 class NextAction(StrEnum):
-    """What to do with the task."""
+    """What to do with the task after an attempt."""
 
     OFFER = "offer"
-    """Give it out again at once: it provably never started."""
+    """Assign it again at once: it provably never started."""
     RETRY = "retry"
-    """Give it out again after a wait."""
+    """Assign it again after a delay."""
     CLOSE = "close"
-    """It ended for good."""
+    """It has finally ended."""
     STOP_JOB = "stop_job"
-    """It ended for good and its job gives out nothing more."""
+    """It has finally ended, and no further task of its job is assigned."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """A move, and the phase with which the task ends if it does."""
+    """An action, and the phase in which the task ends if it does."""
 
     action: NextAction
     phase: TaskPhase = TaskPhase.CANCELLED
@@ -35,8 +35,8 @@
 ) -> Verdict:
     """Return what to do after the last report on an attempt.
 
-    A task that may have run is tried again only if it is idempotent; otherwise it ends as what is
-    known of it: failed, or unknown.
+    A task that may have run is retried only if it is idempotent; otherwise it ends as failed,
+    or as unknown if its outcome is not known.
     """
     if run.is_stopped:
         return Verdict(action=NextAction.CLOSE, phase=phase_when_stopped(run, report.kind))
@@ -58,7 +58,7 @@
 
 
 def phase_when_stopped(run: JobRun, kind: ReportKind) -> TaskPhase:
-    """Return how a task of a stopped job ends after this last report."""
+    """Return the final phase of a task of a stopped job after this last report."""
     if kind is ReportKind.DONE and not run.is_service:
         return TaskPhase.DONE
     if kind is ReportKind.FAILED:
@@ -69,7 +69,7 @@
 
 
 def is_bad_job(run: JobRun, index: int, report: TaskReport, settings: ShardSettings) -> bool:
-    """Return whether the failures speak against the job rather than against a worker."""
+    """Return whether the failures point to the job rather than to a worker."""
     workers = {each.worker_id for each in run.failures}
     own = sum(1 for each in run.failures if each.index == index)
     return (
@@ -78,9 +78,10 @@
 
 
 def retry_delay_s(run: JobRun, index: int, settings: ShardSettings) -> float:
-    """Return the wait before the next try; it doubles with each failure and loss of the task.
+    """Return the delay before the next retry; it doubles with each failure and loss of the task.
 
-    A loss may be the worker's fault or the task's: one that takes its workers down takes few.
+    A loss may be the worker's fault or the task's: the growing delay limits how many workers a
+    task that crashes its workers takes down.
     """
     failures = sum(1 for each in run.failures if each.index == index)
     doublings = min(failures + run.losses_by_index.get(index, 0), 10)
--- a/src/galenastall/coordination/jobs/gang_coordinator.py
+++ b/src/galenastall/coordination/jobs/gang_coordinator.py
@@ -1,7 +1,7 @@
-"""The gangs of one job shard: plan, hold, start, undo, try again.
+"""Coordinate the gangs of one job shard: plan, hold, start, undo and retry them.
 
-A gang's tasks end together: one that is done stays open until all are, so that the whole gang can
-be tried again. What each task last said is kept with its assignee's entry.
+A gang's tasks end together: a task that is done stays open until all are, so that the whole gang
+can be retried. The latest report on each task is kept in its assignment entry.
 """
 
 from collections.abc import Iterable
@@ -22,12 +22,12 @@
 
 
 class GangCoordinator:
-    """Drives every gang of a shard; the shard closes tasks when a gang has ended."""
+    """Drives every gang of a shard; the shard closes the tasks when a gang has ended."""
 
     def __init__(
         self, *, settings: ShardSettings, assignees: AssigneeTable, intents: TaskIntents
     ) -> None:
-        """Start without gangs; `intents` takes the tasks that need a record first."""
+        """Start without gangs; `intents` collects the tasks that need a log record first."""
         self._intents = intents
         self._settings = settings
         self._assignees = assignees
@@ -37,7 +37,7 @@
         self._repeat_at: dict[JobId, float] = {}
 
     def add(self, run: JobRun) -> None:
-        """Take on a gang."""
+        """Add a gang."""
         spec = run.state.spec
         self._runs_by_id[spec.job_id] = run
         self._gangs_by_id[spec.job_id] = Gang(
@@ -45,7 +45,7 @@
         )
 
     def forget(self, job_id: JobId) -> None:
-        """Drop a gang."""
+        """Remove a gang."""
         self._gangs_by_id.pop(job_id, None)
         self._runs_by_id.pop(job_id, None)
         self._repeat_at.pop(job_id, None)
@@ -54,15 +54,15 @@
         return job_id in self._gangs_by_id
 
     def phase_of(self, job_id: JobId) -> GangPhase:
-        """Return where a gang stands."""
+        """Return the phase of a gang."""
         return self._gangs_by_id[job_id].phase
 
     def report_kinds_of(self, job_id: JobId) -> dict[int, ReportKind]:
-        """Return the last word on each task of the present attempt."""
+        """Return the latest kind of report on each task of the current attempt."""
         return self._gangs_by_id[job_id].kind_by_index
 
     def decide(self, now: float) -> None:
-        """Begin what can begin and repeat what got no answer."""
+        """Begin the attempts that can begin and repeat the steps that got no answer."""
         for job_id, gang in self._gangs_by_id.items():
             if gang.phase is GangPhase.WAITING:
                 self._try_to_begin(self._runs_by_id[job_id], gang, now)
@@ -71,7 +71,7 @@
                 self._push(job_id, gang.tick(now))
 
     def take_calls(self) -> tuple[tuple[GangCall, ...], list[StopBatch]]:
-        """Return the messages due: holds, starts and releases, and the tasks to stop."""
+        """Return and clear the messages due: holds, starts and releases, and the tasks to stop."""
         steps, self._steps = self._steps, []
         calls: list[GangCall] = []
         stops: list[StopBatch] = []
@@ -90,7 +90,7 @@
         return GangCall(job_id=job_id, step=step, tasks=tasks)
 
     def on_hold(self, job_id: JobId, host: HostId, key: str, *, is_held: bool, now: float) -> None:
-        """Take an owner's answer to a hold."""
+        """Process an owner's answer to a hold."""
         gang = self._gangs_by_id.get(job_id)
         if gang is None:
             return
@@ -110,7 +110,7 @@
     def on_start(
         self, job_id: JobId, host: HostId, key: str, *, is_started: bool, now: float
     ) -> None:
-        """Take an owner's word on its part."""
+        """Process an owner's answer to the start of its part."""
         gang = self._gangs_by_id.get(job_id)
         if gang is None or key != gang.key:
             return
@@ -123,18 +123,18 @@
                 assigned_by_index[index].kind = ReportKind.RETURNED
 
     def on_report(self, job_id: JobId, index: int, report: TaskReport, now: float) -> None:
-        """Take the word on one task."""
+        """Process a report on one task."""
         gang = self._gangs_by_id[job_id]
         self._push(job_id, gang.on_report(index, report.attempt, report.kind, now))
 
     def cancel(self, job_id: JobId, now: float) -> None:
-        """Release or stop all of a gang."""
+        """Release or stop all tasks of a gang."""
         gang = self._gangs_by_id.get(job_id)
         if gang is not None:
             self._push(job_id, gang.cancel(now))
 
     def resolve(self, run: JobRun, unconfirmed: Iterable[int], now: float) -> None:
-        """Go on after a census: what is nowhere is lost to its gang's attempt."""
+        """Continue after a census: tasks found nowhere are lost to their gang's attempt."""
         job_id = run.state.spec.job_id
         gang = self._gangs_by_id[job_id]
         if gang.phase is GangPhase.WAITING:
@@ -148,16 +148,16 @@
             self._push(job_id, gang.on_report(index, gang.attempt, ReportKind.LOST, now))
 
     def is_over(self, job_id: JobId) -> bool:
-        """Return whether the present attempt has ended for all tasks."""
+        """Return whether the current attempt has ended for all tasks."""
         return self._gangs_by_id[job_id].phase is GangPhase.ENDED
 
     def retry(self, run: JobRun, now: float) -> None:
-        """Let an ended gang wait for another try."""
+        """Let an ended gang wait for another attempt."""
         run.assigned_by_index.clear()
         self._gangs_by_id[run.state.spec.job_id].retry(now)
 
     def may_have_run(self, job_id: JobId) -> bool:
-        """Return whether some task of the present attempt may have run."""
+        """Return whether some task of the current attempt may have run."""
         return self._gangs_by_id[job_id].may_have_run
 
     def _try_to_begin(self, run: JobRun, gang: Gang, now: float) -> None:
--- a/src/galenastall/coordination/jobs/gangs.py
+++ b/src/galenastall/coordination/jobs/gangs.py
@@ -1,10 +1,10 @@
-"""Start all tasks of a gang together over several worker owners, or none.
+"""Start all tasks of a gang together on several worker owners, or none of them.
 
-Holds are asked for one owner at a time in host-id order, each all or none, and a gang never waits
-while it holds: a refused or unanswered hold releases all others at once and the gang tries again
-later. So two gangs can't wait for each other, and of those that compete the one that comes first at
-the last contested owner goes through. A hold also expires at its owner at `until`, so a dead shard
-owner leaves none behind.
+Holds are requested from one owner at a time in host-id order, each all or nothing, and a gang never
+waits while it holds capacity: a refused or unanswered hold releases all others at once and the gang
+retries later. So two gangs can't deadlock, and of competing gangs the first to reach the last
+contested owner proceeds. A hold also expires at its owner at `until`, so a failed shard owner
+leaves none behind.
 """
 
 from collections.abc import Mapping
@@ -18,29 +18,29 @@
 from galenastall.state.ids import HostId, JobId
 
 HOLD_S: Final = 5.0
-"""How long holds last, in seconds: a few round trips and a lost answer or two."""
+"""How long holds last, in seconds: a few round trips and one or two lost answers."""
 START_MARGIN_S: Final = 2.0
-"""Time that must be left of the holds when the starts are sent, in seconds."""
+"""Minimum time left of the holds when the starts are sent, in seconds."""
 BACKOFF_S: Final = 0.05
 MAX_BACKOFF_S: Final = 5.0
 NEVER_RAN: Final = frozenset({ReportKind.RETURNED, ReportKind.REFUSED})
 
 
 class GangPhase(StrEnum):
-    """Where a gang stands."""
+    """Phase of a gang."""
 
     WAITING = "waiting"
     HOLDING = "holding"
     STARTING = "starting"
-    """All holds stand; starts are sent, and repeated until each owner has answered."""
+    """All holds are granted; starts are sent, and repeated until each owner has answered."""
     STARTED = "started"
     UNDOING = "undoing"
-    """Some task could not start or broke off: the others are being stopped."""
+    """Some task could not start or ended early: the others are being stopped."""
     ENDED = "ended"
 
 
 class GangStepKind(StrEnum):
-    """What to ask an owner for."""
+    """Requests to an owner."""
 
     HOLD = "hold"
     START = "start"
@@ -55,19 +55,19 @@
     kind: GangStepKind
     host: HostId
     key: str
-    """Names the gang's attempt; makes repeated holds and starts recognisable."""
+    """Identifies the gang's attempt, so that owners recognise repeated holds and starts."""
     indices: tuple[int, ...] = ()
     until: float = 0.0
 
 
 class Gang:
-    """One gang's way from waiting to started, pure; times are wall seconds."""
+    """State machine of one gang from waiting to ended, pure; times are wall seconds."""
 
     def __init__(self, *, job_id: JobId, tasks: int, hold_s: float = HOLD_S) -> None:
         """Start waiting, with no plan."""
         self.phase = GangPhase.WAITING
         self.not_before = 0.0
-        """Time before which it doesn't try again."""
+        """Time before which it is not retried."""
         self.attempt = 0
         self.failed_tries = 0
         self.kind_by_index: dict[int, ReportKind] = {}
@@ -81,23 +81,23 @@
 
     @property
     def key(self) -> str:
-        """Return the name of the present attempt."""
+        """Return the identifier of the current attempt."""
         return f"{self._job_id}#{self.attempt}"
 
     @property
     def plan(self) -> Mapping[HostId, tuple[int, ...]]:
-        """Return which tasks are meant for which owner."""
+        """Return which tasks are planned for which owner."""
         return self._plan
 
     def host_of(self, index: int) -> HostId:
-        """Return the owner meant for a task; raises KeyError for an unplanned index."""
+        """Return the owner planned for a task; raises KeyError for an unplanned index."""
         for host, indices in self._plan.items():
             if index in indices:
                 return host
         raise KeyError(index)
 
     def begin(self, plan: Mapping[HostId, int], *, attempt: int, now: float) -> list[GangStep]:
-        """Take a plan that covers all tasks and return the first hold."""
+        """Begin an attempt by a plan that covers all tasks; return the first hold."""
         if sum(plan.values()) != self._tasks:
             raise ValueError(f"plan for {sum(plan.values())} of {self._tasks} tasks")
         self.phase = GangPhase.HOLDING
@@ -114,7 +114,7 @@
         return [self._hold(next(iter(self._plan)))]
 
     def on_hold(self, host: HostId, key: str, *, is_held: bool, now: float) -> list[GangStep]:
-        """Take an owner's answer to a hold; no answer counts as refused and is released too."""
+        """Process an owner's answer to a hold; no answer counts as refused and is released too."""
         if key != self.key or self.phase is not GangPhase.HOLDING or host not in self._plan:
             return []
         if not is_held or now > self._until - START_MARGIN_S:
@@ -127,7 +127,7 @@
         return [self._step(GangStepKind.START, each) for each in self._plan]
 
     def on_start(self, host: HostId, key: str, *, is_started: bool, now: float) -> list[GangStep]:
-        """Take an owner's word that it will, or never will, start its part."""
+        """Process an owner's answer that it will, or never will, start its part."""
         if key != self.key or self.phase not in (GangPhase.STARTING, GangPhase.UNDOING):
             return []
         if is_started:
@@ -142,7 +142,7 @@
         return self._undo(now)
 
     def on_report(self, index: int, attempt: int, kind: ReportKind, now: float) -> list[GangStep]:
-        """Take the word on one task of the present attempt."""
+        """Process a report on one task of the current attempt."""
         if attempt != self.attempt or self.phase in (GangPhase.WAITING, GangPhase.HOLDING):
             return []
         if self.kind_by_index.get(index) in ENDING_KINDS:
@@ -156,7 +156,7 @@
         return []
 
     def tick(self, now: float) -> list[GangStep]:
-        """Return what is due for repeating, or the releases of holds that took too long."""
+        """Return the steps to repeat, or the releases of holds that took too long."""
         if self.phase is GangPhase.HOLDING and now > self._until - START_MARGIN_S:
             return self._release_all(now)
         if self.phase is GangPhase.STARTING:
@@ -170,9 +170,10 @@
         return []
 
     def resume(self, kinds: Mapping[int, tuple[HostId, int, ReportKind]], now: float) -> None:
-        """Take over a gang from another shard owner, from what is known of its tasks.
+        """Resume a gang of a former shard owner from what is known of its tasks.
 
-        If all tasks are there under one attempt it goes on; else the rest is stopped.
+        If all tasks are present under one attempt it continues; otherwise the rest is
+        stopped.
         """
         if not kinds:
             return
@@ -199,7 +200,7 @@
         self._end_if_complete(now)
 
     def cancel(self, now: float) -> list[GangStep]:
-        """Give up: release what is held, stop what may run."""
+        """Abandon the gang: release what is held, stop what may run."""
         if self.phase is GangPhase.HOLDING:
             steps = self._release_all(now)
             self.phase = GangPhase.ENDED
@@ -210,14 +211,14 @@
         return self._undo(now)
 
     def retry(self, now: float) -> None:
-        """Wait for another try, after an ended attempt; the wait grows with each failure."""
+        """Wait for another attempt after one has ended; the delay grows with each failure."""
         self.phase = GangPhase.WAITING
         self.failed_tries += 1
         self.not_before = now + self._backoff()
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some task of the present attempt ran or may have run."""
+        """Whether some task of the current attempt ran or may have run."""
         return any(kind not in NEVER_RAN for kind in self.kind_by_index.values())
 
     def _note_started(self, index: int, kind: ReportKind, now: float) -> list[GangStep]:
--- a/src/galenastall/coordination/jobs/job_closing.py
+++ b/src/galenastall/coordination/jobs/job_closing.py
@@ -14,21 +14,21 @@
 
 
 class JobClosing:
-    """What follows from the ends of tasks for their jobs."""
+    """Applies the ends of tasks to their jobs."""
 
     def __init__(self, *, tables: ShardTables) -> None:
-        """Work on these tables."""
+        """Operate on the shard's shared tables."""
         self._tables = tables
 
     def finish_gang_attempt(self, run: JobRun, now: float) -> None:
-        """End or retry a gang's job once its run is over."""
+        """End or retry a gang's job once its attempt is over."""
         job_id, gangs = run.state.spec.job_id, self._tables.gangs
         if job_id not in gangs or run.unconfirmed or not gangs.is_over(job_id):
             return
         kinds = gangs.report_kinds_of(job_id)
         is_done = bool(kinds) and all(kind is ReportKind.DONE for kind in kinds.values())
         if not is_done and not run.is_stopped:
-            cause = run.history() or "its gang broke off"
+            cause = run.history() or "its gang ended early"
             is_bad = run.is_given_up or len(run.failures) >= self._tables.settings.max_failures
             if not is_bad and (run.state.spec.idempotent or not gangs.may_have_run(job_id)):
                 self._tables.notes.add("gang_retry", (job_id,), cause)
@@ -49,7 +49,7 @@
             self.close(run, index, phase_when_stopped(run, kind), source)
 
     def resolve(self, run: JobRun, unconfirmed: set[int], *, may_have_lost_ends: bool) -> None:
-        """Settle tasks that nobody has: give them out again, or close them."""
+        """Settle tasks that are neither queued nor running: assign them again, or close them."""
         for index in sorted(unconfirmed):
             if not run.is_open(index):
                 continue
@@ -64,12 +64,12 @@
     def close(
         self, run: JobRun, index: int, phase: TaskPhase, source: ReportSource | None = None
     ) -> None:
-        """Note the final end of a task, once."""
+        """Record the final end of a task, once."""
         if run.close(index, phase):
             self._tables.ends.add(run.state.spec.job_id, index, phase, source)
 
     def stop_run(self, run: JobRun, phase: TaskPhase, detail: str, now: float) -> None:
-        """Stop a job: nothing of it is given out any more, and what runs is stopped."""
+        """Stop a job: assign none of its tasks any more, and stop those that run."""
         run.is_stopped = True
         run.stop_phase = phase
         run.detail = run.detail or detail
@@ -82,7 +82,7 @@
                 self._tables.stop_task(assigned.host, task_id, assigned.attempt)
 
     def end_if_complete(self, run: JobRun) -> None:
-        """End a job of which nothing is left."""
+        """End a job that has no tasks left."""
         if run.is_ending or run.assigned_by_index or run.unconfirmed:
             return
         if run.is_stopped:
--- a/src/galenastall/coordination/jobs/job_ends.py
+++ b/src/galenastall/coordination/jobs/job_ends.py
@@ -1,4 +1,4 @@
-"""Collect final ends of a shard's tasks until they are in the log, one record a window."""
+"""Collect final ends of a shard's tasks until they are in the log, one record per window."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
 
 
 class JobEnds:
-    """Ends that are known here and not yet durable."""
+    """Ends that are known here but not yet durable."""
 
     def __init__(self, *, shard: int) -> None:
         """Start with none."""
@@ -38,18 +38,18 @@
         self._ended_jobs: list[JobEnded] = []
 
     def add(self, job_id: JobId, index: int, phase: TaskPhase, source: ReportSource | None) -> None:
-        """Note one task's end, and who told of it and waits for it to be durable."""
+        """Add one task's end, and the assignee that reported it and waits for it to be durable."""
         self._indices.setdefault((job_id, phase), []).append(index)
         if source is not None:
             self._pending.setdefault(job_id, {})[index] = source
 
     def add_ranges(self, job_id: JobId, phase: TaskPhase, ranges: tuple[IndexRange, ...]) -> None:
-        """Note the end of many tasks that no worker knows of."""
+        """Add the end of many tasks that no worker knows of."""
         if ranges:
             self._ranges.setdefault((job_id, phase), []).extend(ranges)
 
     def finish(self, run: JobRun) -> None:
-        """Note that a job has ended; its record follows those of its tasks."""
+        """Add a job's end; its record follows those of its tasks."""
         self._ended_runs[run.state.spec.job_id] = run
 
     def is_pending(self, job_id: JobId, index: int) -> bool:
@@ -60,7 +60,7 @@
         return bool(self._indices or self._ranges or self._ended_runs or self._ended_jobs)
 
     def take(self, at: float) -> tuple[TasksEnded | None, tuple[JobEnded, ...]]:
-        """Take all that is to be logged; give it back with `put_back` if the log refused it."""
+        """Take all that is to be logged; return it with `put_back` if the log refused it."""
         keys = sorted({*self._indices, *self._ranges})
         ends = tuple(
             EndedRanges(
@@ -80,7 +80,7 @@
         return (TasksEnded(shard=self._shard, ends=ends) if ends else None), jobs
 
     def logged(self, record: TasksEnded) -> list[ReportSource]:
-        """Take note that a record is durable; return the reports that were waiting for it."""
+        """Process a record that became durable; return the reports that were waiting for it."""
         settled: list[ReportSource] = []
         for end in record.ends:
             pending = self._pending.get(end.job_id)
@@ -94,7 +94,7 @@
         return settled
 
     def put_back(self, record: TasksEnded) -> None:
-        """Take back a record that is not in the log, or may not be; to be logged again."""
+        """Take back a record that is not in the log, or may not be; it is logged again."""
         for end in record.ends:
             self._ranges.setdefault((end.job_id, end.phase), []).extend(end.ranges)
 
@@ -108,7 +108,7 @@
 
 
 def verdict_of(run: JobRun) -> JobVerdict:
-    """Return how a job without open tasks ended."""
+    """Return the verdict on a job without open tasks."""
     codes = run.state.codes
     if run.state.cancelled:
         return JobVerdict.CANCELLED
--- a/src/galenastall/coordination/jobs/job_queue.py
+++ b/src/galenastall/coordination/jobs/job_queue.py
@@ -1,7 +1,7 @@
-"""Order of the jobs that have waiting tasks: urgent by deadline, then teams in turn.
+"""Order of the jobs that have waiting tasks: urgent jobs by deadline, then teams in rotation.
 
-Which task really goes first is decided by the worker owners, who know their ledgers and the teams'
-shares; this order sees to it that each of them has tasks of all teams to choose from.
+The worker owners, who know their ledgers and the teams' shares, decide which task runs first; this
+order ensures that each of them has tasks of all teams to choose from.
 """
 
 import itertools
@@ -23,7 +23,7 @@
 
 
 class JobQueue:
-    """Jobs with something to give out."""
+    """Jobs that have tasks to assign."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -32,12 +32,12 @@
         }
 
     def add(self, spec: JobSpec) -> None:
-        """File a job; filing it twice changes nothing."""
+        """Queue a job; queuing it twice changes nothing."""
         teams = self._jobs_by_team[spec.urgency]
         teams.setdefault(self._team(spec), SortedDict())[_key(spec)] = spec.job_id
 
     def discard(self, spec: JobSpec) -> None:
-        """Take a job out, if it is there."""
+        """Remove a job, if it is queued."""
         teams = self._jobs_by_team[spec.urgency]
         jobs = teams.get(self._team(spec))
         if jobs is None:
@@ -47,7 +47,7 @@
             del teams[self._team(spec)]
 
     def in_order(self) -> Iterator[JobId]:
-        """Yield jobs by urgency, one of each team in turn; each job once.
+        """Yield jobs by urgency, one of each team in rotation; each job once.
 
         The first team of a round is the last of the next call, so that none is always last.
         """
@@ -59,5 +59,5 @@
                 yield from (job_id for job_id in turn if job_id is not None)
 
     def _team(self, spec: JobSpec) -> TeamPath:
-        # Urgent jobs of all teams stand in one row, by deadline.
+        # Urgent jobs of all teams share one queue, ordered by deadline.
         return TeamPath("") if spec.urgency is Urgency.URGENT else spec.team
--- a/src/galenastall/coordination/jobs/job_run.py
+++ b/src/galenastall/coordination/jobs/job_run.py
@@ -1,7 +1,7 @@
-"""One job's progress as its shard owner keeps it: who has which task, and what is still to give.
+"""Progress of one job at its shard's owner: who has which task, and what is still to assign.
 
-Tasks that wait cost nothing: they are taken from a rising index, and only those that came back are
-listed. What is placed with an assignee has an entry each.
+Waiting tasks need no entry: they are taken from a rising index, and only returned tasks are listed.
+Each task placed with an assignee has an entry.
 """
 
 import bisect
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Assigned:
-    """One task with its assignee."""
+    """One task placed with an assignee."""
 
     host: HostId
     attempt: int
@@ -52,17 +52,17 @@
     base_attempt: int
     assigned_by_index: dict[int, Assigned] = field(default_factory=dict)
     unconfirmed: set[int] = field(default_factory=set)
-    """May be somewhere; nobody has said so yet. Not given out until a census is complete."""
+    """Tasks that may be queued or running but were not reported; not assigned before a census."""
     tries_by_index: dict[int, int] = field(default_factory=dict)
     failures: list[TaskFailure] = field(default_factory=list)
     losses_by_index: dict[int, int] = field(default_factory=dict)
-    """Attempts lost with their workers, one soon after the other; a task may take these down."""
+    """Attempts lost with their workers, in quick succession; the task may be crashing them."""
     delayed: set[int] = field(default_factory=set)
-    """Wait for their retry time."""
+    """Tasks that wait for their retry time."""
     awaiting_record: set[int] = field(default_factory=set)
-    """Must not run twice, and wait for the record that lets them be given out."""
+    """Tasks that must not run twice, and wait for the record that lets them be assigned."""
     is_stopped: bool = False
-    """Gives out nothing more: cancelled, or stopped for its failures."""
+    """Assigns no more tasks: cancelled, or stopped for its failures."""
     stop_phase: TaskPhase = TaskPhase.CANCELLED
     detail: str = ""
     waiting_reason: str = ""
@@ -70,9 +70,9 @@
     """Assignees that had tasks of the job for long without starting them."""
     is_ending: bool = False
     is_given_up: bool = False
-    """An owner said that no further try of the gang can succeed."""
+    """An owner reported that no further attempt of the gang can succeed."""
     need_mb: int = 0
-    """Most memory in MB that an overrunning task of the job was seen to need; tasks are alike."""
+    """Highest memory need in MB seen in an overrunning task of the job; its tasks are alike."""
     _returned: list[int] = field(default_factory=list)
     _next: int = 0
 
@@ -88,14 +88,14 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many tasks have not ended for good."""
+        """Return how many tasks have not finally ended."""
         if self.is_service:
             return self.state.spec.tasks
         return self.state.codes.count(OPEN)
 
     @property
     def waiting_count(self) -> int:
-        """Return how many tasks could be given out now."""
+        """Return how many tasks could be assigned now."""
         if self.is_stopped:
             return 0
         held_back = len(self.assigned_by_index) + len(self.unconfirmed)
@@ -103,18 +103,18 @@
 
     @property
     def need(self) -> Resources:
-        """Return what each task needs: declared, or what one that overran was seen to need."""
+        """Return what each task needs: as declared, or as seen in one that overran."""
         declared = self.state.spec.resources
         if self.need_mb <= declared.memory_mb:
             return declared
         return declared.at_least(Resources(memory_mb=self.need_mb))
 
     def is_open(self, index: int) -> bool:
-        """Return whether the task has not ended for good."""
+        """Return whether the task has not finally ended."""
         return self.is_service or self.state.codes[index] == OPEN
 
     def phase_of(self, index: int) -> TaskPhase:
-        """Return where a task stands, as far as it is known here."""
+        """Return the phase of a task, as far as it is known here."""
         ended = self.state.phase_of(index)
         if ended is not None:
             return ended
@@ -128,7 +128,7 @@
         return TaskPhase.RUNNING if assigned.kind is ReportKind.RUNNING else TaskPhase.UNKNOWN
 
     def take(self, count: int) -> list[int]:
-        """Take up to `count` waiting tasks; those given back go first."""
+        """Take up to `count` waiting tasks; returned tasks go first."""
         taken: list[int] = []
         while self._returned and len(taken) < count:
             index = heapq.heappop(self._returned)
@@ -141,12 +141,12 @@
         return taken
 
     def return_to_queue(self, index: int) -> None:
-        """Let a task wait again."""
+        """Return a task to the waiting ones."""
         if index < self._next:
             heapq.heappush(self._returned, index)
 
     def close(self, index: int, phase: TaskPhase) -> bool:
-        """Mark a task ended for good; return whether that is news."""
+        """Mark a task as finally ended; return whether that changes its phase."""
         code = CODES_BY_PHASE[phase]
         if self.is_service or self.state.codes[index] >= code:
             return False
@@ -154,7 +154,7 @@
         return True
 
     def close_waiting(self, phase: TaskPhase) -> tuple[IndexRange, ...]:
-        """Close all that wait, at once; return the ranges."""
+        """Close all waiting tasks at once; return their ranges."""
         held_back = self.assigned_by_index.keys() | self.unconfirmed
         self.delayed.clear()
         self.awaiting_record.clear()
@@ -169,17 +169,17 @@
         return ranges
 
     def add_failure(self, failure: TaskFailure) -> None:
-        """Remember a failed attempt; the oldest ones are forgotten."""
+        """Record a failed attempt; the oldest ones are dropped."""
         self.failures.append(failure)
         del self.failures[:-FAILURES_KEPT]
 
     def add_loss(self, index: int, *, is_soon: bool) -> None:
-        """Count an attempt that was lost with its worker; one after a long run is the first."""
+        """Count an attempt lost with its worker; one after a long run counts as the first."""
         before = self.losses_by_index.get(index, 0) if is_soon else 0
         self.losses_by_index[index] = before + 1
 
     def history(self) -> str:
-        """Return the failures in words."""
+        """Return the latest failures as text."""
         return "; ".join(
             f"task {each.index} failed on {each.worker_id}: {each.detail}"
             for each in self.failures[-10:]
--- a/src/galenastall/coordination/jobs/job_shard.py
+++ b/src/galenastall/coordination/jobs/job_shard.py
@@ -1,8 +1,8 @@
-"""Give out the tasks of one shard's jobs: the pure core of a job shard's owner.
+"""Assign the tasks of one shard's jobs: the pure core of a job shard's owner.
 
-Each waiting task goes to exactly one worker-owning entry host. Nothing that may be somewhere is
-given out again: it is in doubt until a census of all entry hosts and workers says otherwise.
-Times are wall seconds.
+Each waiting task goes to exactly one worker-owning entry host. A task that may be queued or running
+somewhere is not assigned again: it is unconfirmed until a census of all entry hosts and workers
+settles it. Times are wall seconds.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -34,7 +34,7 @@
 
 
 class JobShard:
-    """One shard under one epoch."""
+    """One shard under one epoch of its ownership."""
 
     def __init__(
         self,
@@ -46,8 +46,8 @@
     ) -> None:
         """Start without jobs.
 
-        `epoch` is that of the shard's ownership; `is_ended` says whether the log holds the end of
-        a job that is not live.
+        `epoch` is that of the shard's ownership; `is_ended` returns whether the log holds
+        the end of a job that is not live.
         """
         self.shard = shard
         self.epoch = epoch
@@ -69,16 +69,16 @@
 
     @property
     def doubts(self) -> int:
-        """Rises with each new doubt: a census that began before proves nothing about it."""
+        """Rises with each newly unconfirmed task: a census that began before doesn't cover it."""
         return self._tables.doubts
 
     @property
     def needs_census(self) -> bool:
-        """Whether some task is in doubt."""
+        """Whether some task is unconfirmed."""
         return bool(self._tables.unconfirmed_jobs)
 
     def add_job(self, state: JobState, *, is_fresh: bool, now: float) -> None:
-        """Take on a job; unless it is fresh, all its open tasks are in doubt."""
+        """Add a job; unless it is fresh, its open tasks that may have run are unconfirmed."""
         job_id = state.spec.job_id
         if job_id in self.runs_by_id or state.end is not None:
             return
@@ -97,7 +97,7 @@
         self._closing.end_if_complete(run)
 
     def on_tasks_ended(self, end: EndedRanges) -> None:
-        """Take in ends that the log holds, which an earlier owner of the shard may have written."""
+        """Apply ends that the log holds, which an earlier owner of the shard may have written."""
         run = self.runs_by_id.get(end.job_id)
         if run is None or run.is_service:
             return
@@ -114,7 +114,7 @@
         self._closing.end_if_complete(run)
 
     def cancel(self, job_id: JobId, now: float) -> CancelCounts | None:
-        """Stop a job; the cost doesn't grow with what waits. None if it isn't live here."""
+        """Stop a job; the cost doesn't grow with its waiting tasks. None if it isn't live here."""
         run = self.runs_by_id.get(job_id)
         if run is None:
             return None
@@ -135,10 +135,10 @@
     def resolve_unconfirmed(
         self, now: float, *, may_have_lost_ends: Callable[[JobState], bool] = lambda _job: False
     ) -> int:
-        """After a complete census: give out again what nobody has; return how many.
+        """Assign again what a complete census found nowhere; return how many tasks.
 
-        `may_have_lost_ends` says whether a worker is gone that may have run tasks of a job to their
-        end; then a task that must not run twice is closed as unknown instead.
+        `may_have_lost_ends` returns whether a worker is gone that may have run tasks of a
+        job to their end; then a task that must not run twice is closed as unknown instead.
         """
         count = 0
         unconfirmed_jobs, self._tables.unconfirmed_jobs = self._tables.unconfirmed_jobs, set()
@@ -149,7 +149,9 @@
             unconfirmed, run.unconfirmed = run.unconfirmed, set()
             count += len(unconfirmed)
             self._tables.notes.add(
-                "resolved", (job_id,), f"{len(unconfirmed)} tasks in doubt are nowhere"
+                "resolved",
+                (job_id,),
+                f"{len(unconfirmed)} unconfirmed tasks are neither queued nor running",
             )
             if job_id in self.gangs:
                 self.gangs.resolve(run, unconfirmed, now)
@@ -162,7 +164,7 @@
         return count
 
     def on_assignee_gone(self, host: HostId) -> int:
-        """Put all tasks of an entry host that left the roster in doubt; return how many."""
+        """Mark all tasks of an entry host that left the roster unconfirmed; return how many."""
         count = 0
         self.assignees.forget(host)
         for run in self.runs_by_id.values():
@@ -171,7 +173,7 @@
                 self._tables.mark_unconfirmed(run, index)
             if gone:
                 self._tables.notes.add(
-                    "in_doubt", (run.state.spec.job_id, host), "its assignee is gone"
+                    "in_doubt", (run.state.spec.job_id, host), "its assignee left the roster"
                 )
             count += len(gone)
         return count
@@ -202,14 +204,14 @@
         )
 
     def on_assign_answer(self, batch: AssignBatch, answer: AssignAnswer, now: float) -> None:
-        """Take in what became of an assignment; an unknown one is to be sent again."""
+        """Process the outcome of an assignment; an unknown one is to be sent again."""
         if answer is not AssignAnswer.REFUSED:
             return
         self.assignees.avoid(batch.host, now)
         self.on_tasks_refused(batch, {task.task_id for task in batch.tasks}, now)
 
     def on_tasks_refused(self, batch: AssignBatch, refused: Collection[TaskId], now: float) -> None:
-        """Take back the tasks of an assignment that the assignee did not take."""
+        """Return to the queue the tasks of an assignment that the assignee did not accept."""
         for task in batch.tasks:
             if task.task_id not in refused:
                 continue
@@ -221,19 +223,19 @@
     def on_reports(
         self, host: HostId, reports: Iterable[TaskReport], now: float
     ) -> tuple[TaskReport, ...]:
-        """Take in an assignee's reports; return those that it need not keep or repeat."""
+        """Process an assignee's reports; return those that it need not keep or repeat."""
         return tuple(report for report in reports if self._intake.take(host, report, now))
 
     def on_hold_answer(
         self, job_id: JobId, host: HostId, key: str, *, is_held: bool, now: float
     ) -> None:
-        """Take in an owner's answer to a gang's hold."""
+        """Process an owner's answer to a gang's hold."""
         self.gangs.on_hold(job_id, host, key, is_held=is_held, now=now)
 
     def on_gang_start_answer(
         self, job_id: JobId, host: HostId, key: str, *, is_started: bool, now: float
     ) -> None:
-        """Take in an owner's word on the start of its part of a gang."""
+        """Process an owner's answer to the start of its part of a gang."""
         self.gangs.on_start(job_id, host, key, is_started=is_started, now=now)
         run = self.runs_by_id.get(job_id)
         if run is not None:
@@ -249,7 +251,7 @@
             self._tables.dispatcher.discard(run)
 
     def on_given(self, record: TasksGiven, *, is_logged: bool) -> None:
-        """Take in that tasks may be given out, or that their record is not in the log."""
+        """Return tasks to the queue; they may be assigned if their record is in the log."""
         for given in record.given:
             run = self.runs_by_id.get(given.job_id)
             if run is None:
--- a/src/galenastall/coordination/jobs/recalls.py
+++ b/src/galenastall/coordination/jobs/recalls.py
@@ -1,8 +1,8 @@
-"""Take back tasks that wait at one worker owner while another could start them.
+"""Recall tasks that wait at one worker owner while another could start them.
 
 Summaries lag, and an owner may have reasons of its own not to start a task where it seems to have
-room, for example that its job failed on each of its workers. A recalled task is given to others
-first.
+capacity, for example that its job failed on each of its workers. A recalled task is assigned to
+other owners first.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 def find_recalls(
     runs: Iterable[JobRun], assignees: AssigneeTable, settings: ShardSettings, now: float
 ) -> list[StopBatch]:
-    """Return tasks to recall by host, at most as many of a job as others have room for."""
+    """Return tasks to recall by host, at most as many of a job as others have capacity for."""
     tasks_by_host: dict[HostId, list[TaskAttempt]] = {}
     before = now - settings.recall_after_s
     for run in runs:
--- a/src/galenastall/coordination/jobs/report_intake.py
+++ b/src/galenastall/coordination/jobs/report_intake.py
@@ -1,4 +1,4 @@
-"""What assignees report of one shard's tasks, and what it means for them."""
+"""Process what assignees report of one shard's tasks."""
 
 from collections.abc import Callable
 
@@ -22,18 +22,18 @@
 
 
 class ReportIntake:
-    """Takes reports in, one at a time."""
+    """Processes reports, one at a time."""
 
     def __init__(
         self, *, tables: ShardTables, closing: JobClosing, is_ended: Callable[[JobId], bool]
     ) -> None:
-        """Work on these tables; `is_ended` says whether the log holds the end of a job."""
+        """Operate on the shared tables; `is_ended` returns whether the log holds a job's end."""
         self._tables = tables
         self._closing = closing
         self._is_ended = is_ended
 
     def take(self, host: HostId, report: TaskReport, now: float) -> bool:
-        """Take in a report; return whether the assignee need not keep or repeat it."""
+        """Process a report; return whether the assignee need not keep or repeat it."""
         job_id, index = split_task_id(report.task_id)
         run = self._tables.runs_by_id.get(job_id)
         if run is None:
@@ -73,10 +73,11 @@
         return not is_ending or self.is_settled(run, index)
 
     def _stays_unconfirmed(self, run: JobRun, index: int, report: TaskReport) -> bool:
-        """Whether a task in doubt stays so after the end of an attempt, which is remembered.
+        """Return whether a task stays unconfirmed after the end of an attempt, which is recorded.
 
-        It would be given out again; but whoever had it may have let it wait as a later attempt, or
-        an earlier owner of the shard may have given it to another since. Only a census tells.
+        It would be assigned again; but its assignee may have queued it as a later attempt,
+        or an earlier owner of the shard may have assigned it to another since. Only a
+        census can tell.
         """
         if run.state.spec.job_id in self._tables.gangs:
             return False
@@ -184,7 +185,7 @@
 
 
 def _is_from_former_assignee(assigned: Assigned, host: HostId, report: TaskReport) -> bool:
-    """Return whether this host speaks of a task that another host has by now."""
+    """Return whether this host reports a task that another host has by now."""
     if assigned.host == host or report.attempt > assigned.attempt:
         return False
     return report.kind not in (ReportKind.RUNNING, ReportKind.DONE, ReportKind.FAILED)
--- a/src/galenastall/coordination/jobs/shard_commands.py
+++ b/src/galenastall/coordination/jobs/shard_commands.py
@@ -11,34 +11,34 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardSettings:
-    """What operators may set; all times in seconds."""
+    """Settings that operators may change; all times in seconds."""
 
     backlog: int = 256
     """Tasks of a shard that may wait at one assignee."""
     retry_s: float = 0.5
-    """Wait before the first retry of a task; doubles with each failure and each loss."""
+    """Delay before the first retry of a task; doubles with each failure and each loss."""
     max_retry_s: float = 60.0
     max_failures: int = 5
     """Failures of one task after which its job is stopped."""
     bad_job_workers: int = 3
-    """Different workers on which a job's tasks fail before the job is stopped."""
+    """Number of workers on which a job's tasks fail before the job is stopped."""
     recall_after_s: float = 2.0
-    """A task queued for so long is taken back if another worker owner could start it."""
+    """A task queued for longer than this is recalled if another worker owner could start it."""
     recall_every_s: float = 1.0
     hold_s: float = 5.0
     """How long a gang's holds last."""
     gang_repeat_s: float = 0.5
-    """How often an unanswered gang step is sent again."""
+    """Interval at which an unanswered gang step is sent again."""
 
 
 class AssignAnswer(StrEnum):
-    """What became of an assignment."""
+    """Outcome of an assignment."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
-    """The assignee said no, or nothing was sent: the tasks are not there."""
+    """The assignee refused, or nothing was sent: it does not have the tasks."""
     UNKNOWN = "unknown"
-    """No answer: they may be there; the same batch is sent again until there is an answer."""
+    """No answer: it may have them; the same batch is sent again until there is an answer."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -59,17 +59,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GangCall:
-    """A hold, start or release to ask an owner for."""
+    """A hold, start or release to request from an owner."""
 
     job_id: JobId
     step: GangStep
     tasks: tuple[TaskSpec, ...] = ()
-    """With a hold: what to hold capacity for."""
+    """With a hold: the tasks to hold capacity for."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardNote:
-    """Something for the time line."""
+    """An event for the time line."""
 
     step: str
     subjects: tuple[str, ...]
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardDecision:
-    """What to send now."""
+    """Messages to send now."""
 
     assigns: tuple[AssignBatch, ...] = ()
     stops: tuple[StopBatch, ...] = ()
@@ -90,10 +90,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CancelCounts:
-    """What a cancellation found, by tasks."""
+    """Counts of the tasks that a cancellation found."""
 
     never_started: int
-    """Not given to any worker owner: they never start."""
+    """Not assigned to any worker owner: they never start."""
     stopping: int
-    """With a worker owner: stopped, or told to be never started, by the job's end."""
+    """With a worker owner: by the job's end stopped, or prevented from starting."""
     already_done: int
--- a/src/galenastall/coordination/jobs/shard_tables.py
+++ b/src/galenastall/coordination/jobs/shard_tables.py
@@ -1,4 +1,4 @@
-"""What the parts of one job shard's core share."""
+"""State shared by the parts of one job shard's core."""
 
 from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.gang_coordinator import GangCoordinator
@@ -12,7 +12,7 @@
 
 
 class ShardTables:
-    """Jobs, who has their tasks, and what is to be sent and written."""
+    """Jobs, the assignment of their tasks, and what is to be sent and written."""
 
     def __init__(self, *, shard: int, settings: ShardSettings) -> None:
         """Create empty tables."""
@@ -36,10 +36,10 @@
         self.duplicates = 0
         """Tasks that were found at two workers; each is an alarm."""
         self.doubts = 0
-        """Rises with each new doubt: a census that began before proves nothing about it."""
+        """Rises with each newly unconfirmed task: a census that began before doesn't cover it."""
 
     def mark_unconfirmed(self, run: JobRun, index: int) -> None:
-        """Put a task in doubt: only a census tells whether it is somewhere."""
+        """Mark a task unconfirmed: only a census tells whether it is queued or running."""
         run.assigned_by_index.pop(index, None)
         if index in run.unconfirmed:
             return
@@ -48,5 +48,5 @@
         self.doubts += 1
 
     def stop_task(self, host: HostId, task_id: TaskId, attempt: int) -> None:
-        """Have an attempt stopped by the next decision."""
+        """Request that an attempt be stopped, with the next decision."""
         self.stops.setdefault(host, {})[task_id] = attempt
--- a/src/galenastall/coordination/jobs/task_dispatcher.py
+++ b/src/galenastall/coordination/jobs/task_dispatcher.py
@@ -1,4 +1,4 @@
-"""Give waiting tasks out to worker owners, in the jobs' order and by the owners' room."""
+"""Assign waiting tasks to worker owners, in the jobs' order and by the owners' free capacity."""
 
 import heapq
 from collections.abc import Mapping
@@ -14,13 +14,13 @@
 from galenastall.state.work import Urgency, Workload
 
 TASKS_PER_TURN: Final = 16
-"""Tasks of one job given out before the next job has its turn."""
+"""Tasks of one job assigned before the next job has its turn."""
 MAX_UNPLACED_JOBS: Final = 64
-"""Jobs that found no place before a decision gives up; the next begins with other teams."""
+"""Jobs that found no capacity before a decision stops; the next begins with other teams."""
 
 
 class TaskDispatcher:
-    """The waiting tasks of one shard's batches and services."""
+    """The waiting tasks of one shard's batch and service jobs."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         intents: TaskIntents,
         notes: ShardNotes,
     ) -> None:
-        """Read the shard's jobs; `intents` takes the tasks that need a record first."""
+        """Read the shard's jobs; `intents` collects the tasks that need a log record first."""
         self._runs_by_id = runs_by_id
         self._assignees = assignees
         self._intents = intents
@@ -39,7 +39,7 @@
         self._delayed: list[tuple[float, JobId, int]] = []
 
     def assign(self, now: float, limit: int) -> list[AssignBatch]:
-        """Give out up to `limit` waiting tasks."""
+        """Assign up to `limit` waiting tasks."""
         assigned_by_host: dict[HostId, list[tuple[JobRun, int]]] = {}
         unplaced, left, before = 0, limit, limit + 1
         while 0 < left < before and unplaced < MAX_UNPLACED_JOBS:
@@ -70,7 +70,7 @@
             max_tasks=max_tasks,
             now=now,
             avoid=run.avoided_hosts,
-            # What is given out and then lost with its assignee may end as unknown.
+            # A task that is assigned and then lost with its assignee may end as unknown.
             within_capacity=run.is_at_most_once and spec.urgency is not Urgency.URGENT,
         )
         if choice is None:
@@ -92,7 +92,7 @@
         return len(indices)
 
     def _select_recorded(self, run: JobRun, indices: list[int]) -> list[int]:
-        """Return the tasks that may be given out now; the others wait for their record."""
+        """Return the tasks that may be assigned now; the others wait for their record."""
         if not run.is_at_most_once:
             return indices
         missing = [index for index in indices if not run.state.may_have_run(index)]
@@ -105,33 +105,37 @@
 
     def _note_waiting(self, run: JobRun) -> None:
         fits = self._assignees.can_ever_run(run.need)
-        reason = "all worker owners have enough" if fits else "no worker is large enough now"
+        reason = (
+            "no worker owner has capacity or queue space"
+            if fits
+            else "no worker is large enough now"
+        )
         if reason != run.waiting_reason:
             run.waiting_reason = reason
             self._notes.add("waits", (run.state.spec.job_id,), reason)
 
     def requeue_task(self, run: JobRun, index: int) -> None:
-        """Let a task wait again."""
+        """Return a task to the queue."""
         run.return_to_queue(index)
         self.requeue(run)
 
     def requeue(self, run: JobRun) -> None:
-        """Queue a job if it has tasks to give out; gangs are started otherwise."""
+        """Queue a job if it has tasks to assign; gangs are started separately."""
         is_gang = run.state.spec.workload is Workload.GANG
         if not is_gang and run.waiting_count > 0:
             self._queue.add(run.state.spec)
 
     def delay(self, run: JobRun, index: int, until: float) -> None:
-        """Let a task wait for its next try."""
+        """Delay a task until its next attempt."""
         run.delayed.add(index)
         heapq.heappush(self._delayed, (until, run.state.spec.job_id, index))
 
     def discard(self, run: JobRun) -> None:
-        """Give out nothing more of a job."""
+        """Remove a job from the queue."""
         self._queue.discard(run.state.spec)
 
     def requeue_due(self, now: float) -> None:
-        """Let tasks wait again whose time has come."""
+        """Return delayed tasks to the queue once their retry time has come."""
         while self._delayed and self._delayed[0][0] <= now:
             _, job_id, index = heapq.heappop(self._delayed)
             run = self._runs_by_id.get(job_id)
--- a/src/galenastall/coordination/jobs/task_intents.py
+++ b/src/galenastall/coordination/jobs/task_intents.py
@@ -1,11 +1,11 @@
-"""Collect the tasks whose record must be in the log before they are given out."""
+"""Collect the tasks whose record must be in the log before they are assigned."""
 
 from galenastall.state.ids import JobId
 from galenastall.state.job_records import GivenRanges, TasksGiven, ranges_of
 
 
 class TaskIntents:
-    """First givings of tasks that must not run twice, one record a window."""
+    """First assignments of tasks that must not run twice, one record per window."""
 
     def __init__(self, *, shard: int) -> None:
         """Start with none."""
@@ -13,14 +13,14 @@
         self._indices_by_job: dict[JobId, list[int]] = {}
 
     def add(self, job_id: JobId, indices: list[int]) -> None:
-        """Let tasks wait for the next record."""
+        """Add tasks to the next record."""
         self._indices_by_job.setdefault(job_id, []).extend(indices)
 
     def __bool__(self) -> bool:
         return bool(self._indices_by_job)
 
     def take(self) -> TasksGiven | None:
-        """Take all that wait, as one record."""
+        """Take all collected tasks, as one record."""
         indices_by_job, self._indices_by_job = self._indices_by_job, {}
         if not indices_by_job:
             return None
--- a/src/galenastall/coordination/log/__init__.py
+++ b/src/galenastall/coordination/log/__init__.py
@@ -1,1 +1,1 @@
-"""When to append."""
+"""Pacing of appends to the log."""
--- a/src/galenastall/coordination/log/append_window.py
+++ b/src/galenastall/coordination/log/append_window.py
@@ -1,4 +1,4 @@
-"""When an entry host may append next, so that the whole fleet stays under one append budget.
+"""Space an entry host's appends, so that the whole fleet stays within one append budget.
 
 Every entry host spaces its appends by live entry hosts / budget. No shares are negotiated: the
 hosts need only about the same count, and a host that counts too few overspends in proportion.
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WindowLimits:
-    """What bounds the window; from the shared tree."""
+    """Bounds of the append window; from the shared settings."""
 
     budget_per_s: float = DEFAULT_BUDGET_PER_S
-    """Appends a second of the whole fleet over all streams."""
+    """Appends per second of the whole fleet over all streams."""
     gather_s: float = DEFAULT_GATHER_S
-    """Shortest wait for company, in seconds; the whole wait while the log is idle."""
+    """Shortest wait to batch records, in seconds; the whole wait while the log is idle."""
     max_window_s: float = DEFAULT_MAX_WINDOW_S
-    """Spacing in seconds beyond which the budget is too small; it is kept all the same."""
+    """Spacing in seconds above which the budget is too small; the spacing applies all the same."""
 
 
 class AppendWindow:
@@ -31,14 +31,15 @@
         self._last_at: float | None = None
 
     def spacing_s(self, *, limits: WindowLimits, live_hosts: int) -> float:
-        """Return the least time between two appends of this host, in seconds."""
+        """Return the minimum time between two appends of this host, in seconds."""
         return max(limits.gather_s, max(1, live_hosts) / limits.budget_per_s)
 
     def reserve(self, *, now: float, limits: WindowLimits, live_hosts: int) -> float:
         """Return when the next append may be sent, and count it as sent then.
 
-        After idle time that is a short gathering wait; under load it is one spacing after the last
-        append. Over any T seconds a host thus sends at most T / spacing + 1 appends.
+        After idle time that is a short wait to batch records; under load it is one spacing
+        after the last append. Over any T seconds a host thus sends at most T / spacing + 1
+        appends.
         """
         earliest = now + limits.gather_s
         if self._last_at is not None:
--- a/src/galenastall/coordination/ownership/__init__.py
+++ b/src/galenastall/coordination/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""At most one entry host acts on a worker, upstream or shard."""
+"""Ownership: at most one entry host acts on a worker, upstream or shard."""
--- a/src/galenastall/coordination/ownership/membership.py
+++ b/src/galenastall/coordination/ownership/membership.py
@@ -1,4 +1,4 @@
-"""Which members of a data centre's roster are alive, by their beats and by the platform's list."""
+"""Liveness of a data centre's roster members, by their heartbeats and the platform's host list."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerView:
-    """What a member's latest beat said."""
+    """Contents of a member's latest heartbeat."""
 
     sequence: int
     next_offset: Offset
@@ -21,10 +21,10 @@
 
 
 class Membership:
-    """Silence by timeout, since beats come at a steady pace; absence by the list's lag bound."""
+    """Unresponsiveness by time-out, as heartbeats are regular; absence by the list's lag bound."""
 
     def __init__(self, *, me: Member, timings: OwnershipTimings) -> None:
-        """Know nobody."""
+        """Start without members."""
         self._me = me
         self.timings = timings
         """Replaced when operators change them."""
@@ -34,7 +34,7 @@
         self._gone: frozenset[HostId] = frozenset()
 
     def track(self, members: Members, now: float) -> None:
-        """Watch exactly these members; a new one gets the benefit of the doubt."""
+        """Track exactly these members; a new one counts as responsive until it times out."""
         known = {member.incarnation for member in members}
         for incarnation in known - self._last_seen_at.keys():
             self._last_seen_at[incarnation] = now
@@ -43,12 +43,12 @@
             self._view_by_incarnation.pop(incarnation, None)
 
     def reset_timeouts(self, now: float) -> None:
-        """Forgive all silence up to now: this process itself was paused."""
+        """Count every member as seen now, since this process itself was paused."""
         for incarnation in self._last_seen_at:
             self._last_seen_at[incarnation] = now
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take in a beat; return whether it is new."""
+        """Process a heartbeat; return whether it is new."""
         known = self._view_by_incarnation.get(heartbeat.sender)
         if known is not None and heartbeat.sequence <= known.sequence:
             return False
@@ -68,7 +68,7 @@
         return True
 
     def on_listing(self, listed: frozenset[HostId], watched: Iterable[HostId], now: float) -> None:
-        """Note which of the `watched` hosts a list fetched at `now` shows live or leaving."""
+        """Note which of the `watched` hosts a list fetched at `now` shows as live or leaving."""
         since = self._absent_since_by_host
         self._absent_since_by_host = {
             host: since.get(host, now) for host in watched if host not in listed
@@ -80,7 +80,7 @@
         )
 
     def view(self, incarnation: Incarnation) -> PeerView | None:
-        """Return what the member's latest beat said."""
+        """Return the contents of the member's latest heartbeat."""
         return self._view_by_incarnation.get(incarnation)
 
     def is_gone(self, host: HostId) -> bool:
@@ -88,18 +88,18 @@
         return host in self._gone
 
     def is_unresponsive(self, incarnation: Incarnation, now: float) -> bool:
-        """Return whether the member is unknown or was not heard for too long."""
+        """Return whether the member is unknown or was last seen too long ago."""
         if incarnation == self._me.incarnation:
             return False
         last_seen_at = self._last_seen_at.get(incarnation)
         return last_seen_at is None or now - last_seen_at > self.timings.suspect_s
 
     def silent(self, now: float) -> tuple[Incarnation, ...]:
-        """Return the tracked members that are silent, sorted."""
+        """Return the tracked members that are unresponsive, sorted."""
         return tuple(sorted(i for i in self._last_seen_at if self.is_unresponsive(i, now)))
 
     def reports_unresponsive(self, voter: Incarnation, subject: Incarnation, now: float) -> bool:
-        """Return whether a member that is heard says that it does not hear another."""
+        """Return whether a responsive member reports another one as unresponsive."""
         if voter == self._me.incarnation:
             return self.is_unresponsive(subject, now)
         view = self._view_by_incarnation.get(voter)
@@ -118,7 +118,7 @@
         return not self.is_unresponsive(member.incarnation, now)
 
     def eligible(self, live: Members) -> Members:
-        """Return those that may be given more: one that can't read the log serves no shard."""
+        """Return those that may be assigned more: one that can't read the log serves no shard."""
         return tuple(member for member in live if member == self._me or not self._lacks_log(member))
 
     def _lacks_log(self, member: Member) -> bool:
--- a/src/galenastall/coordination/ownership/ownership.py
+++ b/src/galenastall/coordination/ownership/ownership.py
@@ -1,4 +1,4 @@
-"""The ownership mechanism of one entry host as a state machine: events and a time in, commands out.
+"""Ownership mechanism of one entry host as a state machine: events and time in, commands out.
 
 One mechanism for workers, upstreams, key shards and job shards. See docs/design/ownership.md for
 why no two members may act on one ownable at a time.
@@ -43,11 +43,11 @@
 from galenastall.state.records import LoggedRecord
 
 SERIAL_RECORDS: Final = (HandOver, Reroster)
-"""Records with a generation: one at a time, so that the log has them in order."""
+"""Records with a generation: written one at a time, so that the log has them in order."""
 
 
 class AppendOutcome(StrEnum):
-    """What became of an append."""
+    """Outcome of an append."""
 
     APPENDED = "appended"
     NOT_APPENDED = "not_appended"
@@ -55,12 +55,12 @@
 
 
 class OwnershipCore:
-    """Decides what this member owns; ask `may_act` right before any command leaves."""
+    """Decides what this member owns; call `may_act` right before any command is sent."""
 
     def __init__(
         self, *, me: Member, timings: OwnershipTimings, fold: OwnershipFold | None = None
     ) -> None:
-        """Own nothing; know of the log what `fold`, if given, has read."""
+        """Own nothing; start from the log state in `fold`, if given."""
         self.me = me
         self.timings = timings
         self.fold = fold or OwnershipFold()
@@ -82,11 +82,11 @@
         self.takeovers_by_epoch: dict[Epoch, Takeover] = {}
         self.ownables: frozenset[OwnableId] | None = None
         self.live: Members = ()
-        """Members that are heard and not leaving, this one included."""
+        """Members that are responsive and not leaving, this one included."""
         self.eligible: Members = ()
-        """Those of them that may be given more."""
+        """The live members that may be assigned more."""
         self.live_since = inf
-        """Since when both have been the same."""
+        """Time since which `live` and `eligible` have been the same."""
         self.is_leaving = False
         self.has_joined = False
         self.is_removed = False
@@ -114,10 +114,10 @@
         return None
 
     def apply_timings(self, timings: OwnershipTimings) -> None:
-        """Act by other timings from now on.
+        """Use other timings from now on.
 
-        Takeovers go on waiting by the spans that this core was made with: no member acts on longer
-        ones, so members may take over a change one after the other.
+        Takeovers keep waiting for the spans that this core was created with: no member acts
+        on longer ones, so members may adopt a change one after the other.
         """
         self.confirmations.timings = timings
         self.membership.timings = timings
@@ -127,12 +127,12 @@
         )
 
     def drain_commands(self) -> list[OwnershipCommand]:
-        """Return and forget the commands to carry out, in order."""
+        """Return and clear the commands to carry out, in order."""
         commands, self._commands = self._commands, []
         return commands
 
     def on_record(self, logged: LoggedRecord, now: float) -> None:
-        """Take in the next record of the stream."""
+        """Process the next record of the stream."""
         if logged.offset < self.fold.next_offset:
             return
         self.fold.apply(logged)
@@ -140,9 +140,10 @@
             self._after_record(logged, now)
 
     def on_log_end(self, *, read_at: float | None, next_offset: Offset, now: float) -> None:
-        """Note that all below `next_offset` was fed, which a read sent at `read_at` showed as tip.
+        """Note that all records below `next_offset` were fed.
 
-        `read_at` None: the tip was not reached yet.
+        A read sent at `read_at` showed that this was the log's end; None if the end was not
+        reached yet.
         """
         if next_offset > self.fold.next_offset:
             self.fold.read_to(next_offset)
@@ -153,7 +154,7 @@
     def on_tail(
         self, *, start: Offset, end: Offset, records: Sequence[LoggedRecord], now: float
     ) -> None:
-        """Take in a peer's tail: all ownership records in [start, end)."""
+        """Process a peer's tail: all ownership records in [start, end)."""
         self._fetching_tail_until = -inf
         if start > self.fold.next_offset or not self.fold.is_complete:
             return
@@ -164,11 +165,11 @@
         self.fold.skip_to(end)
 
     def on_message(self, sender: HostId, message: Heartbeat | Fence | FenceAck, now: float) -> None:
-        """Take in a message from another member."""
+        """Process a message from another member."""
         self._handlers[type(message)](sender, message, now)
 
     def on_listing(self, listed: frozenset[HostId], now: float) -> None:
-        """Take in which hosts the platform's list shows live or leaving, as fetched at `now`."""
+        """Process which hosts the platform's list shows as live or leaving, as fetched at `now`."""
         watched = {member.host for member in self.fold.members()}
         for state in self.fold.state_by_ownable.values():
             if state.tenure is not None:
@@ -176,13 +177,13 @@
         self.membership.on_listing(listed, watched, now)
 
     def on_ownables(self, ownables: frozenset[OwnableId]) -> None:
-        """Replace the set of what should have an owner."""
+        """Replace the set of ownables that should have an owner."""
         self.ownables = ownables
 
     def on_append_outcome(self, record_id: RecordId, outcome: AppendOutcome, now: float) -> None:
-        """Learn what became of an AppendRecord.
+        """Process the outcome of an AppendRecord.
 
-        What was appended stays in flight until it is read.
+        A record that was appended stays in flight until it is read.
         """
         if outcome is AppendOutcome.APPENDED:
             return
@@ -200,7 +201,7 @@
             self._refresh(self.holdings.resume_undone(record.generation))
 
     def on_tick(self, now: float) -> None:
-        """Do what is due; call several times per `beat_s`."""
+        """Perform the steps that are due; call several times per `heartbeat_s`."""
         if now - self._last_tick > self.timings.suspect_s / 2:
             self.membership.reset_timeouts(now)
         self._last_tick = now
@@ -223,7 +224,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is under way that a tick would carry on."""
+        """Whether nothing is in progress that a tick would continue."""
         under_way = self.takeovers_by_epoch or self._in_flight or self.is_leaving
         return not under_way and self.fold.has_member(self.me)
 
@@ -233,7 +234,7 @@
         self.takeovers_by_epoch.clear()
 
     def append(self, record: Any, now: float) -> bool:
-        """Append unless one of its kind is under way or failed a moment ago."""
+        """Append unless a record of its kind is in flight or failed a moment ago."""
         kinds = SERIAL_RECORDS if isinstance(record, SERIAL_RECORDS) else (type(record),)
         if any(isinstance(other, kinds) for other in self._in_flight.values()):
             return False
@@ -246,12 +247,12 @@
         return True
 
     def suspend(self, ownables: Sequence[OwnableId]) -> None:
-        """Stop acting on these."""
+        """Stop acting on these ownables."""
         self.holdings.suspend(ownables)
         self._refresh(ownables)
 
     def wanted_members(self) -> Members:
-        """Return the roster that new tenures should name: all but those known to be dead."""
+        """Return the roster that new tenures should name: all members not known to be dead."""
         return tuple(
             member
             for member in self.fold.members()
@@ -289,7 +290,7 @@
         self.has_joined = self.has_joined or entry is not None
 
     def _drop_in_flight(self) -> None:
-        """Stop waiting for records that a snapshot may have stood in for."""
+        """Stop waiting for records that a snapshot may have replaced."""
         if any(isinstance(record, SERIAL_RECORDS) for record in self._in_flight.values()):
             self._maintenance.must_confirm = True
         self._in_flight.clear()
--- a/src/galenastall/coordination/ownership/ownership_candidates.py
+++ b/src/galenastall/coordination/ownership/ownership_candidates.py
@@ -1,4 +1,4 @@
-"""Who should own what: rendezvous hashing with a cap on each member's share."""
+"""Preferred owners of ownables: rendezvous hashing with a cap on each member's share."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -10,7 +10,7 @@
 from galenastall.state.ids import HostId, OwnableId
 
 LOAD_CAP: Final = 1.1
-"""How far a member's share of a kind may exceed the mean."""
+"""Factor by which a member's share of a kind may exceed the mean."""
 
 
 def score(host: HostId, key: str) -> int:
@@ -24,9 +24,9 @@
 
 
 def spread(ownables: Iterable[OwnableId], hosts: Sequence[HostId]) -> dict[OwnableId, HostId]:
-    """Return the wanted owner of each ownable: its best candidate that still has room.
+    """Return the wanted owner of each ownable: its best candidate that is below the cap.
 
-    The cap holds for each kind by itself, since the kinds differ in what they cost an owner.
+    The cap holds for each kind on its own, since the kinds differ in what they cost an owner.
     """
     if not hosts:
         return {}
--- a/src/galenastall/coordination/ownership/ownership_claims.py
+++ b/src/galenastall/coordination/ownership/ownership_claims.py
@@ -1,4 +1,4 @@
-"""Which ownables this member should claim now: free ones, and those of owners that are dead."""
+"""Plan which ownables this member should claim: free ones, and those of dead owners."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 
 class ClaimPlanner:
-    """Chooses claims; being wrong here costs time, never safety."""
+    """Chooses claims; a wrong choice costs time, never safety."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         fold: OwnershipFold,
         membership: Membership,
     ) -> None:
-        """Share the core's fold and membership."""
+        """Use the core's fold and membership."""
         self._me = me
         self._timings = timings
         self._fold = fold
@@ -42,9 +42,10 @@
         now: float,
         is_settled: bool,
     ) -> Claim | None:
-        """Return the next claim to append, covering all that can be fenced alike.
+        """Return the next claim to append, covering all ownables that can be fenced together.
 
-        `live` take turns with what is free or of a dead owner; `able` may be given more.
+        `live` members take turns at what is free or of a dead owner; `eligible` ones may be
+        assigned more.
         """
         wanted = self.wanted(ownables, eligible) if is_settled else {}
         group = self._group_of_dead_owners(live, now) or tuple(
@@ -63,7 +64,7 @@
         return self._wanted
 
     def can_fence(self, members: Members, now: float) -> bool:
-        """Return whether enough of a roster is dead or within reach that no majority is left."""
+        """Return whether enough of a roster is dead or reachable that the rest is no majority."""
         reachable = sum(
             self.is_dead(m) or not self._membership.is_unresponsive(m.incarnation, now)
             for m in members
@@ -71,7 +72,7 @@
         return leaves_no_majority(reachable, members)
 
     def is_dead(self, member: Member) -> bool:
-        """Return whether the log or the list says that this incarnation never acts again."""
+        """Return whether the log or the host list shows that this incarnation never acts again."""
         return not self._fold.has_member(member) or self._membership.is_gone(member.host)
 
     def _free(
@@ -139,9 +140,10 @@
         return self._membership.is_unresponsive(claimant.incarnation, now)
 
     def _is_dead_by_votes(self, owner: Member, members: Members, now: float) -> bool:
-        """Return whether a majority finds an owner silent, of its own roster or of that of now.
+        """Return whether a majority finds an owner unresponsive.
 
-        The owner may have been paused before it named members that have joined since.
+        The majority is one of the owner's own roster or of the current one: the owner may
+        have been paused before it named members that have joined since.
         """
         if not self._membership.is_unresponsive(owner.incarnation, now):
             return False
--- a/src/galenastall/coordination/ownership/ownership_confirmations.py
+++ b/src/galenastall/coordination/ownership/ownership_confirmations.py
@@ -1,4 +1,8 @@
-"""The two legs on which an owner may act: a recent read of the log's tip, or recent vouches."""
+"""The two conditions on which an owner may act; one of them is enough.
+
+The log confirmation is a recent read of the log's end; the peer confirmation is recent echoes of
+this member's heartbeats by a majority of the roster.
+"""
 
 from collections.abc import Iterable
 from math import inf
@@ -10,10 +14,10 @@
 
 
 class Confirmations:
-    """Both legs as the times until which they stand; all of this member's own clock."""
+    """The times until which both confirmations hold, by this member's own clock."""
 
     def __init__(self, *, me: Incarnation, timings: OwnershipTimings) -> None:
-        """Start with neither leg."""
+        """Start with neither confirmation."""
         self._me = me
         self.timings = timings
         """Replaced when operators change them."""
@@ -26,7 +30,7 @@
         self._unconfirmed_by_generation: dict[int, Roster] = {}
 
     def next_sequence(self, now: float) -> int:
-        """Return the number of a round of beats that is sent now."""
+        """Return the number of a round of heartbeats that is sent now."""
         self._sequence += 1
         self._sent_at_by_sequence[self._sequence] = now
         oldest = next(iter(self._sent_at_by_sequence))
@@ -40,51 +44,51 @@
         return self._sent_at_by_sequence.get(sequence)
 
     def on_echo(self, peer: Incarnation, sent_at: float) -> None:
-        """Count a vouch from the time at which the beat that it echoes was sent."""
+        """Count a peer's confirmation from the time at which the echoed heartbeat was sent."""
         self._confirmed_at[peer] = max(sent_at, self._confirmed_at.get(peer, -inf))
         self._until_by_roster.clear()
 
     def on_log_end(self, read_at: float) -> None:
-        """Count a read of the log's tip from the time at which it was sent, by whoever sent it."""
+        """Count a read of the log's end, by any member, from the time at which it was sent."""
         self.log_end_read_at = max(self.log_end_read_at, read_at)
 
     def on_own_log_end(self, read_at: float) -> None:
-        """Count a read of the log's tip that this member sent."""
+        """Count a read of the log's end that this member sent."""
         self._own_read_at = max(self._own_read_at, read_at)
         self.on_log_end(read_at)
 
     def lacks_log(self, now: float) -> bool:
-        """Return whether the log leg would not stand by this member's own reads."""
+        """Return whether the log confirmation would not hold by this member's own reads."""
         return now >= self._own_read_at + self.timings.read_s
 
     def keep_only(self, members: Iterable[Incarnation]) -> None:
-        """Forget vouches of all others."""
+        """Drop the confirmations of all others."""
         kept = set(members)
         self._confirmed_at = {i: at for i, at in self._confirmed_at.items() if i in kept}
         self._until_by_roster.clear()
 
     def expect_roster(self, generation: int, roster: Roster) -> None:
-        """Demand this roster's vouches too, since a record that names it may be in the log."""
+        """Also require this roster's confirmations, as a record that names it may be in the log."""
         self._unconfirmed_by_generation[generation] = roster
         self._until_by_roster.clear()
 
     def drop_roster(self, generation: int) -> None:
-        """Stop demanding a roster whose record is known not to be in the log."""
+        """Stop requiring a roster whose record is known not to be in the log."""
         self._unconfirmed_by_generation.pop(generation, None)
         self._until_by_roster.clear()
 
     def confirm_generation(self, generation: int) -> None:
-        """Stop demanding rosters of records up to `generation`: they are read or void."""
+        """Stop requiring rosters of records up to `generation`: they are read or void."""
         unconfirmed = self._unconfirmed_by_generation
         self._unconfirmed_by_generation = {g: r for g, r in unconfirmed.items() if g > generation}
         self._until_by_roster.clear()
 
     def has_log_confirmation(self, now: float) -> bool:
-        """Return whether the log leg stands."""
+        """Return whether the log confirmation holds."""
         return now < self.log_end_read_at + self.timings.read_s
 
     def has_peer_confirmation(self, roster: Roster, now: float) -> bool:
-        """Return whether the vouch leg stands for what is owned under `roster`."""
+        """Return whether the peer confirmation holds for what is owned under `roster`."""
         until = self._until_by_roster.get(roster)
         if until is None:
             rosters = (roster, *self._unconfirmed_by_generation.values())
--- a/src/galenastall/coordination/ownership/ownership_heartbeats.py
+++ b/src/galenastall/coordination/ownership/ownership_heartbeats.py
@@ -1,4 +1,4 @@
-"""Writes the beats of one member: pings, vouches and the log's tip in one message per peer."""
+"""Write one member's heartbeats: pings, confirmations and the log's end, one message per peer."""
 
 from collections.abc import Iterator
 from math import ceil, inf
@@ -19,11 +19,11 @@
 from galenastall.state.ownership_records import Member
 
 MIN_ROUND_INTERVAL_S: Final = 0.1
-"""Least time between rounds, also when news should go out at once."""
+"""Minimum time between rounds, also when a status change should go out at once."""
 
 
 class HeartbeatWriter:
-    """Sends a round at a steady pace, and at once when the set of silent members changes."""
+    """Sends rounds at a regular interval, and at once when the unresponsive members change."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         membership: Membership,
         holdings: Holdings,
     ) -> None:
-        """Share the core's parts."""
+        """Use the core's parts."""
         self._me = me
         self._timings = timings
         self._fold = fold
@@ -46,7 +46,7 @@
         self._last_status: tuple[object, ...] = ()
 
     def round(self, now: float, *, is_leaving: bool) -> Iterator[SendMessage]:
-        """Yield a beat for each other member of the roster if a round is due."""
+        """Yield a heartbeat for each other member of the roster if a round is due."""
         peers = [m for m in self._fold.members() if m != self._me]
         silent = self._membership.silent(now)
         lacks_log = self._legs.lacks_log(now)
@@ -77,7 +77,7 @@
             yield SendMessage(to=peer.host, message=heartbeat)
 
     def fence(self, member: Member, takeover: Takeover) -> Fence:
-        """Return the message that asks `member` for its promise."""
+        """Return the message that requests a promise from `member`."""
         claim = ContestedClaim(epoch=takeover.epoch, ownables=takeover.ownables)
         return Fence(sender=self._me.incarnation, receiver=member.incarnation, claim=claim)
 
--- a/src/galenastall/coordination/ownership/ownership_holdings.py
+++ b/src/galenastall/coordination/ownership/ownership_holdings.py
@@ -1,4 +1,4 @@
-"""What this member owns: the log's word, less what it heard claimed and what it is giving away."""
+"""What this member owns: by the log, less what it knows to be claimed or is handing over."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 from galenastall.state.ownership_records import Member, Members
 
 ROSTERS_KEPT: Final = 64
-"""Rosters whose sets are kept ready; a member's own tenures name one or two at a time."""
+"""Rosters whose sets are cached; a member's own tenures name one or two at a time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -24,7 +24,7 @@
 
 
 class Holdings:
-    """Ownables held, claims heard of, and ownables suspended while they are handed over."""
+    """Ownables held, claims reported by peers, and ownables suspended during their handover."""
 
     def __init__(self, *, me: Member, fold: OwnershipFold) -> None:
         """Hold nothing."""
@@ -37,12 +37,12 @@
         self._roster_by_members: dict[Members, Roster] = {}
 
     def refresh(self, ownables: Iterable[OwnableId]) -> Iterator[Activated | Lost]:
-        """Bring these ownables up to date and yield what changed."""
+        """Update these ownables and yield what changed."""
         for ownable in ownables:
             yield from self._refresh(ownable)
 
     def note_claim(self, claim: ContestedClaim) -> None:
-        """Remember a claim that this member may not have read; refresh its ownables after."""
+        """Record a claim that this member may not have read; refresh its ownables afterwards."""
         if claim.epoch < self._fold.next_offset and self._fold.is_complete:
             return
         self._reported_by_epoch[claim.epoch] = claim
@@ -51,7 +51,7 @@
             self._reported_epoch_by_ownable[ownable] = max(reported, claim.epoch)
 
     def forget_read(self) -> None:
-        """Forget claims that the fold has read by now: it knows them."""
+        """Drop the reported claims that the fold has read by now."""
         if not self._reported_by_epoch or not self._fold.is_complete:
             return
         read_to = self._fold.next_offset
@@ -60,7 +60,7 @@
         self._reported_epoch_by_ownable = {o: e for o, e in reported.items() if e >= read_to}
 
     def claims_from(self, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
-        """Yield the claims by others that a member which read up to `offset` may not know."""
+        """Yield the claims by others that a member that has read up to `offset` may not know."""
         for epoch, claim in self._reported_by_epoch.items():
             if epoch >= offset:
                 yield claim
@@ -78,7 +78,7 @@
         self._suspended_until_generation.update(dict.fromkeys(ownables, inf))
 
     def bind_suspension(self, ownables: Iterable[OwnableId], generation: int) -> None:
-        """Let the suspension end once the member's record of `generation` or above is read."""
+        """End the suspension once the member's record of `generation` or above is read."""
         self._suspended_until_generation.update(dict.fromkeys(ownables, generation))
 
     def resume(self, generation: int) -> tuple[OwnableId, ...]:
@@ -87,7 +87,7 @@
         return self._resume(tuple(o for o, bound in bounds if bound <= generation))
 
     def resume_undone(self, generation: int) -> tuple[OwnableId, ...]:
-        """End suspensions for a record that is not in the log; those for others stay."""
+        """End suspensions for a record that is not in the log; those for other records stay."""
         bounds = self._suspended_until_generation.items()
         return self._resume(tuple(o for o, bound in bounds if bound == generation))
 
--- a/src/galenastall/coordination/ownership/ownership_maintenance.py
+++ b/src/galenastall/coordination/ownership/ownership_maintenance.py
@@ -1,4 +1,4 @@
-"""What a member writes to the log while it is up: claims, gifts, rosters, snapshots, departures."""
+"""Records that a member writes: claims, transfers, rosters, snapshots, departures."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class OwnershipMaintenance:
-    """Plans this member's records, one step a tick."""
+    """Plans this member's records, one step per tick."""
 
     def __init__(self, *, core: OwnershipCore) -> None:
         """Plan on behalf of `core`."""
         self._core = core
         self.must_confirm = False
-        """Whether a record with a generation may or may not be in the log."""
+        """Whether it is unknown if a record with a generation is in the log."""
         self._generation = 0
         self._transfers: tuple[Gift, ...] = ()
         self._transfers_ready_at = inf
@@ -38,7 +38,7 @@
         self._snapshot_due_since: float | None = None
 
     def on_record(self, record: Any, now: float) -> None:
-        """Note what bears on later plans."""
+        """Note what affects later plans."""
         self._roster_changed_at = now if _changes_roster(record) else self._roster_changed_at
         if isinstance(record, OwnershipSnapshot):
             self._snapshot_seen_at = now
@@ -47,7 +47,7 @@
             self.must_confirm = self.must_confirm and record.generation < self._generation
 
     def run(self, now: float) -> None:
-        """Do what is due; only while the log leg stands."""
+        """Perform the steps that are due; only while the log confirmation holds."""
         core = self._core
         if core.is_leaving:
             self._leave(now)
--- a/src/galenastall/coordination/ownership/ownership_messages.py
+++ b/src/galenastall/coordination/ownership/ownership_messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other, and the commands that the core hands to its driver."""
+"""Messages between members, and the commands that the core passes to its driver."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -18,29 +18,30 @@
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """A ping, and the answer to the receiver's last ping, for all ownables at once.
 
-    The echo vouches for everything that the receiver owns but what `claims` takes away: the sender
-    puts in each claim that it knows of and that lies beyond what the receiver said it had read.
+    The echo confirms everything that the receiver owns except what `claims` takes away: the
+    sender includes each claim that it knows of and that lies beyond what the receiver reported
+    as read.
     """
 
     sender: Incarnation
     receiver: Incarnation
     sequence: int
     echo: int
-    """Highest sequence number had from the receiver; 0 for none."""
+    """Highest sequence number received from the receiver; 0 for none."""
     next_offset: Offset
     """First offset that the sender has not read."""
     tip_age_ms: int
-    """Time since the sender sent a read that reached the log's tip; -1 for never."""
+    """Time since the sender sent a read that reached the log's end; -1 for never."""
     is_leaving: bool = False
     silent: tuple[Incarnation, ...] = ()
-    """Roster members that the sender does not hear."""
+    """Roster members that the sender finds unresponsive."""
     claims: tuple[ContestedClaim, ...] = ()
     lacks_log: bool = False
-    """Whether the sender can't read the log itself, and so can't serve what it would be given."""
+    """Whether the sender can't read the log itself, and so can't serve further ownables."""
 
 
 class Fence(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Ask a member to vouch for no lower epoch from now on."""
+    """Request to confirm no lower epoch from now on."""
 
     sender: Incarnation
     receiver: Incarnation
@@ -48,14 +49,14 @@
 
 
 class FenceAck(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The promise that a Fence asked for."""
+    """The promise that a Fence requested."""
 
     sender: Incarnation
     epoch: Epoch
 
 
 class TailRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Ask for the ownership records from an offset on."""
+    """Request for the ownership records from an offset on."""
 
     start: Offset
 
--- a/src/galenastall/coordination/ownership/ownership_spread.py
+++ b/src/galenastall/coordination/ownership/ownership_spread.py
@@ -1,4 +1,4 @@
-"""Which ownables this member should give away, and to whom."""
+"""Plan which ownables this member should transfer, and to whom."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -15,9 +15,9 @@
     me: Member,
     limit: int,
 ) -> tuple[Gift, ...]:
-    """Return gifts that bring the spread nearer to the wanted one, `limit` ownables at most.
+    """Return transfers that bring the spread nearer to the wanted one, `limit` ownables at most.
 
-    What nobody should own any more, since its host left the list, is set free.
+    An ownable that nobody should own any more, since its host left the list, is released.
     """
     member_by_host = {member.host: member for member in live}
     ownables_by_target: dict[Member | None, list[OwnableId]] = defaultdict(list)
--- a/src/galenastall/coordination/ownership/ownership_tail.py
+++ b/src/galenastall/coordination/ownership/ownership_tail.py
@@ -1,4 +1,4 @@
-"""The latest ownership records, without holes, for members that are cut off from the log."""
+"""The latest ownership records, without gaps, for members that are isolated from the log."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class RecordTail:
-    """All ownership records in [start, end); starts over when the log was trimmed ahead of it."""
+    """All ownership records in [start, end); restarts when the log was trimmed ahead of it."""
 
     def __init__(self, *, kept: int = TAIL_KEPT) -> None:
         """Keep at most `kept` records."""
@@ -22,7 +22,7 @@
         self.end = Offset(0)
 
     def keep(self, logged: LoggedRecord) -> None:
-        """Take in the stream's next record, of whatever type."""
+        """Add the stream's next record, of whatever type."""
         if logged.offset < self.end:
             return
         if logged.offset > self.end:
@@ -32,7 +32,7 @@
         self._add(logged)
 
     def extend(self, *, start: Offset, end: Offset, records: Sequence[LoggedRecord]) -> None:
-        """Take in a peer's tail if it goes on from here."""
+        """Add a peer's tail if it continues from here."""
         if start > self.end:
             return
         for logged in records:
--- a/src/galenastall/coordination/ownership/ownership_takeover.py
+++ b/src/galenastall/coordination/ownership/ownership_takeover.py
@@ -1,4 +1,4 @@
-"""One claim of this member on its way to activation: fence the roster, then wait."""
+"""One claim of this member until its activation: fence the roster, then wait."""
 
 from collections.abc import Callable
 from math import inf
@@ -10,10 +10,10 @@
 
 
 class Takeover:
-    """A claim that this member read back.
+    """A claim that this member has read back from the log.
 
-    It is ready once so many of each old roster can vouch for no lower epoch that the others are no
-    majority, and every time on which the old owner may still count has passed.
+    It is ready once so many members of each old roster can confirm no lower epoch that the
+    others are no majority, and every time until which the old owner may still act has passed.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
 
     @property
     def has_old_owner(self) -> bool:
-        """Whether anything of it had an owner, so that there is somebody to wait for."""
+        """Whether any of its ownables had an owner, so that there is one to wait for."""
         return bool(self._fenced_at_by_roster)
 
     def on_ack(self, member: Incarnation) -> None:
@@ -43,13 +43,13 @@
         self._acked.add(member)
 
     def unacked(self, fold: OwnershipFold) -> list[Member]:
-        """Return the members of the old rosters that are still to be told, sorted."""
+        """Return the members of the old rosters that have not acknowledged yet, sorted."""
         members = {m for roster in self._fenced_at_by_roster for m in roster}
         unacked = (m for m in members if m.incarnation not in self._acked and fold.has_member(m))
         return sorted(unacked, key=lambda member: member.incarnation)
 
     def update(self, is_dead: Callable[[Member], bool], me: Member, now: float) -> None:
-        """Note the rosters that are fenced by now."""
+        """Record the rosters that are fenced by now."""
         for members, fenced_at in self._fenced_at_by_roster.items():
             if fenced_at != inf:
                 continue
@@ -76,8 +76,8 @@
 
 
 def leaves_no_majority(count: int, members: Members) -> bool:
-    """Return whether those of a roster that are not counted are no more than half of it.
+    """Return whether the members of a roster that are not counted are no more than half of it.
 
-    Of two members one is enough: with more demanded, a paused owner was replaced by nobody.
+    Of two members one is enough: when more were required, nobody replaced a paused owner.
     """
     return 2 * count >= len(members)
--- a/src/galenastall/coordination/ownership/ownership_timings.py
+++ b/src/galenastall/coordination/ownership/ownership_timings.py
@@ -7,36 +7,37 @@
 class OwnershipTimings:
     """Safety rests on `vouch_s`, `read_s`, `flight_s`, `clock_rate_bound` and `list_lag_s`.
 
-    A claimant waits for the longest that any member may count on the first three, so they must be
-    raised on all members before they are raised anywhere in effect; the rest is only pace.
+    A claimant waits for the longest span that any member may use for the first three, so they
+    must be raised on all members before any member acts on the new values; the rest only affect
+    speed.
     """
 
     vouch_s: float = 3.0
-    """T: how long after sending a beat its echo lets the sender act."""
+    """T: how long after sending a heartbeat its echo lets the sender act."""
     read_s: float = 3.0
-    """READ: how long after sending a read of the log's tip its answer lets the sender act."""
+    """READ: how long after sending a read of the log's end its answer lets the sender act."""
     flight_s: float = 0.5
     """Longest time from the check of `may_act` to the command's not-after time, skew included."""
     clock_rate_bound: float = 0.01
     """Largest relative difference of a member's clock rate from true time."""
     list_lag_s: float = 30.0
-    """A host that the platform's list has not shown for longer than this is dead for good."""
+    """A host that the platform's list has not shown for longer than this is permanently dead."""
     heartbeat_s: float = 0.5
-    """Least time between two beats to the same member."""
+    """Minimum time between two heartbeats to the same member."""
     heartbeats_per_s: float = 12.0
-    """Beats a member sends a second at most; a large roster is told less often."""
+    """Most heartbeats a member sends per second; in a large roster each peer gets fewer."""
     suspect_s: float = 2.5
-    """Silence after which a member is suspected."""
+    """Time without a heartbeat after which a member is suspected."""
     settle_s: float = 1.0
     """How long the set of live members must be unchanged before ownables are spread over it."""
     stagger_s: float = 1.5
-    """How long the next candidate waits for the one before it."""
+    """How long each candidate waits for the one before it."""
     append_retry_s: float = 1.0
     """Pause after a failed append."""
     claim_stale_s: float = 15.0
-    """Age at which a claim that was not activated may be claimed over."""
+    """Age at which a claim that was not activated may be superseded."""
     handover_batch: int = 64
-    """Ownables handed to one member in one record while spreading load."""
+    """Ownables transferred to one member in one record while spreading load."""
     snapshot_every_s: float = 600.0
     """Longest time between snapshots of a stream; must be well under the log's retention."""
     snapshot_every_records: int = 2000
@@ -44,9 +45,9 @@
 
     @property
     def rate_factor(self) -> float:
-        """By how much a wait on a slow clock must be stretched to outlast one on a fast clock."""
+        """Factor by which a wait on a slow clock is stretched to outlast one on a fast clock."""
         return (1.0 + self.clock_rate_bound) / (1.0 - self.clock_rate_bound)
 
     def heartbeat_interval_s(self, *, peers: int) -> float:
-        """Return the time between beats to each of `peers` members."""
+        """Return the time between heartbeats to each of `peers` members."""
         return max(self.heartbeat_s, peers / self.heartbeats_per_s)
