--- a/src/galenastall/coordination/jobs/assignees.py
+++ b/src/galenastall/coordination/jobs/assignees.py
@@ -32,10 +32,10 @@
 
     def count_placeable(self, need: Resources) -> int:
         """Return how many such tasks fit at most, none of them split over two workers."""
-        most = NOTHING
+        largest = NOTHING
         for hole in self.summary.holes:
-            most = most.at_least(hole.free)
-        in_workers = self.summary.workers * count_fitting(most, need)
+            largest = largest.at_least(hole.free)
+        in_workers = self.summary.workers * count_fitting(largest, need)
         return min(count_fitting(self.summary.free - self.pending, need), in_workers)
 
 
--- a/src/galenastall/coordination/jobs/task_dispatcher.py
+++ b/src/galenastall/coordination/jobs/task_dispatcher.py
@@ -45,14 +45,16 @@
         while 0 < left < before and unplaced < MAX_UNPLACED_JOBS:
             before = left
             for job_id in self._queue.in_order():
-                given = self._assign_some(job_id, min(TASKS_PER_TURN, left), now, assigned_by_host)
-                left -= given
-                unplaced += given == 0
+                assigned = self._assign_some(
+                    job_id, min(TASKS_PER_TURN, left), now, assigned_by_host
+                )
+                left -= assigned
+                unplaced += assigned == 0
                 if left <= 0 or unplaced >= MAX_UNPLACED_JOBS:
                     break
         return [
-            AssignBatch(host=host, tasks=tuple(run.make_task(index) for run, index in given))
-            for host, given in assigned_by_host.items()
+            AssignBatch(host=host, tasks=tuple(run.make_task(index) for run, index in assigned))
+            for host, assigned in assigned_by_host.items()
         ]
 
     def _assign_some(
--- a/tests/test_job_failures.py
+++ b/tests/test_job_failures.py
@@ -129,7 +129,7 @@
             assert all(cluster.starts_of(task) == 1 for task in running)
             assert {"s/0", "s/1"} <= cluster.running().keys()
 
-    async def test_what_ran_on_a_worker_lost_meanwhile_is_unknown_and_the_rest_runs(
+    async def test_tasks_of_a_worker_lost_meanwhile_are_unknown_and_the_rest_runs(
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster(names="ab") as cluster:
@@ -178,7 +178,7 @@
     """
 
     @pytest.mark.parametrize("idempotent", [True, False])
-    async def test_what_is_assigned_before_it_is_back_runs(
+    async def test_tasks_assigned_before_its_return_run(
         self, autojump_clock: Any, idempotent: bool
     ) -> None:
         async with open_cluster(names="abc") as cluster:
@@ -191,7 +191,7 @@
             cluster.assert_no_violations()
             assert done_count(cluster, "j") == 60
 
-    async def test_what_was_sent_to_it_without_an_answer_runs(self, autojump_clock: Any) -> None:
+    async def test_tasks_sent_to_it_without_an_answer_run(self, autojump_clock: Any) -> None:
         """The call is lost; when it would be sent again its host is out of the roster."""
         async with open_cluster(names="abc") as cluster:
             await trio.sleep(3)
@@ -526,7 +526,7 @@
 
 class TestOverruns:
     @pytest.mark.parametrize("workload", [Workload.BATCH, Workload.GANG])
-    async def test_what_needs_more_than_every_worker_ends_with_the_reason(
+    async def test_tasks_larger_than_every_worker_end_with_the_reason(
         self, workload: Workload, autojump_clock: Any
     ) -> None:
         async with open_cluster() as cluster:
--- a/tests/test_job_shard.py
+++ b/tests/test_job_shard.py
@@ -70,14 +70,14 @@
 
 
 class TestLosses:
-    def test_a_task_lost_with_each_worker_is_given_out_less_and_less_often(self) -> None:
+    def test_a_task_lost_with_each_worker_is_assigned_with_growing_delays(self) -> None:
         """A task that takes its worker down took another one every half second, without end.
 
         Only attempts that failed lengthened the pause, and a worker that is gone reports none.
         """
         assert waits_after_losses([5.0] * 8) == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0]
 
-    def test_a_loss_after_a_long_run_begins_anew(self) -> None:
+    def test_a_loss_after_a_long_run_resets_the_delay(self) -> None:
         assert waits_after_losses([5.0, 5.0, 500.0, 5.0]) == [1.0, 2.0, 1.0, 2.0]
 
 
@@ -108,7 +108,7 @@
 
 
 class TestNeedOfOverruns:
-    def test_what_overran_is_given_out_with_what_it_needs(self) -> None:
+    def test_an_overrunning_task_is_assigned_again_with_its_observed_need(self) -> None:
         shard = make_shard(is_fresh=True)
         assert assigned_tasks(shard, 0.0) == [TASK]
         ended = report(ReportKind.STOPPED, epoch=2, need_mb=3000)
