--- a/tests/job_cluster.py
+++ b/tests/job_cluster.py
@@ -1,4 +1,4 @@
-"""Several entry hosts' job sides on in-memory workers, log and peers; ownership is scripted."""
+"""Job services of some entry hosts on in-memory workers, log and peers; ownership is scripted."""
 
 import random
 from collections.abc import AsyncIterator, Callable, Iterable
@@ -64,7 +64,7 @@
 
 
 class Net:
-    """Messages between hosts, encoded as on the wire; cuts and lost answers are attributes."""
+    """Network between hosts, with messages as on the wire; faults are set as attributes."""
 
     def __init__(self) -> None:
         self.links: dict[HostId, MemoryLink] = {}
@@ -124,7 +124,7 @@
 
 
 class Owners:
-    """The one truth about ownership, moved by tests."""
+    """The authoritative owners of all ownables, changed by tests."""
 
     def __init__(self) -> None:
         self.owner: dict[OwnableId, tuple[HostId, Epoch]] = {}
@@ -181,7 +181,7 @@
 
 
 class EntryHost:
-    """The job side of one entry host."""
+    """The job services of one entry host."""
 
     def __init__(self, *, host_id: HostId, start_number: int, cluster: "Cluster") -> None:
         self.host_id = host_id
@@ -279,7 +279,7 @@
         self._nursery = nursery
         self._start_count = 0
         self.ring = TimelineRing()
-        """What happened on all hosts."""
+        """Time line of all hosts."""
         self._listing: HostListing | None = None
 
     @staticmethod
@@ -322,7 +322,7 @@
         self.owners.assign(ownable, HostId(host), epoch=self._write_claim(ownable, host))
 
     def _write_claim(self, ownable: OwnableId, host: str) -> int:
-        """Put a claim into the log past all faults, and return its offset: the epoch."""
+        """Write a claim to the log past all faults, and return its offset: the epoch."""
         by = Member(host=HostId(host), incarnation=Incarnation("scripted"))
         claim = Claim(by=by, ownables=(ownable,), seen=Offset(0))
         stream = self.platform.log._stream(STREAM)
@@ -333,7 +333,7 @@
         return offset
 
     def spread(self) -> None:
-        """Give all workers and shards round robin to the hosts that live."""
+        """Assign all workers and shards round robin to the live hosts."""
         names = sorted(self.hosts)
         for index, worker in enumerate(self.worker_names()):
             self.assign_worker(worker, names[index % len(names)])
@@ -355,13 +355,13 @@
         return places
 
     def starts_of(self, task_id: str) -> int:
-        """Return how often a task was ever started, anywhere."""
+        """Return how often a task was started, on all workers together."""
         self.platform.workers.settle()
         records = self.platform.workers.ledger.records
         return sum(1 for record in records if record.task_id == task_id)
 
     def assert_no_violations(self) -> None:
-        """No host over capacity and no task in two places, ever."""
+        """Assert that no host was ever over capacity and no task ever ran in two places."""
         self.platform.workers.settle()
         violations = self.platform.workers.violations
         assert violations.kept == []
@@ -371,7 +371,7 @@
             if condition():
                 return
             await trio.sleep(STEP_S)
-        raise AssertionError(f"not so after {limit_s} s of the paused clock")
+        raise AssertionError(f"condition not met after {limit_s} s of the mock clock")
 
     def ended(self, name: str, via: str | None = None) -> bool:
         host = self.hosts[HostId(via)] if via else next(iter(self.hosts.values()))
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class Owner:
-    """A worker owner with room for some tasks, which holds, starts, releases and stops."""
+    """A worker owner with capacity for some tasks, which holds, starts, releases and stops them."""
 
     room: int = CAPACITY
     held: dict[str, tuple[int, float]] = field(default_factory=dict)
@@ -54,7 +54,7 @@
 
 
 class Simulation:
-    """Gangs that compete for owners over a network that delays and loses."""
+    """Gangs that compete for owners over a network that delays and loses messages."""
 
     def __init__(self, *, seed: int, sizes: list[int], loss: float) -> None:
         self.rng = random.Random(seed)
@@ -131,7 +131,7 @@
             yield from (each for each in owner.running if each[0].startswith(f"{gang._job_id}#"))
 
     def settle(self, steps: int) -> None:
-        """Play without faults; started gangs run to their end so that others get room."""
+        """Run without faults; started gangs run to their end so that others get capacity."""
         self.loss = 0.0
         for owner in self.owners.values():
             owner.refuses_starts = False
--- a/tests/test_job_chaos.py
+++ b/tests/test_job_chaos.py
@@ -1,4 +1,4 @@
-"""Random faults, together and twice, on the paused clock; the seeds are fixed."""
+"""Random faults, one or two at a time, on the mock clock; the seeds are fixed."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 
 
 class Chaos:
-    """Breaks and mends one thing after the other."""
+    """Injects and heals faults one after the other."""
 
     def __init__(self, *, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
@@ -88,7 +88,7 @@
 
 
 class TestChaos:
-    # Seed 183 ended an attempt elsewhere while a cut entry host still had the task queued.
+    # Seed 183 ended an attempt elsewhere while an isolated host still had the task queued.
     @pytest.mark.parametrize("seed", [*range(8), 183])
     async def test_nothing_runs_twice_and_no_job_is_lost(
         self, autojump_clock: Any, seed: int
--- a/tests/test_job_failures.py
+++ b/tests/test_job_failures.py
@@ -1,4 +1,4 @@
-"""Failures brought about on the paused clock: what must hold is that nothing runs twice."""
+"""Failures injected on the mock clock; nothing may run twice."""
 
 from dataclasses import replace
 from typing import Any
@@ -166,15 +166,12 @@
 
 
 class TestAssigneeOutOfTheRoster:
-    """Two jobs of twelve never ran, and no log line named them again.
+    """Tasks assigned to a host that is briefly out of the roster must not be lost.
 
-    A paused host had just gone on. Its summary told of much room before the roster had it back, so
-    tasks were assigned to it; the loop that sends an assignment ends once its host is not in the
-    roster, and left it to the next beat to doubt the tasks. By then the host was back. The logs of
-    the shard's owner end with
-
-        8.39  job.assigned  gangnam-entry-1  late-8/0 .. late-8/3  it has most room
-        8.54  job.assigned  gangnam-entry-1  late-5/0 .. late-5/3  it has most room
+    A paused host resumed, and its summary showed much free capacity before the roster listed it
+    again, so tasks were assigned to it. The loop that sends an assignment ends once its host is not
+    in the roster, and left it to the next heartbeat to mark the tasks unconfirmed. By then the host
+    was back: two jobs of twelve never ran, and no log line named them again.
     """
 
     @pytest.mark.parametrize("idempotent", [True, False])
@@ -192,7 +189,7 @@
             assert done_count(cluster, "j") == 60
 
     async def test_tasks_sent_to_it_without_an_answer_run(self, autojump_clock: Any) -> None:
-        """The call is lost; when it would be sent again its host is out of the roster."""
+        """The call is lost, and its host is out of the roster when it would be sent again."""
         async with open_cluster(names="abc") as cluster:
             await trio.sleep(3)
             cluster.net.lose_call = lambda _sender, peer, message: (
@@ -246,7 +243,7 @@
             assert queued
             decision = workers.core.decide(cluster.clock.wall(), 100)
             assert decision.by_worker
-            # Nothing else runs in the jump, as in a paused process, nor before the check.
+            # No other task runs during the jump, as in a paused process, nor before the check.
             autojump_clock.jump(30.0)
             for commands in decision.by_worker:
                 await workers._starter.start(commands)
@@ -259,7 +256,7 @@
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster(names="abc") as cluster:
-            await trio.sleep(3)  # Until the workers are adopted and the shards' owners know.
+            await trio.sleep(3)  # Until the workers are adopted and the shards' owners know them.
             for worker in cluster.platform.workers.by_address:
                 cluster.platform.workers.set_faults(worker, WorkerFaults(delay_s=12.0))
             await cluster.submit(make_spec("j", tasks=60, run_s=20.0))
@@ -348,7 +345,7 @@
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster(workers=4) as cluster:
-            for worker in ("w1", "w3"):  # Both of owner b.
+            for worker in ("w1", "w3"):  # Both are owned by b.
                 cluster.platform.workers.set_faults(worker, WorkerFaults(fail_starts=True))
             await cluster.submit(make_spec("g", tasks=12, workload=Workload.GANG, run_s=30.0))
             longest_part = 0
--- a/tests/test_job_shard.py
+++ b/tests/test_job_shard.py
@@ -1,4 +1,4 @@
-"""A job shard's core alone: doubts that ends don't settle, and needs that grow by overruns."""
+"""Core of a job shard: unconfirmed tasks that ends don't settle, and needs raised by overruns."""
 
 import pytest
 
@@ -71,9 +71,9 @@
 
 class TestLosses:
     def test_a_task_lost_with_each_worker_is_assigned_with_growing_delays(self) -> None:
-        """A task that takes its worker down took another one every half second, without end.
+        """A task that crashes its workers must not take down another one every half second.
 
-        Only attempts that failed lengthened the pause, and a worker that is gone reports none.
+        Only attempts that failed lengthened the retry delay, and a lost worker reports no failure.
         """
         assert waits_after_losses([5.0] * 8) == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0]
 
@@ -82,7 +82,7 @@
 
 
 def waits_after_losses(ran_s: list[float]) -> list[float]:
-    """Return how long a task waits after each loss of its worker, having run for so long."""
+    """Return the retry delays after losses of the task's worker that follow these run times."""
     shard = make_shard(is_fresh=True)
     now = 0.0
     waits_s: list[float] = []
@@ -101,7 +101,7 @@
 
 
 def assign_attempt(shard: JobShard, now: float) -> int | None:
-    """Return the attempt under which the task is given out now, if it is."""
+    """Return the attempt under which the task is assigned now; None if it is not."""
     decision = shard.decide(now, summaries={A: make_summary()}, limit=10)
     attempts = [task.attempt for batch in decision.assigns for task in batch.tasks]
     return attempts[0] if attempts else None
--- a/tests/test_ownership_hazards.py
+++ b/tests/test_ownership_hazards.py
@@ -1,4 +1,4 @@
-"""The hazards of ownership, each brought about on the model's clock."""
+"""Hazards of ownership, each reproduced on the model's clock."""
 
 from collections.abc import Callable
 
@@ -31,7 +31,7 @@
 
 
 def isolate(model: OwnershipModel, away: set[HostId]) -> None:
-    """Cut `away` off from the log and from all others."""
+    """Isolate the hosts `away` from the log and from all others."""
     for host in away:
         model.nodes_by_host[host].has_log = False
         model.cuts |= {frozenset((host, o)) for o in model.nodes_by_host if o not in away}
@@ -129,16 +129,11 @@
         assert model.run_until(model.is_served, within=bound) is not None
 
     def test_owner_paused_before_it_named_a_third_member_is_replaced(self) -> None:
-        """Nobody got the ownables of a paused host of three for as long as it stayed listed.
+        """A paused owner whose roster lacks a newer member must be replaced while it stays listed.
 
         It had written its roster when there were two members, and was paused before it named the
-        third, 1.4 s after that had joined. More than half of two is both, so the other could
-        neither find it dead nor fence it. The hosts' logs of a minute have, after the pause,
-
-            lease.help  worker-gangnam-0  its owner is silent; renewing for it
-            job.in_doubt  late-1  its assignee is gone
-
-        and no ownership.claimed of the three workers that it owned.
+        third, 1.4 s after that had joined. A majority of two is both, so the other member could
+        neither find it dead nor fence it, and nobody claimed the three workers that it owned.
         """
         model = make_served_model(2)
         (owner,) = model.actors(X)
@@ -150,15 +145,12 @@
         assert model.actors(X) != [owner]
 
     def test_owner_that_was_replaced_gets_nothing_back_before_it_reads_the_log(self) -> None:
-        """Jobs of three shards in eight stood still while two hosts that could serve them were up.
-
-        An owner was cut off from the log, paused, replaced, and went on. It follows ownership
-        through its peers, so the spreading gave it its share back; but it serves a job shard only
-        once it has read the log itself. The hosts' logs have, with the cut until 46.5 s,
+        """A replaced owner must get no ownables back before it reads the log itself.
 
-            46.09  3  ownership.activated  jobs/4
-            46.56  3  log.up
-            46.60  3  shard.census         jobs/4
+        An owner was isolated from the log, paused, replaced, and resumed. It follows ownership
+        through its peers, so spreading assigned it its share again; but it serves a job shard only
+        once it has read the log itself. Jobs of three shards in eight stalled while two hosts that
+        could serve them were up.
         """
         model = make_served_model(3)
         (owner,) = model.actors(X)
@@ -171,7 +163,7 @@
         model.run_for(20)
         assert model.is_served()
         assert model.owned(owner) == 0
-        # It still counts as live: tasks go to the workers of a host that has some.
+        # It still counts as live: tasks are assigned to hosts that own workers.
         other, *_ = (each for each in model.nodes_by_host.values() if each is not node)
         assert owner in {member.host for member in other.core.live}
         node.has_log = True
@@ -192,7 +184,7 @@
 
 
 def minority_claims() -> None:
-    """Three of five act on by vouches without the log; one of the other two may see it."""
+    """Three of five keep acting by peer confirmations; only the other two can read the log."""
     model = make_served_model(5)
     (owner,) = model.actors(X)
     others = [host for host in model.alive() if host != owner]
@@ -201,7 +193,7 @@
 
 
 def newcomers_confirm() -> None:
-    """The owner and two newcomers are split off before the owner wrote a roster with them."""
+    """The owner and two newcomers are isolated before the owner wrote a roster with them."""
     model = OwnershipModel(seed=3, hosts=3, timings=OwnershipTimings(list_lag_s=10.0, settle_s=8.0))
     assert model.run_until(model.is_served, within=40) is not None
     model.run_for(10)
@@ -213,7 +205,7 @@
 
 
 def stale_heartbeats() -> None:
-    """A paused owner resumes, sends a round, and only then reads beats from before its loss."""
+    """A paused owner resumes, sends a round, and only then reads heartbeats older than its loss."""
     model = make_served_model(3)
     (owner,) = model.actors(X)
     node = model.nodes_by_host[owner]
@@ -240,7 +232,7 @@
 
 
 class TestMutations:
-    """A checker that can't fail is a defect: each safeguard taken out must show."""
+    """A checker must be able to fail: each safeguard that is removed must cause a violation."""
 
     @pytest.mark.parametrize(
         ("mutation", "schedule"),
