--- a/src/galenastall/bench/job_costs.py
+++ b/src/galenastall/bench/job_costs.py
@@ -18,7 +18,7 @@
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport
 from galenastall.protocol.amount_rows import pack_amount, pack_summary
 from galenastall.protocol.codec import encode_message, encode_record
-from galenastall.protocol.job_messages import JobBeat, ShardEpoch, TaskAssign, TaskEvents
+from galenastall.protocol.job_messages import JobHeartbeat, ShardEpoch, TaskAssign, TaskEvents
 from galenastall.protocol.task_rows import pack_reports, pack_tasks
 from galenastall.state.ids import Epoch, HostId, JobId, Offset, RecordId, TeamPath
 from galenastall.state.job_fold import JobState
@@ -202,7 +202,7 @@
     batch = decision.assigns[0]
     count = len(batch.tasks)
     reports = tuple(_reports(batch, ReportKind.RUNNING))
-    beat = JobBeat(
+    beat = JobHeartbeat(
         incarnation="mapo-entry-1.0123456789abcdef",
         shards=tuple(ShardEpoch(shard=index, epoch=Epoch(123_456)) for index in range(8)),
         valid_until=WALL,
--- a/src/galenastall/bench/peer_slopes.py
+++ b/src/galenastall/bench/peer_slopes.py
@@ -12,7 +12,7 @@
 from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
 from galenastall.protocol import ownership_messages
 from galenastall.protocol.amount_rows import pack_summary
-from galenastall.protocol.job_messages import JobBeat, ShardEpoch
+from galenastall.protocol.job_messages import JobHeartbeat, ShardEpoch
 from galenastall.state.ids import Epoch, HostId, Incarnation, Offset
 from galenastall.state.resources import Resources
 from galenastall.transport.clock import TrioClock
@@ -45,12 +45,12 @@
     )
 
 
-def make_job_beat(sequence: int) -> JobBeat:
+def make_job_beat(sequence: int) -> JobHeartbeat:
     """Return a job beat of ordinary times."""
     some = Resources(cores_milli=1_500_000, memory_mb=3_000_000)
     hole = Resources(cores_milli=48_000, memory_mb=100_000)
     holes = tuple(Hole(by=name, free=hole) for name in ("cores", "memory", "accelerators"))
-    return JobBeat(
+    return JobHeartbeat(
         incarnation="north-1-entry-1.0123456789ab",
         shards=tuple(ShardEpoch(shard=each, epoch=Epoch(123_456)) for each in range(SHARDS)),
         valid_until=1_800_000_000.25 + sequence,
@@ -120,7 +120,7 @@
     far = ZmqPeerLink(host_id=FAR, incarnation=Incarnation("far"), clock=clock)
     sink = _Sink()
     far.handle(Heartbeat, sink.take)
-    far.handle(JobBeat, sink.take)
+    far.handle(JobHeartbeat, sink.take)
     async with trio.open_nursery() as nursery:
         await nursery.start(near.run)
         await nursery.start(far.run)
--- a/src/galenastall/coordination/jobs/job_shard.py
+++ b/src/galenastall/coordination/jobs/job_shard.py
@@ -29,7 +29,7 @@
 )
 from galenastall.state.ids import Epoch, HostId, JobId, TaskId, make_task_id
 from galenastall.state.job_fold import JobState
-from galenastall.state.job_records import EndedRanges, TasksGiven
+from galenastall.state.job_records import EndedRanges, TasksAssigned
 from galenastall.state.work import TaskPhase, Workload
 
 
@@ -250,14 +250,14 @@
         if run is not None:
             self._tables.dispatcher.discard(run)
 
-    def on_given(self, record: TasksGiven, *, is_logged: bool) -> None:
+    def on_given(self, record: TasksAssigned, *, is_logged: bool) -> None:
         """Return tasks to the queue; they may be assigned if their record is in the log."""
         for given in record.given:
             run = self.runs_by_id.get(given.job_id)
             if run is None:
                 continue
             if is_logged:
-                run.state.give(given.ranges)
+                run.state.mark_assigned(given.ranges)
             for each in given.ranges:
                 for index in range(each.start, each.stop):
                     if index in run.awaiting_record:
--- a/src/galenastall/coordination/jobs/task_intents.py
+++ b/src/galenastall/coordination/jobs/task_intents.py
@@ -1,7 +1,7 @@
 """Collect the tasks whose record must be in the log before they are assigned."""
 
 from galenastall.state.ids import JobId
-from galenastall.state.job_records import GivenRanges, TasksGiven, ranges_of
+from galenastall.state.job_records import AssignedRanges, TasksAssigned, ranges_of
 
 
 class TaskIntents:
@@ -19,13 +19,13 @@
     def __bool__(self) -> bool:
         return bool(self._indices_by_job)
 
-    def take(self) -> TasksGiven | None:
+    def take(self) -> TasksAssigned | None:
         """Take all collected tasks, as one record."""
         indices_by_job, self._indices_by_job = self._indices_by_job, {}
         if not indices_by_job:
             return None
         given = tuple(
-            GivenRanges(job_id=job_id, ranges=ranges_of(indices))
+            AssignedRanges(job_id=job_id, ranges=ranges_of(indices))
             for job_id, indices in sorted(indices_by_job.items())
         )
-        return TasksGiven(shard=self._shard, given=given)
+        return TasksAssigned(shard=self._shard, given=given)
--- a/src/galenastall/coordination/ownership/ownership.py
+++ b/src/galenastall/coordination/ownership/ownership.py
@@ -38,11 +38,11 @@
     Member,
     Members,
     OwnershipSnapshot,
-    Reroster,
+    UpdateRoster,
 )
 from galenastall.state.records import LoggedRecord
 
-SERIAL_RECORDS: Final = (HandOver, Reroster)
+SERIAL_RECORDS: Final = (HandOver, UpdateRoster)
 """Records with a generation: written one at a time, so that the log has them in order."""
 
 
--- a/src/galenastall/coordination/ownership/ownership_maintenance.py
+++ b/src/galenastall/coordination/ownership/ownership_maintenance.py
@@ -9,12 +9,12 @@
 from galenastall.coordination.ownership.ownership_spread import plan_transfers
 from galenastall.state.ids import OwnableId
 from galenastall.state.ownership_records import (
-    Gift,
     HandOver,
     Join,
     Leave,
     OwnershipSnapshot,
-    Reroster,
+    OwnershipTransfer,
+    UpdateRoster,
 )
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self.must_confirm = False
         """Whether it is unknown if a record with a generation is in the log."""
         self._generation = 0
-        self._transfers: tuple[Gift, ...] = ()
+        self._transfers: tuple[OwnershipTransfer, ...] = ()
         self._transfers_ready_at = inf
         self._last_transfers_at = -inf
         self._roster_changed_at = -inf
@@ -43,7 +43,7 @@
         if isinstance(record, OwnershipSnapshot):
             self._snapshot_seen_at = now
             self._snapshot_due_since = None
-        elif isinstance(record, HandOver | Reroster) and record.by == self._core.me:
+        elif isinstance(record, HandOver | UpdateRoster) and record.by == self._core.me:
             self.must_confirm = self.must_confirm and record.generation < self._generation
 
     def run(self, now: float) -> None:
@@ -92,7 +92,7 @@
         if transfers:
             self._stop_acting(transfers, now)
 
-    def _stop_acting(self, transfers: tuple[Gift, ...], now: float) -> None:
+    def _stop_acting(self, transfers: tuple[OwnershipTransfer, ...], now: float) -> None:
         core = self._core
         self._transfers = transfers
         self._transfers_ready_at = now + core.timings.flight_s * core.timings.rate_factor
@@ -125,7 +125,7 @@
         if not self.must_confirm and (is_current or not is_stable):
             return
         generation = self._next_generation()
-        if core.append(Reroster(by=core.me, generation=generation, members=members), now):
+        if core.append(UpdateRoster(by=core.me, generation=generation, members=members), now):
             self._generation = generation
             core.confirmations.expect_roster(generation, roster)
 
@@ -175,7 +175,7 @@
             if state.is_settled and state.claim.by == core.me
         ]
 
-    def _leave_transfers(self, mine: list[OwnableId]) -> tuple[Gift, ...]:
+    def _leave_transfers(self, mine: list[OwnableId]) -> tuple[OwnershipTransfer, ...]:
         core = self._core
         wanted = spread(mine, sorted(member.host for member in core.eligible))
         return plan_transfers(
--- a/src/galenastall/coordination/ownership/ownership_spread.py
+++ b/src/galenastall/coordination/ownership/ownership_spread.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 
 from galenastall.state.ids import HostId, OwnableId
-from galenastall.state.ownership_records import Gift, Member, Members
+from galenastall.state.ownership_records import Member, Members, OwnershipTransfer
 
 
 def plan_transfers(
@@ -14,7 +14,7 @@
     live: Members,
     me: Member,
     limit: int,
-) -> tuple[Gift, ...]:
+) -> tuple[OwnershipTransfer, ...]:
     """Return transfers that bring the spread nearer to the wanted one, `limit` ownables at most.
 
     An ownable that nobody should own any more, since its host left the list, is released.
@@ -31,5 +31,6 @@
         ownables_by_target[member_by_host.get(host) if host else None].append(ownable)
         left -= 1
     return tuple(
-        Gift(to=target, ownables=tuple(ownables)) for target, ownables in ownables_by_target.items()
+        OwnershipTransfer(to=target, ownables=tuple(ownables))
+        for target, ownables in ownables_by_target.items()
     )
--- a/src/galenastall/coordination/placement/gang_holds.py
+++ b/src/galenastall/coordination/placement/gang_holds.py
@@ -71,7 +71,7 @@
             return Failure(_error(hold_id, Reason.CONFLICT, "a task or its worker was lost"))
         del self._holds_by_id[hold_id]
         for placed in whole:
-            placed.worker.ledger.move(placed.task.task_id, LedgerPhase.STARTING)
+            placed.worker.ledger.set_phase(placed.task.task_id, LedgerPhase.STARTING)
             placed.decided_at = now
         return Success(whole)
 
--- a/src/galenastall/coordination/placement/reconcile.py
+++ b/src/galenastall/coordination/placement/reconcile.py
@@ -58,10 +58,10 @@
         if phase is TaskPhase.RUNNING or phase is TaskPhase.HELD:
             return phase
         if answer is StartAnswer.UNKNOWN:
-            placed.worker.ledger.move(task_id, LedgerPhase.UNKNOWN)
+            placed.worker.ledger.set_phase(task_id, LedgerPhase.UNKNOWN)
             return TaskPhase.UNKNOWN
         if answer is StartAnswer.STARTED:
-            placed.worker.ledger.move(task_id, LedgerPhase.RUNNING)
+            placed.worker.ledger.set_phase(task_id, LedgerPhase.RUNNING)
             placed.decided_at = now
             return TaskPhase.RUNNING
         tables.forget(placed)
@@ -124,7 +124,7 @@
                 duplicates.append(task_id)
             else:
                 if placed.phase is not TaskPhase.RUNNING:
-                    worker.ledger.move(task_id, LedgerPhase.RUNNING)
+                    worker.ledger.set_phase(task_id, LedgerPhase.RUNNING)
                     placed.decided_at = now
                     placed.task = listed.task
                     confirmed.append(task_id)
--- a/src/galenastall/coordination/requests/keys.py
+++ b/src/galenastall/coordination/requests/keys.py
@@ -15,7 +15,15 @@
 
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.ids import DataCentre, Epoch, HostId, RequestId
-from galenastall.state.key_fold import KeyEnded, KeyEntry, KeyFold, KeyIntent, ended, entry_of, rank
+from galenastall.state.key_fold import (
+    KeyEnded,
+    KeyEntry,
+    KeyFold,
+    KeyIntent,
+    entry_of,
+    rank,
+    with_outcome,
+)
 from galenastall.state.outcomes import Outcome
 
 KEY_SHARDS: Final = 8
@@ -197,7 +205,7 @@
         entry = self._entry(key)
         if entry is None or entry.request_id != request_id or entry.outcome is not None:
             return None
-        self._entries_by_key[key] = ended(entry, outcome=outcome, status=status)
+        self._entries_by_key[key] = with_outcome(entry, outcome=outcome, status=status)
         return KeyEnded(
             shard=self.name, key=key, request_id=request_id, outcome=outcome, status=status
         )
--- a/src/galenastall/node/jobs/job_intake.py
+++ b/src/galenastall/node/jobs/job_intake.py
@@ -22,12 +22,12 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink, NullEventSink
 from galenastall.protocol.job_messages import (
-    JobAsk,
     JobCancel,
     JobCancelAnswer,
     JobHold,
+    JobQuery,
+    JobReply,
     JobView,
-    JobWord,
     TaskExplain,
     TaskExplained,
 )
@@ -170,7 +170,7 @@
 
     async def view(self, job_id: JobId, *, first: int = 0, count: int = 0) -> JobView | None:
         """Return how a job stands, from its shard's owner or else from the log; None if unknown."""
-        ask = JobAsk(job_id=job_id, first=first, count=count)
+        ask = JobQuery(job_id=job_id, first=first, count=count)
         state = self._fold.get(job_id) or self._jobs.held(job_id)
         owner = self._jobs.owner_of(job_id)
         if owner is not None and (state is None or state.end is None):
@@ -207,7 +207,7 @@
     async def _nobody_holds(self, job_id: JobId) -> bool:
         """Whether all other entry hosts say that they do not have a job."""
         for host in sorted(self._ownership.roster() - {self._link.host_id}):
-            match await self._link.call(host, JobAsk(job_id=job_id, first=0, count=0)):
+            match await self._link.call(host, JobQuery(job_id=job_id, first=0, count=0)):
                 case Success(JobView(is_known=False)):
                     continue
             return False
@@ -222,7 +222,7 @@
             return (f"{found.failure().detail}.",)
         state = found.unwrap()
         view = await self.view(JobId(subject)) or view_state(
-            state, JobAsk(job_id=JobId(subject), first=0, count=0)
+            state, JobQuery(job_id=JobId(subject), first=0, count=0)
         )
         counts = ", ".join(f"{count} {phase}" for phase, count in view.counts.items())
         sentences = [f"{subject} of {state.spec.team} has {counts}."]
@@ -285,7 +285,7 @@
         others = sorted(self._ownership.roster() - {me}, key=lambda host: (host != owner, host))
         for host in others:
             match await self._link.call(host, JobHold(spec=spec)):
-                case Success(JobWord(ok=True)):
+                case Success(JobReply(ok=True)):
                     self._jobs.hold(spec)
                     return self._accepted(spec, Durability.DATA_CENTRE)
         detail = f"the log can't take it ({error}) and no other entry host can hold it"
--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -26,13 +26,13 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink, NullEventSink
 from galenastall.protocol.job_messages import (
-    JobAsk,
-    JobBeat,
     JobCancel,
     JobCancelAnswer,
+    JobHeartbeat,
     JobHold,
+    JobQuery,
+    JobReply,
     JobView,
-    JobWord,
     ShardEpoch,
     TaskEvents,
     TaskEventsAnswer,
@@ -122,8 +122,8 @@
         link.answer(TaskEvents, self._on_events)
         link.answer(JobHold, self._on_hold)
         link.answer(JobCancel, self._on_cancel)
-        link.answer(JobAsk, self._on_ask)
-        link.take(JobBeat, self._on_beat)
+        link.answer(JobQuery, self._on_ask)
+        link.take(JobHeartbeat, self._on_beat)
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
 
@@ -207,7 +207,7 @@
         """Log a cancellation when the log is back."""
         self._cancels_to_log[job_id] = cause
 
-    def view(self, ask: JobAsk) -> JobView:
+    def view(self, ask: JobQuery) -> JobView:
         """Return how a job of an owned shard, or one that is held here, stands."""
         driver = self._driver_of(ask.job_id)
         run = driver.core.runs_by_id.get(ask.job_id) if driver else None
@@ -300,7 +300,7 @@
             if driver.may_act
         )
         told = self._teams.tell(self._workers.core.reserved_by_team())
-        beat = JobBeat(
+        beat = JobHeartbeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
@@ -344,7 +344,7 @@
             if driver.core.on_assignee_gone(host):
                 driver.wake()
 
-    def _on_beat(self, sender: HostId, beat: JobBeat) -> None:
+    def _on_beat(self, sender: HostId, beat: JobHeartbeat) -> None:
         now = self._clock.wall()
         if self._incarnations.get(sender, beat.incarnation) != beat.incarnation:
             self._doubt(sender)
@@ -370,9 +370,9 @@
             settled=tuple(position for position, report in enumerate(reports) if id(report) in kept)
         )
 
-    async def _on_hold(self, _sender: HostId, message: JobHold) -> JobWord:
+    async def _on_hold(self, _sender: HostId, message: JobHold) -> JobReply:
         self.hold(message.spec)
-        return JobWord(ok=True)
+        return JobReply(ok=True)
 
     async def _on_cancel(self, _sender: HostId, message: JobCancel) -> Any:
         driver = self._driver_of(message.job_id)
@@ -382,7 +382,7 @@
         driver.wake()
         return JobCancelAnswer(counts=counts)
 
-    async def _on_ask(self, _sender: HostId, message: JobAsk) -> JobView:
+    async def _on_ask(self, _sender: HostId, message: JobQuery) -> JobView:
         return self.view(message)
 
 
--- a/src/galenastall/node/jobs/job_views.py
+++ b/src/galenastall/node/jobs/job_views.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from galenastall.coordination.jobs.job_run import JobRun
-from galenastall.protocol.job_messages import JobAsk, JobView, TaskView
+from galenastall.protocol.job_messages import JobQuery, JobView, TaskView
 from galenastall.state.ids import HostId, make_task_id
 from galenastall.state.job_fold import CODES_BY_PHASE, JobState
 from galenastall.state.work import TaskPhase
@@ -12,7 +12,7 @@
 """Tasks in one answer; ask again from a later index for more."""
 
 
-def view_run(run: JobRun, ask: JobAsk) -> JobView:
+def view_run(run: JobRun, ask: JobQuery) -> JobView:
     """Return the view of a live job, as its shard's owner has it."""
     counts = _ended_counts(run.state)
     for index in (*run.assigned_by_index, *run.unconfirmed):
@@ -26,7 +26,7 @@
     )
 
 
-def view_state(state: JobState, ask: JobAsk) -> JobView:
+def view_state(state: JobState, ask: JobQuery) -> JobView:
     """Return the view of a job from the log alone: tasks that have not ended show as waiting."""
     job_id = state.spec.job_id
     tasks = tuple(
@@ -51,7 +51,7 @@
     return {**counts, TaskPhase.WAITING.value: waiting} if waiting > 0 else counts
 
 
-def _asked(state: JobState, ask: JobAsk) -> range:
+def _asked(state: JobState, ask: JobQuery) -> range:
     first = max(ask.first, 0)
     last = min(first + min(max(ask.count, 0), MOST_TASKS_TOLD), state.spec.tasks)
     return range(first, last)
--- a/src/galenastall/node/jobs/shard_driver.py
+++ b/src/galenastall/node/jobs/shard_driver.py
@@ -26,7 +26,7 @@
     GangHold,
     GangRelease,
     GangStart,
-    JobWord,
+    JobReply,
     ShardCensus,
     ShardRecover,
     TaskAssign,
@@ -177,10 +177,10 @@
             result = await self._link.call(batch.host, message)
             answer = AssignAnswer.UNKNOWN
             match result:
-                case Success(JobWord(ok=True, refused=refused)):
+                case Success(JobReply(ok=True, refused=refused)):
                     answer = AssignAnswer.ACCEPTED
                     self.core.on_tasks_refused(batch, refused, self._clock.wall())
-                case Success(JobWord(ok=False)):
+                case Success(JobReply(ok=False)):
                     answer = AssignAnswer.REFUSED
                 case Failure(error) if nothing_sent(error) and not is_repeat:
                     answer = AssignAnswer.REFUSED
@@ -225,7 +225,7 @@
         result = await self._link.call(step.host, message)
         now = self._clock.wall()
         match result:
-            case Success(JobWord(ok=ok)):
+            case Success(JobReply(ok=ok)):
                 is_ok = ok
             case Failure(_) if step.kind is GangStepKind.START:
                 return  # No answer: it is asked again.
--- a/src/galenastall/node/log/group_commit.py
+++ b/src/galenastall/node/log/group_commit.py
@@ -299,10 +299,10 @@
 
     def _settle_unseen(self) -> None:
         for pending in list(self._unanswered_by_id.values()):
-            tip_read_at = self._queues_by_stream[pending.stream].follower.tip_read_at
-            if pending.sent_at is None or tip_read_at is None:
+            log_end_read_at = self._queues_by_stream[pending.stream].follower.log_end_read_at
+            if pending.sent_at is None or log_end_read_at is None:
                 continue
-            if tip_read_at >= pending.sent_at + self._settle_s:
+            if log_end_read_at >= pending.sent_at + self._settle_s:
                 self._decide(pending, Failure(self._unavailable("its answer was lost")))
 
     def _passed_over(self, stream: StreamName, start: Offset) -> None:
--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -21,7 +21,7 @@
 RECORDS_A_TURN: Final = 32
 """Records folded before other tasks get a turn; a settings change takes milliseconds."""
 DEFAULT_POLL_WAIT_S: Final = 1.0
-"""Also the age that `tip_read_at` reaches in quiet times, so well below the READ setting."""
+"""Also the age that `log_end_read_at` reaches in quiet times, so well below the READ setting."""
 READ_GAP_S: Final = 0.2
 """Least time between two reads that brought records; each append wakes all followers at once."""
 RETRY_MIN_S: Final = 0.1
@@ -82,7 +82,7 @@
         return self._next
 
     @property
-    def tip_read_at(self) -> float | None:
+    def log_end_read_at(self) -> float | None:
         """Runtime time at which the last read that reached the tip was sent; None if never."""
         return self._tip_read_at
 
--- a/src/galenastall/node/ownership/ownership_service.py
+++ b/src/galenastall/node/ownership/ownership_service.py
@@ -184,7 +184,7 @@
     def _tick(self) -> None:
         now = self._clock.now()
         self._core.on_log_end(
-            read_at=self._follower.tip_read_at, next_offset=self._follower.next_offset, now=now
+            read_at=self._follower.log_end_read_at, next_offset=self._follower.next_offset, now=now
         )
         self._core.on_tick(now)
         self._carry_out()
--- a/src/galenastall/node/placement/held_gangs.py
+++ b/src/galenastall/node/placement/held_gangs.py
@@ -13,7 +13,7 @@
 from galenastall.coordination.placement.task_reports import TaskAttempt
 from galenastall.node.jobs.job_link import JobLink
 from galenastall.protocol.clock import Clock
-from galenastall.protocol.job_messages import GangHold, GangRelease, GangStart, JobWord
+from galenastall.protocol.job_messages import GangHold, GangRelease, GangStart, JobReply
 from galenastall.protocol.task_rows import unpack_tasks
 from galenastall.state.ids import HostId
 from galenastall.state.work import TaskSpec
@@ -74,43 +74,43 @@
             if gang.shard == shard:
                 self._release(key)
 
-    async def _on_hold(self, sender: HostId, message: GangHold) -> JobWord:
+    async def _on_hold(self, sender: HostId, message: GangHold) -> JobReply:
         now = self._clock.wall()
         if not self._assigned.hear(message.shard, sender, message.epoch, message.until):
-            return JobWord(ok=False, detail="the shard has a later owner")
+            return JobReply(ok=False, detail="the shard has a later owner")
         if message.key in self._held_by_key:
-            return JobWord(ok=True)
+            return JobReply(ok=True)
         if not self._is_taking() or message.key in self._started or message.until <= now:
-            return JobWord(ok=False, detail="draining, started or too late")
+            return JobReply(ok=False, detail="draining, started or too late")
         tasks = tuple(unpack_tasks(message.groups))
         match self._core.hold(message.key, tasks, now, message.until):
             case Success(hold):
                 self._held_by_key[message.key] = HeldGang(
                     hold_id=hold.hold_id, shard=message.shard, tasks=tasks
                 )
-                return JobWord(ok=True)
+                return JobReply(ok=True)
             case Failure(error):
-                return JobWord(ok=False, detail=str(error))
-        return JobWord(ok=False)
+                return JobReply(ok=False, detail=str(error))
+        return JobReply(ok=False)
 
-    async def _on_start(self, sender: HostId, message: GangStart) -> JobWord:
+    async def _on_start(self, sender: HostId, message: GangStart) -> JobReply:
         now = self._clock.wall()
         if message.epoch < self._assigned.epoch_of(message.shard):
-            return JobWord(ok=False, detail="the shard has a later owner")
+            return JobReply(ok=False, detail="the shard has a later owner")
         if message.key in self._started:
-            return JobWord(ok=True)
+            return JobReply(ok=True)
         held = self._held_by_key.pop(message.key, None)
         if held is None:
-            return JobWord(ok=False, detail="not held, or no longer")
+            return JobReply(ok=False, detail="not held, or no longer")
         match self._core.start_hold(held.hold_id, now):
             case Success(decision):
                 self._remember(message.key)
                 self._take(message.shard, held.tasks)
                 self._carry_out(decision)
-                return JobWord(ok=True)
+                return JobReply(ok=True)
             case Failure(error):
-                return JobWord(ok=False, detail=str(error))
-        return JobWord(ok=False)
+                return JobReply(ok=False, detail=str(error))
+        return JobReply(ok=False)
 
     def _on_release(self, _sender: HostId, message: GangRelease) -> None:
         self._release(message.key)
--- a/src/galenastall/node/placement/start_settling.py
+++ b/src/galenastall/node/placement/start_settling.py
@@ -7,7 +7,7 @@
 from galenastall.coordination.placement.start_horizon import StartHorizon
 from galenastall.node.jobs.job_link import JobLink
 from galenastall.protocol.clock import Clock
-from galenastall.protocol.job_messages import StartsLeft, StartsLeftCall
+from galenastall.protocol.job_messages import PendingStarts, PendingStartsQuery
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.state.ids import Epoch, HostId, OwnableId, OwnableKind, make_ownable_id
 
@@ -40,7 +40,7 @@
         self._ownership = ownership
         self._link = link
         self._clock = clock
-        link.answer(StartsLeftCall, self._on_call)
+        link.answer(PendingStartsQuery, self._on_call)
 
     def begin(self, worker: HostId, epoch: Epoch, *, settle_s: float) -> None:
         """Begin to own a worker: whoever owned it before may have starts under way."""
@@ -67,16 +67,16 @@
         last_epoch, host = last
         if host == self._link.host_id:
             return
-        call = StartsLeftCall(worker_id=worker, epoch=last_epoch)
+        call = PendingStartsQuery(worker_id=worker, epoch=last_epoch)
         answered = await self._link.call(host, call)
         if isinstance(answered, Success) and answered.unwrap().left_s is not None:
             until = self._clock.wall() + answered.unwrap().left_s
             self._horizon.learn(worker, epoch=epoch, until=until)
 
-    async def _on_call(self, _sender: HostId, call: StartsLeftCall) -> StartsLeft:
+    async def _on_call(self, _sender: HostId, call: PendingStartsQuery) -> PendingStarts:
         """Answer for an epoch that is over here, since nothing more leaves under it."""
         ownable = make_ownable_id(OwnableKind.WORKER, call.worker_id)
         if self._ownership.may_act(ownable) is not None:
-            return StartsLeft(left_s=None)
+            return PendingStarts(left_s=None)
         now = self._clock.wall()
-        return StartsLeft(left_s=self._horizon.left_s(call.worker_id, epoch=call.epoch, now=now))
+        return PendingStarts(left_s=self._horizon.left_s(call.worker_id, epoch=call.epoch, now=now))
--- a/src/galenastall/node/placement/task_inbox.py
+++ b/src/galenastall/node/placement/task_inbox.py
@@ -11,7 +11,7 @@
 from galenastall.node.placement.held_gangs import HeldGangs
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.job_messages import (
-    JobWord,
+    JobReply,
     ShardCensus,
     ShardRecover,
     TaskAssign,
@@ -62,20 +62,20 @@
             self._gangs.release_shard(shard)
         return self._owner.assigned.hear(shard, owner, epoch, valid_until)
 
-    async def _on_assign(self, sender: HostId, message: TaskAssign) -> JobWord:
+    async def _on_assign(self, sender: HostId, message: TaskAssign) -> JobReply:
         if not self.hear(message.shard, sender, message.epoch, message.valid_until):
-            return JobWord(ok=False, detail="the shard has a later owner")
+            return JobReply(ok=False, detail="the shard has a later owner")
         if self._owner.is_draining:
-            return JobWord(ok=False, detail="this entry host drains")
+            return JobReply(ok=False, detail="this entry host drains")
         new, refused = self._owner.assigned.accept(message.shard, unpack_tasks(message.groups))
         self._owner.core.enqueue(new, self._clock.wall())
         self._owner.wake()
         self._owner.reporter.wake()
-        return JobWord(ok=True, refused=tuple(refused))
+        return JobReply(ok=True, refused=tuple(refused))
 
-    async def _on_stop(self, sender: HostId, message: TaskStop) -> JobWord:
+    async def _on_stop(self, sender: HostId, message: TaskStop) -> JobReply:
         if message.epoch < self._owner.assigned.epoch_of(message.shard):
-            return JobWord(ok=False, detail="the shard has a later owner")
+            return JobReply(ok=False, detail="the shard has a later owner")
         self._gangs.release_tasks(message.tasks)
         stopped = [
             each.task_id
@@ -85,7 +85,7 @@
         for task_id, verdict in self._owner.core.cancel(stopped, self._clock.wall()).items():
             self._on_cancelled(task_id, verdict)
         self._owner.wake()
-        return JobWord(ok=True)
+        return JobReply(ok=True)
 
     def _on_cancelled(self, task_id: TaskId, verdict: CancelVerdict) -> None:
         known = self._owner.assigned.get(task_id)
@@ -96,9 +96,9 @@
         elif verdict is CancelVerdict.NOT_HERE and known.report.kind is ReportKind.QUEUED:
             self._owner.note(known.task, ReportKind.RETURNED, detail="it was not queued any more")
 
-    async def _on_recall(self, sender: HostId, message: TaskRecall) -> JobWord:
+    async def _on_recall(self, sender: HostId, message: TaskRecall) -> JobReply:
         if message.epoch < self._owner.assigned.epoch_of(message.shard):
-            return JobWord(ok=False, detail="the shard has a later owner")
+            return JobReply(ok=False, detail="the shard has a later owner")
         known = (self._owner.assigned.get(each.task_id) for each in message.tasks)
         queued = [
             each.task
@@ -109,7 +109,7 @@
             and each.report.kind is ReportKind.QUEUED
         ]
         self.give_back(queued, "its shard's owner has room for it elsewhere", self._clock.wall())
-        return JobWord(ok=True)
+        return JobReply(ok=True)
 
     async def _on_recover(self, sender: HostId, message: ShardRecover) -> ShardCensus:
         if not self.hear(message.shard, sender, message.epoch, message.valid_until):
--- a/src/galenastall/node/placement/worker_service.py
+++ b/src/galenastall/node/placement/worker_service.py
@@ -32,7 +32,7 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink, NullEventSink
 from galenastall.protocol.job_messages import (
-    JobBeat,
+    JobHeartbeat,
 )
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.protocol.platform import WorkerService as WorkerCalls
@@ -188,7 +188,7 @@
         """Decide soon."""
         self._wake.set()
 
-    def hear_beat(self, sender: HostId, beat: JobBeat) -> None:
+    def hear_beat(self, sender: HostId, beat: JobHeartbeat) -> None:
         """Take a shard owner's beat: its assignments stay valid."""
         for each in beat.shards:
             self._inbox.hear(each.shard, sender, each.epoch, beat.valid_until)
--- a/src/galenastall/node/requests/key_owner.py
+++ b/src/galenastall/node/requests/key_owner.py
@@ -37,7 +37,7 @@
     KeyEntry,
     KeyFold,
     KeyIntent,
-    KeysCarried,
+    KeysCarriedForward,
     KeyShardOpened,
     KeyShardReady,
     entry_of,
@@ -224,7 +224,7 @@
         restored = shard.restore(entries)
         for first in range(0, len(restored), CARRY_CHUNK):
             chunk = restored[first : first + CARRY_CHUNK]
-            carried = KeysCarried(shard=name, epoch=epoch, entries=chunk)
+            carried = KeysCarriedForward(shard=name, epoch=epoch, entries=chunk)
             if not await self._append_until_done(name, epoch, carried):
                 return
         ready = KeyShardReady(
@@ -326,7 +326,7 @@
         pending = tuple(entries)
         for first in range(0, len(pending), CARRY_CHUNK):
             chunk = pending[first : first + CARRY_CHUNK]
-            record = KeysCarried(shard=shard.name, epoch=shard.epoch, entries=chunk)
+            record = KeysCarriedForward(shard=shard.name, epoch=shard.epoch, entries=chunk)
             appended = await self._appender.append(stream=self._stream, record=record)
             if isinstance(appended, Failure):
                 return False
--- a/src/galenastall/node/requests/key_service.py
+++ b/src/galenastall/node/requests/key_service.py
@@ -24,9 +24,9 @@
     KeyAnswerFetch,
     KeyAnswerKept,
     KeyEnd,
+    KeyEndAck,
     KeyHeld,
     KeyHold,
-    KeyNoted,
     KeyRead,
     KeyReadAnswer,
     KeyReserve,
@@ -218,7 +218,7 @@
 
     async def _on_end(self, sender: HostId, message: KeyEnd) -> Any:
         if await self.owner.end(message.ended):
-            return KeyNoted()
+            return KeyEndAck()
         return _error(Reason.NOT_OWNER, f"key shard {message.ended.shard}")
 
     async def _on_hold(self, sender: HostId, message: KeyHold) -> Any:
@@ -239,7 +239,7 @@
 
     async def _upkeep(self) -> None:
         wall = self._clock.wall()
-        self.fold.forget(wall=wall)
+        self.fold.drop_expired(wall=wall)
         self.held.forget(fold=self.fold, wall=wall)
         horizon = self._horizon()
         for owned in self.owner.owned():
--- a/src/galenastall/node/requests/permit_owner.py
+++ b/src/galenastall/node/requests/permit_owner.py
@@ -16,12 +16,12 @@
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.protocol.peers import PeerLink
 from galenastall.protocol.permit_messages import (
-    PermitAsks,
     PermitGrants,
     PermitLedgerAnswer,
     PermitLedgerCall,
     PermitReport,
     PermitReportCall,
+    PermitRequests,
     PermitReturn,
     PermitReturns,
 )
@@ -96,7 +96,7 @@
         """Permits that were never given back."""
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
-        peers.handle(PermitAsks, self._on_asks)
+        peers.handle(PermitRequests, self._on_asks)
         peers.handle(PermitReturns, self._on_returns)
         peers.handle(PermitLedgerCall, self._on_ledger_call)
 
@@ -132,7 +132,7 @@
             self.slots.set_leaving(upstream, self._is_leaving(upstream))
         self.grant()
 
-    def ask(self, *, client: HostId, asks: PermitAsks) -> None:
+    def ask(self, *, client: HostId, asks: PermitRequests) -> None:
         """Queue an entry host's asks, or refuse them if nothing here may be granted.
 
         Call `grant` after.
@@ -311,7 +311,7 @@
             now=self._clock.now(),
         )
 
-    async def _on_asks(self, sender: HostId, asks: PermitAsks) -> None:
+    async def _on_asks(self, sender: HostId, asks: PermitRequests) -> None:
         self.ask(client=sender, asks=asks)
         self.grant()
 
--- a/src/galenastall/node/requests/permit_service.py
+++ b/src/galenastall/node/requests/permit_service.py
@@ -17,11 +17,11 @@
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.protocol.peers import PeerLink
 from galenastall.protocol.permit_messages import (
-    PermitAsk,
-    PermitAsks,
     PermitGrants,
     PermitReport,
     PermitReportCall,
+    PermitRequest,
+    PermitRequests,
     PermitReturn,
     PermitReturns,
 )
@@ -92,7 +92,7 @@
         self._heard_at_by_id: dict[HostId, float] = {}
         self._left_words: dict[HostId, float] = {}
         self._seen_at_by_client: dict[HostId, float] = {}
-        self._asks_by_owner: defaultdict[HostId, list[PermitAsk]] = defaultdict(list)
+        self._asks_by_owner: defaultdict[HostId, list[PermitRequest]] = defaultdict(list)
         self._returns_by_owner: defaultdict[HostId, list[PermitReturn]] = defaultdict(list)
         self._flush = trio.Event()
         self.unused = 0
@@ -230,9 +230,9 @@
     def _ask_one(self, urgency: Urgency, avoid: tuple[HostId, ...]) -> bool:
         owner = self._choose(avoid)
         ask_id = self._holder.ask(owner=owner, now=self._clock.now())
-        ask = PermitAsk(ask_id=ask_id, urgency=urgency, avoid=avoid)
+        ask = PermitRequest(ask_id=ask_id, urgency=urgency, avoid=avoid)
         if owner == self._me:
-            self.owner.ask(client=owner, asks=PermitAsks(asks=(ask,)))
+            self.owner.ask(client=owner, asks=PermitRequests(asks=(ask,)))
             return True
         self._note_asked(owner)
         self._asks_by_owner[owner].append(ask)
@@ -362,7 +362,7 @@
             for owner, given_back in returns.items():
                 self._peers.send(peer=owner, message=PermitReturns(returns=tuple(given_back)))
             for owner, wanted in asks.items():
-                self._peers.send(peer=owner, message=PermitAsks(asks=tuple(wanted)))
+                self._peers.send(peer=owner, message=PermitRequests(asks=tuple(wanted)))
 
 
 def _takes_nothing(_permit: Permit) -> bool:
--- a/src/galenastall/node/settings/settings_catch_up.py
+++ b/src/galenastall/node/settings/settings_catch_up.py
@@ -21,7 +21,7 @@
     SettingsFetch,
     SettingsFetched,
     SettingsPosition,
-    SettingsPositionAsk,
+    SettingsPositionQuery,
 )
 from galenastall.state.ids import SETTINGS_STREAM, HostId, Offset, RecordId
 from galenastall.state.records import LoggedRecord, UnknownRecord
@@ -104,7 +104,7 @@
         self.digest_mismatches = 0
         """Positions heard with this entry host's offset and another digest, for metrics."""
         peers.handle(SettingsPosition, self._heard)
-        peers.handle(SettingsPositionAsk, self._asked)
+        peers.handle(SettingsPositionQuery, self._asked)
         peers.handle(SettingsFetch, self._fetch_asked)
 
     def position(self) -> SettingsPosition:
@@ -119,7 +119,7 @@
         """Return why this entry host must not serve by its settings; empty if it may."""
         self._note_log()
         if not self._is_caught_up:
-            if self._follower.tip_read_at is not None:
+            if self._follower.log_end_read_at is not None:
                 return ("the log keeps no snapshot of the settings that joins its records",)
             return ("no settings yet, neither from the log nor from a peer",)
         if self._is_outvoted():
@@ -146,12 +146,12 @@
 
     async def _ask_all(self, ids: Collection[HostId]) -> None:
         """Take the highest state of the peers that answer, while the log can't be read."""
-        if self._follower.tip_read_at is None and self._is_log_up():
+        if self._follower.log_end_read_at is None and self._is_log_up():
             return
 
         async def ask(peer: HostId) -> None:
             answer = await self._peers.call(
-                peer=peer, message=SettingsPositionAsk(), timeout_s=CALL_TIMEOUT_S
+                peer=peer, message=SettingsPositionQuery(), timeout_s=CALL_TIMEOUT_S
             )
             match answer:
                 case Success(SettingsPosition(is_ready=True) as position):
@@ -258,6 +258,6 @@
 
     def _note_log(self) -> None:
         """Count as caught up once all that the log had at a read of its tip is folded."""
-        if self._follower.tip_read_at is None or self._is_caught_up:
+        if self._follower.log_end_read_at is None or self._is_caught_up:
             return
         self._is_caught_up = self._fold.next_offset >= self._follower.next_offset
--- a/src/galenastall/node/settings/settings_mapping.py
+++ b/src/galenastall/node/settings/settings_mapping.py
@@ -24,7 +24,7 @@
     PERMIT_CAP_S,
     SharedSettings,
     TeamSettings,
-    fill,
+    build_from_section,
 )
 from galenastall.state.work import JobSpec, Urgency
 
@@ -43,7 +43,7 @@
 
 def make_ownership_timings(shared: SharedSettings) -> OwnershipTimings:
     """Return the timings that owners, members and claimants go by."""
-    return fill(OwnershipTimings, shared.ownership)
+    return build_from_section(OwnershipTimings, shared.ownership)
 
 
 def make_worker_timings(shared: SharedSettings) -> WorkerTimings:
@@ -71,7 +71,7 @@
     """Return what the placement core goes by."""
     shares_by_path = {path: _share(team) for path, team in shared.teams_by_path.items()}
     return replace(
-        fill(PlacementSettings, shared.placement),
+        build_from_section(PlacementSettings, shared.placement),
         policies_by_class=_known_policies(shared),
         teams_by_path=shares_by_path,
         starvation_s=shared.classes.normal.starvation_s,
@@ -96,9 +96,9 @@
             },
             lower_class_every=queue.lower_class_every,
         ),
-        permits=fill(PermitLimits, requests.permits, longest_cap_s=PERMIT_CAP_S),
-        retries=fill(RetryLimits, requests.retries),
-        ejection=fill(EjectionLimits, requests.ejection),
+        permits=build_from_section(PermitLimits, requests.permits, longest_cap_s=PERMIT_CAP_S),
+        retries=build_from_section(RetryLimits, requests.retries),
+        ejection=build_from_section(EjectionLimits, requests.ejection),
         keys=KeyRules(memory_s=requests.key_memory_s),
         key_homes=tuple(
             KeyHomes(since=since, data_centres=names) for since, names in key_homes_of(shared)
--- a/src/galenastall/node/timeline/timeline_service.py
+++ b/src/galenastall/node/timeline/timeline_service.py
@@ -89,4 +89,4 @@
             events = self._ring.about(query.subject, limit=limit, with_parts=query.with_parts)
         else:
             events = self._ring.latest(limit)
-        return TimelineEvents(events=events, is_forgetful=self._ring.forgotten > 0)
+        return TimelineEvents(events=events, is_forgetful=self._ring.evicted > 0)
--- a/src/galenastall/protocol/amount_rows.py
+++ b/src/galenastall/protocol/amount_rows.py
@@ -14,7 +14,7 @@
     accelerators: int
 
 
-class HoleRow(msgspec.Struct, frozen=True, array_like=True):
+class LargestAmountRow(msgspec.Struct, frozen=True, array_like=True):
     """One hole: the resource in which it is the largest, and the room."""
 
     by: str
@@ -27,8 +27,8 @@
     workers: int
     capacity: AmountRow
     free: AmountRow
-    holes: tuple[HoleRow, ...]
-    largest_worker: tuple[HoleRow, ...]
+    holes: tuple[LargestAmountRow, ...]
+    largest_worker: tuple[LargestAmountRow, ...]
     waiting_by_class: dict[str, int]
     running: int
     oldest_wait_s: float
@@ -52,8 +52,8 @@
         summary.workers,
         pack_amount(summary.capacity),
         pack_amount(summary.free),
-        tuple(_pack_hole(hole) for hole in summary.holes),
-        tuple(_pack_hole(hole) for hole in summary.largest_worker),
+        tuple(_pack_largest(largest) for largest in summary.holes),
+        tuple(_pack_largest(largest) for largest in summary.largest_worker),
         dict(summary.waiting_by_class),
         summary.running,
         round(summary.oldest_wait_s, 3),
@@ -66,17 +66,17 @@
         workers=row.workers,
         capacity=unpack_amount(row.capacity),
         free=unpack_amount(row.free),
-        holes=tuple(_unpack_hole(hole) for hole in row.holes),
-        largest_worker=tuple(_unpack_hole(hole) for hole in row.largest_worker),
+        holes=tuple(_unpack_largest(largest) for largest in row.holes),
+        largest_worker=tuple(_unpack_largest(largest) for largest in row.largest_worker),
         waiting_by_class=row.waiting_by_class,
         running=row.running,
         oldest_wait_s=row.oldest_wait_s,
     )
 
 
-def _pack_hole(hole: Hole) -> HoleRow:
-    return HoleRow(hole.by, pack_amount(hole.free))
+def _pack_largest(largest: Hole) -> LargestAmountRow:
+    return LargestAmountRow(largest.by, pack_amount(largest.free))
 
 
-def _unpack_hole(row: HoleRow) -> Hole:
+def _unpack_largest(row: LargestAmountRow) -> Hole:
     return Hole(by=row.by, free=unpack_amount(row.free))
--- a/src/galenastall/protocol/job_messages.py
+++ b/src/galenastall/protocol/job_messages.py
@@ -21,7 +21,7 @@
 
 @PEER_MESSAGES.register("job_beat")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class JobBeat:
+class JobHeartbeat:
     """One-way, to every entry host of the data centre at each beat.
 
     Keeps assignments valid, tells the capacity of the sender's workers, and which workers of others
@@ -71,7 +71,7 @@
 
 @PEER_MESSAGES.register("job_word")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class JobWord:
+class JobReply:
     """Answer: whether the message was accepted, and if not why."""
 
     ok: bool
@@ -111,7 +111,7 @@
 @PEER_MESSAGES.register("shard_recover")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardRecover:
-    """Say all that you have of this shard; answered by HostCensus.
+    """Say all that you have of this shard; answered by ShardCensus.
 
     Under a higher epoch than before, queued tasks of the shard are dropped first.
     """
@@ -190,7 +190,7 @@
 
 @PEER_MESSAGES.register("job_ask")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class JobAsk:
+class JobQuery:
     """How does a job of a shard that you own stand? Answered by JobView."""
 
     job_id: JobId
@@ -242,8 +242,8 @@
 
 @PEER_MESSAGES.register("starts_left_call")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StartsLeftCall:
-    """A worker's new owner asks the last one; answered by StartsLeft."""
+class PendingStartsQuery:
+    """A worker's new owner asks the last one; answered by PendingStarts."""
 
     worker_id: HostId
     epoch: Epoch
@@ -252,7 +252,7 @@
 
 @PEER_MESSAGES.register("starts_left")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StartsLeft:
+class PendingStarts:
     """For how long starts sent up to that epoch may still take effect."""
 
     left_s: float | None
--- a/src/galenastall/protocol/key_messages.py
+++ b/src/galenastall/protocol/key_messages.py
@@ -40,7 +40,7 @@
 
 @PEER_MESSAGES.register("key_noted")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeyNoted:
+class KeyEndAck:
     """The owner took in a request's end."""
 
 
--- a/src/galenastall/protocol/listing_changes.py
+++ b/src/galenastall/protocol/listing_changes.py
@@ -26,7 +26,7 @@
         before = known.get(task_id)
         if before == row:
             continue
-        if before is not None and _with_measures_of(before, row) == row:
+        if before is not None and _with_measurements_of(before, row) == row:
             changed.append((task_id, row.lease_until, row.used))
         else:
             new.append(row)
@@ -52,7 +52,7 @@
         row = known.get(task_id)
         if row is None:
             return None
-        known[task_id] = _measured(row, lease_until, used)
+        known[task_id] = _with_measurements(row, lease_until, used)
     known.update((row.task.task_id, row) for row in answer.running)
     return replace(answer, running=tuple(known.values()), base="", changed=(), gone=())
 
@@ -62,11 +62,11 @@
     return rows if len(rows) == len(listing.running) else None
 
 
-def _with_measures_of(row: RunningTask, other: RunningTask) -> RunningTask:
-    return _measured(row, other.lease_until, other.used)
+def _with_measurements_of(row: RunningTask, other: RunningTask) -> RunningTask:
+    return _with_measurements(row, other.lease_until, other.used)
 
 
-def _measured(row: RunningTask, lease_until: float, used: Resources) -> RunningTask:
+def _with_measurements(row: RunningTask, lease_until: float, used: Resources) -> RunningTask:
     """Return the row with other measures; `replace` takes several times as long."""
     return RunningTask(
         task=row.task,
--- a/src/galenastall/protocol/log_access.py
+++ b/src/galenastall/protocol/log_access.py
@@ -38,7 +38,7 @@
         """Offset of the next record to fold."""
 
     @property
-    def tip_read_at(self) -> float | None:
+    def log_end_read_at(self) -> float | None:
         """Runtime time at which the last read that reached the tip was SENT; None if never."""
 
     def subscribe(self, fold: RecordFold) -> None:
--- a/src/galenastall/protocol/permit_messages.py
+++ b/src/galenastall/protocol/permit_messages.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PermitAsk:
+class PermitRequest:
     """One permit wanted, of any upstream of the owner."""
 
     ask_id: int
@@ -25,10 +25,10 @@
 
 @PEER_MESSAGES.register("permit_asks")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PermitAsks:
+class PermitRequests:
     """Many asks at once."""
 
-    asks: tuple[PermitAsk, ...]
+    asks: tuple[PermitRequest, ...]
 
 
 @PEER_MESSAGES.register("permit_grants")
--- a/src/galenastall/protocol/settings_messages.py
+++ b/src/galenastall/protocol/settings_messages.py
@@ -20,7 +20,7 @@
 
 @PEER_MESSAGES.register("settings_position_ask")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SettingsPositionAsk:
+class SettingsPositionQuery:
     """Asks for a position."""
 
 
--- a/src/galenastall/state/job_fold.py
+++ b/src/galenastall/state/job_fold.py
@@ -12,16 +12,16 @@
 
 from galenastall.state.ids import HostId, JobId, Offset
 from galenastall.state.job_records import (
+    AssignedRanges,
     EndedRanges,
-    GivenRanges,
     IndexRange,
     JobAccepted,
     JobCancelled,
     JobCompacted,
     JobEnded,
     JobVerdict,
+    TasksAssigned,
     TasksEnded,
-    TasksGiven,
     WorkersChanged,
 )
 from galenastall.state.records import LoggedRecord
@@ -36,9 +36,9 @@
 }
 """A higher code wins: a task thought unknown that turns out done is done."""
 PHASES_BY_CODE: Final = {code: phase for phase, code in CODES_BY_PHASE.items()}
-ENDED_JOBS_KEPT: Final = 20_000
+MAX_ENDED_JOBS: Final = 20_000
 """Ended jobs kept for callers' questions, a day and a half at 12,000 jobs a day."""
-ORPHANS_KEPT: Final = 20_000
+MAX_ORPHANS: Final = 20_000
 """Jobs whose ends came before their compacted record; older ones belong to ended jobs."""
 
 
@@ -99,7 +99,7 @@
             for index in range(max(each.start, 0), min(each.stop, len(self.codes))):
                 self.codes[index] = max(self.codes[index], code)
 
-    def give(self, ranges: tuple[IndexRange, ...]) -> None:
+    def mark_assigned(self, ranges: tuple[IndexRange, ...]) -> None:
         """Mark tasks as given out; of no meaning for tasks that may run twice."""
         for each in ranges:
             for index in range(max(each.start, 0), min(each.stop, len(self.given))):
@@ -171,25 +171,25 @@
 class JobFold:
     """All live jobs of a data centre and the latest ended ones."""
 
-    def __init__(self, *, ended_kept: int = ENDED_JOBS_KEPT) -> None:
+    def __init__(self, *, max_ended: int = MAX_ENDED_JOBS) -> None:
         """Start empty; `ended_kept` bounds how many ended jobs are remembered."""
         self.live_by_id: dict[JobId, JobState] = {}
         self.ended_by_id: OrderedDict[JobId, JobState] = OrderedDict()
         self.renewed_at_by_id: dict[JobId, Offset] = {}
         """Offset of the newest record that holds each live job's spec."""
-        self._ended_kept = ended_kept
+        self._max_ended = max_ended
         self._ended_ids: OrderedDict[JobId, JobEnded] = OrderedDict()
         self.gone_at_by_worker: dict[HostId, float | None] = {}
         """Workers that were ever listed; wall time at which one was gone, or None."""
-        self._orphans: OrderedDict[JobId, list[EndedRanges | GivenRanges]] = OrderedDict()
+        self._orphans: OrderedDict[JobId, list[EndedRanges | AssignedRanges]] = OrderedDict()
         self._orphan_cancels: OrderedDict[JobId, None] = OrderedDict()
         self._listeners: list[JobListener] = []
         self._apply_by_type: dict[type[Any], Callable[[Any, Offset], None]] = {
             JobAccepted: self._accept,
-            JobCompacted: self._take_compacted,
+            JobCompacted: self._apply_compacted,
             JobCancelled: self._cancel,
             TasksEnded: self._end_tasks,
-            TasksGiven: self._give_tasks,
+            TasksAssigned: self._assign_tasks,
             WorkersChanged: self._change_workers,
             JobEnded: self._end,
         }
@@ -224,7 +224,7 @@
         state = JobState(spec=record.spec, accepted_at=offset, was_held=record.was_held)
         self._add(state, offset)
 
-    def _take_compacted(self, record: JobCompacted, offset: Offset) -> None:
+    def _apply_compacted(self, record: JobCompacted, offset: Offset) -> None:
         job_id = record.spec.job_id
         if job_id in self._ended_ids:
             return
@@ -236,7 +236,7 @@
         job.cancelled = job.cancelled or record.cancelled
         for end in record.ends:
             job.merge(end.phase, end.ranges)
-        job.give(record.given)
+        job.mark_assigned(record.given)
         if is_new:
             self._add(job, offset)
             return
@@ -250,7 +250,7 @@
             if isinstance(orphan, EndedRanges):
                 job.merge(orphan.phase, orphan.ranges)
             else:
-                job.give(orphan.ranges)
+                job.mark_assigned(orphan.ranges)
         if job_id in self._orphan_cancels:
             del self._orphan_cancels[job_id]
             job.cancelled = True
@@ -262,7 +262,7 @@
         if job is None:
             if record.job_id not in self._ended_ids:
                 self._orphan_cancels[record.job_id] = None
-                _trim(self._orphan_cancels, ORPHANS_KEPT)
+                _evict_oldest(self._orphan_cancels, MAX_ORPHANS)
             return
         if job.cancelled:
             return
@@ -279,16 +279,16 @@
                     listener.on_tasks_ended(end)
             elif end.job_id not in self._ended_ids:
                 self._orphans.setdefault(end.job_id, []).append(end)
-        _trim(self._orphans, ORPHANS_KEPT)
+        _evict_oldest(self._orphans, MAX_ORPHANS)
 
-    def _give_tasks(self, record: TasksGiven, _offset: Offset) -> None:
+    def _assign_tasks(self, record: TasksAssigned, _offset: Offset) -> None:
         for given in record.given:
             job = self.live_by_id.get(given.job_id)
             if job is not None:
-                job.give(given.ranges)
+                job.mark_assigned(given.ranges)
             elif given.job_id not in self._ended_ids:
                 self._orphans.setdefault(given.job_id, []).append(given)
-        _trim(self._orphans, ORPHANS_KEPT)
+        _evict_oldest(self._orphans, MAX_ORPHANS)
 
     def _change_workers(self, record: WorkersChanged, _offset: Offset) -> None:
         for worker in record.seen:
@@ -300,7 +300,7 @@
         if record.job_id in self._ended_ids:
             return
         self._ended_ids[record.job_id] = record
-        _trim(self._ended_ids, self._ended_kept)
+        _evict_oldest(self._ended_ids, self._max_ended)
         self._orphans.pop(record.job_id, None)
         self._orphan_cancels.pop(record.job_id, None)
         job = self.live_by_id.pop(record.job_id, None)
@@ -309,11 +309,11 @@
         del self.renewed_at_by_id[record.job_id]
         job.end = JobEnd(verdict=record.verdict, detail=record.detail, at=record.at)
         self.ended_by_id[record.job_id] = job
-        _trim(self.ended_by_id, self._ended_kept)
+        _evict_oldest(self.ended_by_id, self._max_ended)
         for listener in self._listeners:
             listener.on_ended(job)
 
 
-def _trim(kept: OrderedDict[Any, Any], most: int) -> None:
-    while len(kept) > most:
+def _evict_oldest(kept: OrderedDict[Any, Any], limit: int) -> None:
+    while len(kept) > limit:
         kept.popitem(last=False)
--- a/src/galenastall/state/job_records.py
+++ b/src/galenastall/state/job_records.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class GivenRanges:
+class AssignedRanges:
     """Tasks of one job that may be given to worker owners from now on."""
 
     job_id: JobId
@@ -81,14 +81,14 @@
 
 @RECORDS.register("job.tasks_given")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TasksGiven:
+class TasksAssigned:
     """Written before tasks that must not run twice are given out for the first time.
 
     Whatever is not in such a record has provably never run, whoever owned the shard.
     """
 
     shard: int
-    given: tuple[GivenRanges, ...]
+    given: tuple[AssignedRanges, ...]
 
 
 @RECORDS.register("job.workers")
--- a/src/galenastall/state/key_fold.py
+++ b/src/galenastall/state/key_fold.py
@@ -77,7 +77,7 @@
 
 @RECORDS.register("keys_carried")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeysCarried:
+class KeysCarriedForward:
     """Keys written once more, compactly, before the log trims their first records."""
 
     shard: str
@@ -140,10 +140,10 @@
             case KeyShardReady():
                 self._ready(record)
             case KeyIntent():
-                self._intend(record, logged.offset)
+                self._record_intent(record, logged.offset)
             case KeyEnded():
                 self._end(record)
-            case KeysCarried():
+            case KeysCarriedForward():
                 self._carry(record, logged.offset)
             case _:
                 return
@@ -168,7 +168,7 @@
             if first < offset:
                 yield state.entries_by_key[key]
 
-    def forget(self, *, wall: float) -> int:
+    def drop_expired(self, *, wall: float) -> int:
         """Drop keys past their time; return how many."""
         dropped = 0
         for state in self._shards_by_name.values():
@@ -196,7 +196,7 @@
         state.serving = record
         state.incomplete_until = max(state.incomplete_until, record.incomplete_until)
 
-    def _intend(self, record: KeyIntent, offset: Offset) -> None:
+    def _record_intent(self, record: KeyIntent, offset: Offset) -> None:
         state = self.shard(record.shard)
         if state.opened is None or record.epoch != state.opened.epoch:
             return
@@ -211,9 +211,9 @@
         known = entries.get(record.key)
         if known is None or known.request_id != record.request_id:
             return
-        entries[record.key] = ended(known, outcome=record.outcome, status=record.status)
+        entries[record.key] = with_outcome(known, outcome=record.outcome, status=record.status)
 
-    def _carry(self, record: KeysCarried, offset: Offset) -> None:
+    def _carry(self, record: KeysCarriedForward, offset: Offset) -> None:
         state = self.shard(record.shard)
         if state.opened is not None and record.epoch < state.opened.epoch:
             return
@@ -249,7 +249,7 @@
     )
 
 
-def ended(entry: KeyEntry, *, outcome: Outcome, status: int) -> KeyEntry:
+def with_outcome(entry: KeyEntry, *, outcome: Outcome, status: int) -> KeyEntry:
     """Return the entry with its outcome; a recorded outcome stands."""
     if entry.outcome is not None:
         return entry
--- a/src/galenastall/state/key_home_history.py
+++ b/src/galenastall/state/key_home_history.py
@@ -10,7 +10,7 @@
 from galenastall.state.ids import DataCentre
 from galenastall.state.shared_settings import SharedSettings
 
-LEAD_S: Final = 7200.0
+LEAD_TIME_S: Final = 7200.0
 """Seconds between a change and the first key that it concerns.
 
 A data centre that is cut off for longer than this could go by an outdated list.
@@ -43,7 +43,7 @@
     return (
         "key_homes: must keep what it holds, as idempotency keys would move otherwise; to change"
         " data_centres, first set key_homes to one entry since 0 with today's data centres, then"
-        f" append one whose since lies at least {LEAD_S:.0f} s ahead"
+        f" append one whose since lies at least {LEAD_TIME_S:.0f} s ahead"
     )
 
 
@@ -53,8 +53,8 @@
     if not old:
         return None
     for since, names in new[len(old) :]:
-        if since < now + LEAD_S:
-            return f"key_homes.since: {since}; allowed: at least {now + LEAD_S:.0f}"
+        if since < now + LEAD_TIME_S:
+            return f"key_homes.since: {since}; allowed: at least {now + LEAD_TIME_S:.0f}"
         unknown = sorted(set(names) - set(after.data_centres))
         if unknown:
             return f"key_homes.data_centres: {unknown[0]!r} is not under data_centres"
--- a/src/galenastall/state/ledger.py
+++ b/src/galenastall/state/ledger.py
@@ -67,7 +67,7 @@
             raise ValueError(f"phase: a reservation can't begin as {phase.name}")
         if task_id in self._entries_by_task or not self.fits(amount):
             return False
-        self._take(amount)
+        self._subtract(amount)
         self._entries_by_task[task_id] = LedgerEntry(amount=amount, phase=phase)
         return True
 
@@ -77,11 +77,11 @@
             raise ValueError(f"amount: {amount} is negative")
         if task_id in self._entries_by_task:
             return False
-        self._take(amount)
+        self._subtract(amount)
         self._entries_by_task[task_id] = LedgerEntry(amount=amount, phase=LedgerPhase.RUNNING)
         return True
 
-    def move(self, task_id: TaskId, phase: LedgerPhase) -> bool:
+    def set_phase(self, task_id: TaskId, phase: LedgerPhase) -> bool:
         """Change why a task's amount is taken; return False for an impossible change."""
         entry = self._entries_by_task.get(task_id)
         if entry is None or phase not in _NEXT_PHASES[entry.phase]:
@@ -96,9 +96,9 @@
             return False
         grown = amount - entry.amount
         is_smaller = amount.fits_in(entry.amount)
-        if not is_smaller and (self.is_overcommitted or not self._has_room(grown)):
+        if not is_smaller and (self.is_overcommitted or not self._has_capacity(grown)):
             return False
-        self._take(grown)
+        self._subtract(grown)
         entry.amount = amount
         return True
 
@@ -117,7 +117,7 @@
         """Return whether `amount` could be reserved now; raises ValueError for a negative one."""
         if amount.is_negative():
             raise ValueError(f"amount: {amount} is negative")
-        return not self.is_overcommitted and self._has_room(amount)
+        return not self.is_overcommitted and self._has_capacity(amount)
 
     @property
     def is_overcommitted(self) -> bool:
@@ -147,14 +147,14 @@
     def __contains__(self, task_id: object) -> bool:
         return task_id in self._entries_by_task
 
-    def _has_room(self, amount: Resources) -> bool:
+    def _has_capacity(self, amount: Resources) -> bool:
         return (
             amount.cores_milli <= max(self.free_cores, 0)
             and amount.memory_mb <= max(self.free_memory, 0)
             and amount.accelerators <= max(self.free_accelerators, 0)
         )
 
-    def _take(self, amount: Resources) -> None:
+    def _subtract(self, amount: Resources) -> None:
         self.free_cores -= amount.cores_milli
         self.free_memory -= amount.memory_mb
         self.free_accelerators -= amount.accelerators
--- a/src/galenastall/state/ownership_fold.py
+++ b/src/galenastall/state/ownership_fold.py
@@ -18,16 +18,16 @@
     OwnableGroup,
     OwnableState,
     OwnershipSnapshot,
-    Reroster,
     RosterEntry,
     Tenure,
+    UpdateRoster,
 )
 from galenastall.state.records import LoggedRecord
 
-FREE_KEPT: Final = 1024
+MAX_FREE_OWNABLES: Final = 1024
 """Ownables set free that are remembered, so that their claims still fence late readers."""
 
-OWNERSHIP_RECORDS: Final = (Join, Leave, Claim, Activate, Reroster, HandOver, OwnershipSnapshot)
+OWNERSHIP_RECORDS: Final = (Join, Leave, Claim, Activate, UpdateRoster, HandOver, OwnershipSnapshot)
 """What this fold reads; everything else in the stream is passed over."""
 
 
@@ -50,14 +50,14 @@
         self.known_from = Offset(0)
         """Claims below this may have been forgotten, with the ownables that they set free."""
         self._read_from = Offset(0)
-        self._waiting: list[LoggedRecord] = []
+        self._pending: list[LoggedRecord] = []
         self._touched: set[OwnableId] = set()
         self._apply_by_type: dict[type[Any], Callable[[Offset, Any], None]] = {
             Join: self._join,
             Leave: self._leave,
             Claim: self._claim,
             Activate: self._activate,
-            Reroster: self._reroster,
+            UpdateRoster: self._update_roster,
             HandOver: self._hand_over,
         }
 
@@ -68,18 +68,18 @@
         self.read_to(logged.offset)
         self.next_offset = Offset(logged.offset + 1)
         if isinstance(logged.record, OwnershipSnapshot):
-            self._snapshot(logged.record)
+            self._apply_snapshot(logged.record)
         elif not isinstance(logged.record, OWNERSHIP_RECORDS):
             return
         elif self.is_complete:
             self._apply_record(logged)
         else:
-            self._waiting.append(logged)
+            self._pending.append(logged)
 
     def read_to(self, offset: Offset) -> None:
         """Take note that all records below `offset` were fed; what is missing was trimmed."""
         if offset > self.next_offset:
-            self._start_over(offset)
+            self._reset(offset)
 
     def skip_to(self, offset: Offset) -> None:
         """Pass over records known to be none of this fold's; never goes back."""
@@ -121,22 +121,22 @@
     def _apply_record(self, logged: LoggedRecord) -> None:
         self._apply_by_type[type(logged.record)](logged.offset, logged.record)
 
-    def _start_over(self, offset: Offset) -> None:
+    def _reset(self, offset: Offset) -> None:
         self.next_offset = self._read_from = offset
         self._touched.update(self.state_by_ownable)
         self.is_complete = False
         self.roster_by_incarnation = {}
         self.state_by_ownable = {}
         self.max_claim_epoch = Epoch(-1)
-        self._waiting = []
+        self._pending = []
 
-    def _snapshot(self, snapshot: OwnershipSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: OwnershipSnapshot) -> None:
         if self.is_complete:
             self.last_snapshot_covers = max(self.last_snapshot_covers, snapshot.covers)
             return
         if snapshot.covers < self._read_from:
             return
-        waiting, self._waiting = self._waiting, []
+        waiting, self._pending = self._pending, []
         self.is_complete = True
         self.last_snapshot_covers = snapshot.covers
         self.roster_by_incarnation = {e.member.incarnation: e for e in snapshot.roster}
@@ -198,34 +198,34 @@
             tenure = Tenure(owner=activate.by, epoch=claim.epoch, members=activate.members)
             self._set(ownable, OwnableState(tenure=tenure, claim=claim))
 
-    def _takes_generation(self, member: Member, generation: int) -> bool:
+    def _accept_generation(self, member: Member, generation: int) -> bool:
         entry = self.roster_by_incarnation.get(member.incarnation)
         if entry is None or generation <= entry.generation:
             return False
         self.roster_by_incarnation[member.incarnation] = replace(entry, generation=generation)
         return True
 
-    def _reroster(self, offset: Offset, reroster: Reroster) -> None:
-        if not self._takes_generation(reroster.by, reroster.generation):
+    def _update_roster(self, offset: Offset, update: UpdateRoster) -> None:
+        if not self._accept_generation(update.by, update.generation):
             return
         for ownable, state in list(self.state_by_ownable.items()):
             tenure = state.tenure
-            if tenure is None or tenure.owner != reroster.by or not state.is_settled:
+            if tenure is None or tenure.owner != update.by or not state.is_settled:
                 continue
-            tenure = replace(tenure, members=reroster.members)
+            tenure = replace(tenure, members=update.members)
             self._set(ownable, replace(state, tenure=tenure))
 
     def _hand_over(self, offset: Offset, handover: HandOver) -> None:
-        if not self._takes_generation(handover.by, handover.generation):
+        if not self._accept_generation(handover.by, handover.generation):
             return
-        for gift in handover.gifts:
-            for ownable in gift.ownables:
+        for transfer in handover.gifts:
+            for ownable in transfer.ownables:
                 state = self.state_by_ownable.get(ownable)
                 if state and state.claim.by == handover.by and state.is_settled:
-                    self._give(ownable, offset, gift.to, handover.members)
-        self._forget_free()
+                    self._transfer(ownable, offset, transfer.to, handover.members)
+        self._evict_free()
 
-    def _give(
+    def _transfer(
         self, ownable: OwnableId, offset: Offset, to: Member | None, members: Members
     ) -> None:
         epoch = Epoch(offset)
@@ -235,12 +235,12 @@
         tenure = Tenure(owner=to, epoch=epoch, members=members)
         self._set(ownable, OwnableState(tenure=tenure, claim=Claimed(by=to, epoch=epoch)))
 
-    def _forget_free(self) -> None:
+    def _evict_free(self) -> None:
         free = sorted(
             (state.claim.epoch, ownable)
             for ownable, state in self.state_by_ownable.items()
             if state.is_free
         )
-        for epoch, ownable in free[: max(0, len(free) - FREE_KEPT)]:
+        for epoch, ownable in free[: max(0, len(free) - MAX_FREE_OWNABLES)]:
             del self.state_by_ownable[ownable]
             self.known_from = max(self.known_from, Offset(epoch + 1))
--- a/src/galenastall/state/ownership_records.py
+++ b/src/galenastall/state/ownership_records.py
@@ -68,7 +68,7 @@
 
 @RECORDS.register("ownership.reroster")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Reroster:
+class UpdateRoster:
     """Replace the roster of all that a member owns uncontested.
 
     Void unless `generation` is above that of the member's last record that has one.
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Gift:
+class OwnershipTransfer:
     """What one member is given; without `to` the ownables become free."""
 
     to: Member | None
@@ -92,12 +92,12 @@
 class HandOver:
     """Make others the owners at once: the giver stopped acting before it wrote this.
 
-    Void like a Reroster.
+    Void like an UpdateRoster.
     """
 
     by: Member
     generation: int
-    gifts: tuple[Gift, ...]
+    gifts: tuple[OwnershipTransfer, ...]
     members: Members
 
 
--- a/src/galenastall/state/resources.py
+++ b/src/galenastall/state/resources.py
@@ -36,23 +36,23 @@
             accelerators=self.accelerators * count,
         )
 
-    def fits_in(self, room: "Resources") -> bool:
+    def fits_in(self, available: "Resources") -> bool:
         """Return whether `room` holds at least this much of each resource."""
         return (
-            self.cores_milli <= room.cores_milli
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cores_milli <= available.cores_milli
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
-    def count_in(self, room: "Resources", most: int) -> int:
+    def count_in(self, available: "Resources", limit: int) -> int:
         """Return how many times this amount fits into `room`, `most` at the highest."""
-        count = most
+        count = limit
         if self.cores_milli:
-            count = min(count, room.cores_milli // self.cores_milli)
+            count = min(count, available.cores_milli // self.cores_milli)
         if self.memory_mb:
-            count = min(count, room.memory_mb // self.memory_mb)
+            count = min(count, available.memory_mb // self.memory_mb)
         if self.accelerators:
-            count = min(count, room.accelerators // self.accelerators)
+            count = min(count, available.accelerators // self.accelerators)
         return max(count, 0)
 
     def is_negative(self) -> bool:
--- a/src/galenastall/state/settings_authority.py
+++ b/src/galenastall/state/settings_authority.py
@@ -12,7 +12,7 @@
 _TEAMS = "teams"
 
 
-def find_objection(
+def find_denial_reason(
     *, before: SharedSettings, after: SharedSettings, path: str, author: str
 ) -> str | None:
     """Return why `author` may not make this change, None if it is allowed.
@@ -25,13 +25,13 @@
     chain = tuple(_teams_on(before, split_path(path)))
     owned = next((found for found in chain if author in found[1].owners), None)
     if owned is not None:
-        return _grant_objection(after, owned)
+        return _grant_denial_reason(after, owned)
     if before.operators or any(team.owners for _, team in chain):
         return f"{author!r} is neither an operator nor an owner of {path or 'the root'!r}"
     return None
 
 
-def _grant_objection(after: SharedSettings, owned: tuple[str, TeamSettings]) -> str | None:
+def _grant_denial_reason(after: SharedSettings, owned: tuple[str, TeamSettings]) -> str | None:
     path, was = owned
     now = dict(_teams_on(after, split_path(path))).get(path)
     if now is None:
--- a/src/galenastall/state/settings_tree.py
+++ b/src/galenastall/state/settings_tree.py
@@ -17,7 +17,7 @@
 from galenastall.state.ids import ChangeId, Offset
 from galenastall.state.key_home_history import HISTORY_SCHEMA, find_moved_keys
 from galenastall.state.records import LoggedRecord
-from galenastall.state.settings_authority import find_objection
+from galenastall.state.settings_authority import find_denial_reason
 from galenastall.state.settings_paths import (
     Revisions,
     Tree,
@@ -183,17 +183,17 @@
         self._next = Offset(logged.offset + 1)
         match logged.record:
             case SettingsChange() as change:
-                self._take_change(change, logged.offset)
+                self._apply_change(change, logged.offset)
             case SettingsSnapshot() as snapshot:
                 self._compare(snapshot)
 
-    def _take_change(self, change: SettingsChange, offset: Offset) -> None:
+    def _apply_change(self, change: SettingsChange, offset: Offset) -> None:
         if change.change_id in self._verdicts_by_id or change.change_id in self._blocked_by_id:
             return
         if change.schema_version > SCHEMA_VERSION or self._touches_blocked(change.path):
             self._blocked_by_id[change.change_id] = change
             return
-        kind, detail = self._judge(change, offset)
+        kind, detail = self._evaluate(change, offset)
         self._schema_version = max(self._schema_version, change.schema_version)
         self._verdicts_by_id[change.change_id] = Verdict(
             change_id=change.change_id,
@@ -225,7 +225,7 @@
         checked = check_tree(SharedSettings, tree, source=SOURCE)
         return checked.map(lambda settings: (tree, settings)).alt(str)
 
-    def _judge(self, change: SettingsChange, offset: Offset) -> tuple[VerdictKind, str]:
+    def _evaluate(self, change: SettingsChange, offset: Offset) -> tuple[VerdictKind, str]:
         if _keys_or_none(change.path) is None:
             return VerdictKind.INVALID, f"path {change.path!r} has an empty key"
         revision = self._revisions.of(change.path)
@@ -235,11 +235,11 @@
         if isinstance(built, Failure):
             return VerdictKind.INVALID, built.failure()
         tree, settings = built.unwrap()
-        objection = find_objection(
+        denial = find_denial_reason(
             before=self._settings, after=settings, path=change.path, author=change.author
         )
-        if objection is not None:
-            return VerdictKind.FORBIDDEN, objection
+        if denial is not None:
+            return VerdictKind.FORBIDDEN, denial
         moved = find_moved_keys(before=self._settings, after=settings)
         if moved is not None and change.schema_version >= HISTORY_SCHEMA:
             return VerdictKind.INVALID, moved
--- a/src/galenastall/state/shared_settings.py
+++ b/src/galenastall/state/shared_settings.py
@@ -19,8 +19,8 @@
 
 SCHEMA_VERSION: Final = 2
 MAX_AMOUNT: Final = 1_000_000_000_000
-MAX_SPAN_S: Final = 30 * 86_400.0
-VOUCH_CAP_S: Final = 3.0
+MAX_DURATION_S: Final = 30 * 86_400.0
+PEER_CONFIRMATION_CAP_S: Final = 3.0
 READ_CAP_S: Final = 3.0
 FLIGHT_CAP_S: Final = 0.5
 """Claimants always wait by these caps, whatever the tree says. So each entry host may take over a
@@ -32,7 +32,7 @@
 
 Name = Annotated[str, StringConstraints(pattern=r"^[a-z0-9][a-z0-9_.-]{0,62}$")]
 """A key or name: no slash, since paths join keys by slashes."""
-Seconds = Annotated[float, Field(gt=0, le=MAX_SPAN_S)]
+Seconds = Annotated[float, Field(gt=0, le=MAX_DURATION_S)]
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1, le=10_000_000)]
 
@@ -81,9 +81,9 @@
     def _check_quotas(self) -> "TeamSettings":
         if self.quota is None or not self.teams:
             return self
-        room = self.quota.to_resources()
+        quota = self.quota.to_resources()
         for name, team in self.teams.items():
-            if team.quota is not None and not team.quota.to_resources().fits_in(room):
+            if team.quota is not None and not team.quota.to_resources().fits_in(quota):
                 raise ValueError(f"quota of team {name!r} must fit in that of the team above it")
         return self
 
@@ -167,7 +167,7 @@
     """Time over which an upstream that comes back is given its full share again."""
 
     @model_validator(mode="after")
-    def _check_spans(self) -> "EjectionSettings":
+    def _check_durations(self) -> "EjectionSettings":
         if self.base_s > self.max_s:
             raise ValueError("base_s must be at most max_s")
         return self
@@ -183,7 +183,7 @@
     asks_per_client: Count = 256
 
     @model_validator(mode="after")
-    def _check_spans(self) -> "PermitSettings":
+    def _check_durations(self) -> "PermitSettings":
         if not self.ask_ttl_s <= self.begin_within_s <= self.longest_s:
             raise ValueError("must be ask_ttl_s <= begin_within_s <= longest_s")
         return self
@@ -218,7 +218,7 @@
 
     read_s: float = Field(default=READ_CAP_S, ge=0.5, le=READ_CAP_S)
     """How long after sending a read of the log's tip its answer lets the sender act."""
-    vouch_s: float = Field(default=VOUCH_CAP_S, ge=0.5, le=VOUCH_CAP_S)
+    vouch_s: float = Field(default=PEER_CONFIRMATION_CAP_S, ge=0.5, le=PEER_CONFIRMATION_CAP_S)
     """How long after sending a beat its echo lets the sender act."""
     flight_s: float = Field(default=FLIGHT_CAP_S, ge=0.05, le=FLIGHT_CAP_S)
     """Longest time from the last check to a command's not-after time, skew included."""
@@ -338,8 +338,8 @@
         return frozenset(HostId(name) for name in self.drains)
 
 
-def fill(kind: type[D], section: SettingsModel, **others: Any) -> D:
+def build_from_section(kind: type[D], section: SettingsModel, **overrides: Any) -> D:
     """Return a data class with the fields that it shares with `section`, and `others`."""
     names = {field.name for field in dataclasses.fields(cast(Any, kind))}
     shared = names & set(type(section).model_fields)
-    return kind(**{name: getattr(section, name) for name in shared}, **others)
+    return kind(**{name: getattr(section, name) for name in shared}, **overrides)
--- a/src/galenastall/state/timeline_ring.py
+++ b/src/galenastall/state/timeline_ring.py
@@ -41,7 +41,7 @@
         (self._details if is_detail else self._events).append(event)
 
     @property
-    def forgotten(self) -> int:
+    def evicted(self) -> int:
         """Events that gave way to newer ones."""
         return self.recorded - len(self)
 
--- a/src/galenastall/state/upstream_tenures.py
+++ b/src/galenastall/state/upstream_tenures.py
@@ -10,7 +10,7 @@
 from galenastall.state.ownership_records import Activate, Claim, HandOver, OwnershipSnapshot
 from galenastall.state.records import LoggedRecord
 
-TENURES_KEPT: Final = 4
+MAX_TENURES: Final = 4
 """Of each ownable; the earliest epoch is remembered besides."""
 
 
@@ -44,7 +44,7 @@
             case HandOver() as handover:
                 self._hand_over(handover, Epoch(logged.offset))
             case OwnershipSnapshot() as snapshot:
-                self._read(snapshot)
+                self._apply_snapshot(snapshot)
 
     def previous_owner(self, *, ownable: OwnableId, epoch: Epoch) -> HostId | None:
         """Return the owner before the one of `epoch`, if any is known."""
@@ -68,14 +68,14 @@
         return self.is_complete and self._first_epoch_by_ownable.get(ownable, epoch) >= epoch
 
     def _hand_over(self, handover: HandOver, epoch: Epoch) -> None:
-        for gift in handover.gifts:
-            for ownable in gift.ownables:
+        for transfer in handover.gifts:
+            for ownable in transfer.ownables:
                 if not self._tenures_by_ownable.get(ownable):
                     self._add(ownable, Epoch(0), handover.by.host)
-                if gift.to is not None:
-                    self._add(ownable, epoch, gift.to.host)
+                if transfer.to is not None:
+                    self._add(ownable, epoch, transfer.to.host)
 
-    def _read(self, snapshot: OwnershipSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: OwnershipSnapshot) -> None:
         if self.is_complete:
             return
         for group in snapshot.groups:
@@ -88,6 +88,6 @@
         tenures = self._tenures_by_ownable.setdefault(ownable, [])
         tenures.append((epoch, host))
         tenures.sort()
-        del tenures[:-TENURES_KEPT]
+        del tenures[:-MAX_TENURES]
         first = self._first_epoch_by_ownable.get(ownable, epoch)
         self._first_epoch_by_ownable[ownable] = min(first, epoch)
--- a/tests/test_job_fold.py
+++ b/tests/test_job_fold.py
@@ -128,7 +128,7 @@
         assert fold.live_by_id == {}
         assert fold.ended_by_id[JobId("a")].end is not None
 
-    def test_a_task_thought_unknown_that_turns_out_done_is_done(self) -> None:
+    def test_done_overrides_unknown(self) -> None:
         fold = fold_of([logged(JobAccepted(spec=make_spec("a")), 0)])
         for offset, phase in enumerate([TaskPhase.UNKNOWN, TaskPhase.DONE, TaskPhase.UNKNOWN], 1):
             end = EndedRanges(job_id=JobId("a"), phase=phase, ranges=(IndexRange(start=2, stop=4),))
@@ -139,7 +139,7 @@
         assert list(job.open_indices()) == [0, 1, 4, 5, 6, 7]
 
     @pytest.mark.parametrize(("start", "stop"), [(-3, 2), (6, 900)])
-    def test_ranges_beyond_the_job_are_passed_over(self, start: int, stop: int) -> None:
+    def test_ranges_beyond_the_job_are_ignored(self, start: int, stop: int) -> None:
         fold = fold_of([logged(JobAccepted(spec=make_spec("a")), 0)])
         ranges = (IndexRange(start=start, stop=stop),)
         end = EndedRanges(job_id=JobId("a"), phase=TaskPhase.DONE, ranges=ranges)
--- a/tests/test_key_home_history.py
+++ b/tests/test_key_home_history.py
@@ -12,7 +12,7 @@
 from galenastall.node.settings.settings_mapping import make_request_settings
 from galenastall.protocol.process_settings import MemoryLimits
 from galenastall.state.ids import SETTINGS_STREAM, ChangeId, Offset, RecordId
-from galenastall.state.key_home_history import LEAD_S, find_early_homes, find_moved_keys
+from galenastall.state.key_home_history import LEAD_TIME_S, find_early_homes, find_moved_keys
 from galenastall.state.records import LoggedRecord
 from galenastall.state.settings_problems import check_tree
 from galenastall.state.settings_records import SettingsChange, VerdictKind
@@ -22,7 +22,7 @@
 NOW = 1_000_000.0
 NAMES = ("gangnam", "mapo", "seongsu")
 PINNED = {"since": 0.0, "data_centres": ["gangnam", "mapo"]}
-LATER = {"since": NOW + LEAD_S, "data_centres": list(NAMES)}
+LATER = {"since": NOW + LEAD_TIME_S, "data_centres": list(NAMES)}
 
 
 def shared(*names: str, homes: list[dict[str, Any]] | None = None) -> SharedSettings:
@@ -51,7 +51,9 @@
             (shared(*NAMES, homes=[PINNED, LATER]), shared(*NAMES)),
         ],
     )
-    def test_what_was_in_force_stays(self, before: SharedSettings, after: SharedSettings) -> None:
+    def test_key_home_lists_in_force_can_not_be_changed(
+        self, before: SharedSettings, after: SharedSettings
+    ) -> None:
         assert find_moved_keys(before=before, after=after) is not None
 
     def test_a_data_centre_is_added_in_three_steps(self) -> None:
@@ -65,7 +67,9 @@
             assert find_moved_keys(before=before, after=after) is None
             assert find_early_homes(before=before, after=after, now=NOW) is None
 
-    @pytest.mark.parametrize("change", [{"since": NOW + LEAD_S - 1}, {"data_centres": ["nowhere"]}])
+    @pytest.mark.parametrize(
+        "change", [{"since": NOW + LEAD_TIME_S - 1}, {"data_centres": ["nowhere"]}]
+    )
     def test_a_new_list_needs_time_and_known_names(self, change: dict[str, Any]) -> None:
         after = shared(*NAMES, homes=[PINNED, {**LATER, **change}])
         assert find_early_homes(before=PINNED_THREE, after=after, now=NOW) is not None
@@ -109,9 +113,9 @@
 class TestHomes:
     @given(
         key=st.text("abc", min_size=1, max_size=8),
-        made_at=st.floats(0, NOW + 2 * LEAD_S),
+        made_at=st.floats(0, NOW + 2 * LEAD_TIME_S),
         names=st.sets(st.sampled_from(NAMES), min_size=1),
-        since=st.floats(0, NOW + 2 * LEAD_S),
+        since=st.floats(0, NOW + 2 * LEAD_TIME_S),
     )
     def test_no_accepted_change_moves_a_key_made_by_then(
         self, key: str, made_at: float, names: set[str], since: float
@@ -124,5 +128,5 @@
         after = checked.unwrap()
         if find_early_homes(before=PINNED_THREE, after=after, now=NOW) is not None:
             return
-        if made_at < NOW + LEAD_S:
+        if made_at < NOW + LEAD_TIME_S:
             assert home(after, key, made_at) == home(PINNED_THREE, key, made_at)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -25,7 +25,7 @@
     KeyEntry,
     KeyFold,
     KeyIntent,
-    KeysCarried,
+    KeysCarriedForward,
     KeyShardOpened,
     KeyShardReady,
     entry_of,
@@ -35,7 +35,7 @@
 STREAM = StreamName("data-centre.gangnam")
 RULES = KeyRules(memory_s=1_000.0, margin_s=100.0, skew_s=5.0, settle_s=5.0)
 HOLDERS = (HostId("e1"), HostId("e2"), HostId("e3"))
-Record = KeyShardOpened | KeyShardReady | KeyIntent | KeyEnded | KeysCarried
+Record = KeyShardOpened | KeyShardReady | KeyIntent | KeyEnded | KeysCarriedForward
 
 
 class Log:
@@ -172,7 +172,7 @@
         log.append(end)
         start = len(log.texts)
         old = tuple(log.fold.recorded_before(shard="0", offset=Offset(start)))
-        log.append(KeysCarried(shard="0", epoch=Epoch(1), entries=old))
+        log.append(KeysCarriedForward(shard="0", epoch=Epoch(1), entries=old))
         entry = log.refold(start).entry(shard="0", key="100-k")
         assert entry is not None
         assert entry.outcome is Outcome.DONE
@@ -181,8 +181,8 @@
     def test_old_keys_are_forgotten(self) -> None:
         log = Log()
         log.append(begin(log.open(1), "r1"))
-        assert log.fold.forget(wall=1_199.0) == 0
-        assert log.fold.forget(wall=1_200.0) == 1
+        assert log.fold.drop_expired(wall=1_199.0) == 0
+        assert log.fold.drop_expired(wall=1_200.0) == 1
 
 
 class TestHeldIntents:
@@ -259,7 +259,7 @@
                 found += read.entries
         complete = serving is None or meets_every_majority(count=answered, of=len(HOLDERS))
         restored = shard.restore(found)
-        self.log.append(KeysCarried(shard="0", epoch=epoch, entries=restored))
+        self.log.append(KeysCarriedForward(shard="0", epoch=epoch, entries=restored))
         lost = 0.0 if complete else 100.0
         self.log.append(
             KeyShardReady(
@@ -325,7 +325,7 @@
             return
         for shard in self.shards:
             entries = shard.unlogged()
-            self.log.append(KeysCarried(shard="0", epoch=shard.epoch, entries=entries))
+            self.log.append(KeysCarriedForward(shard="0", epoch=shard.epoch, entries=entries))
 
     @rule(index=st.integers(0, 2))
     def holder_forgets(self, index: int) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,7 +15,7 @@
     accelerators=st.integers(0, 3),
 )
 task_ids = st.integers(0, 9).map(lambda number: TaskId(f"j/{number}"))
-beginnings = st.sampled_from([LedgerPhase.HELD, LedgerPhase.STARTING])
+initial_phases = st.sampled_from([LedgerPhase.HELD, LedgerPhase.STARTING])
 phases = st.sampled_from(list(LedgerPhase))
 
 
@@ -37,7 +37,7 @@
     def total(self) -> Resources:
         return sum(self.amounts_by_task.values(), NOTHING)
 
-    @rule(task_id=task_ids, amount=amounts, phase=beginnings)
+    @rule(task_id=task_ids, amount=amounts, phase=initial_phases)
     def reserve(self, task_id: TaskId, amount: Resources, phase: LedgerPhase) -> None:
         fits = (self.total() + amount).fits_in(self.capacity)
         was_over = not self.total().fits_in(self.capacity)
@@ -67,10 +67,10 @@
         assert self.ledger.release(task_id) == self.amounts_by_task.pop(task_id, None)
 
     @rule(task_id=task_ids, phase=phases)
-    def move(self, task_id: TaskId, phase: LedgerPhase) -> None:
+    def set_phase(self, task_id: TaskId, phase: LedgerPhase) -> None:
         entry = self.ledger.entry(task_id)
         before = None if entry is None else entry.phase
-        if self.ledger.move(task_id, phase):
+        if self.ledger.set_phase(task_id, phase):
             assert before is not None
             assert phase is not LedgerPhase.HELD
             assert before is not LedgerPhase.HELD or phase is LedgerPhase.STARTING
--- a/tests/test_log_service.py
+++ b/tests/test_log_service.py
@@ -213,13 +213,13 @@
     ) -> None:
         async with running(FakeLog()) as rig:
             await trio.sleep(10.0)
-            read_at = rig.follower.tip_read_at
+            read_at = rig.follower.log_end_read_at
             assert read_at is not None
             assert 0 < trio.current_time() - read_at <= 2.1
             rig.log.is_down = True
             await trio.sleep(60.0)
-            assert rig.follower.tip_read_at is not None
-            assert trio.current_time() - rig.follower.tip_read_at > 58
+            assert rig.follower.log_end_read_at is not None
+            assert trio.current_time() - rig.follower.log_end_read_at > 58
 
     async def test_appends_of_others_are_read_together(
         self, autojump_clock: trio.abc.Clock
--- a/tests/test_ownership_fold.py
+++ b/tests/test_ownership_fold.py
@@ -10,12 +10,12 @@
 from galenastall.state.ownership_records import (
     Activate,
     Claim,
-    Gift,
     HandOver,
     Join,
     Leave,
     Member,
-    Reroster,
+    OwnershipTransfer,
+    UpdateRoster,
 )
 from galenastall.state.records import LoggedRecord, UnknownRecord
 
@@ -33,12 +33,14 @@
     st.builds(Leave, member=members),
     st.builds(Claim, by=members, ownables=ownables, seen=offsets),
     st.builds(Activate, by=members, epoch=offsets.map(Epoch), members=rosters),
-    st.builds(Reroster, by=members, generation=st.integers(1, 4), members=rosters),
+    st.builds(UpdateRoster, by=members, generation=st.integers(1, 4), members=rosters),
     st.builds(
         HandOver,
         by=members,
         generation=st.integers(1, 4),
-        gifts=st.builds(Gift, to=st.none() | members, ownables=ownables).map(lambda g: (g,)),
+        gifts=st.builds(OwnershipTransfer, to=st.none() | members, ownables=ownables).map(
+            lambda g: (g,)
+        ),
         members=rosters,
     ),
     st.just(UnknownRecord(name="job.accepted")),
@@ -99,8 +101,10 @@
             Join(member=B, seen=Offset(0)),
             Claim(by=A, ownables=(X,), seen=Offset(2)),
             Activate(by=A, epoch=Epoch(2), members=(A, B)),
-            Reroster(by=A, generation=2, members=(A,)),
-            HandOver(by=A, generation=1, gifts=(Gift(to=B, ownables=(X,)),), members=(A, B)),
+            UpdateRoster(by=A, generation=2, members=(A,)),
+            HandOver(
+                by=A, generation=1, gifts=(OwnershipTransfer(to=B, ownables=(X,)),), members=(A, B)
+            ),
         ]
         tenure = fold_of(history).state_by_ownable[X].tenure
         assert tenure is not None
@@ -113,13 +117,13 @@
             Claim(by=A, ownables=(X, Y), seen=Offset(2)),
             Activate(by=A, epoch=Epoch(2), members=(A, B)),
             Claim(by=B, ownables=(X,), seen=Offset(4)),
-            Reroster(by=A, generation=1, members=(A,)),
+            UpdateRoster(by=A, generation=1, members=(A,)),
         ]
         states = fold_of(history).state_by_ownable
         rosters_by_ownable = {o: s.tenure.members for o, s in states.items() if s.tenure}
         assert rosters_by_ownable == {X: (A, B), Y: (A,)}
 
-    def test_without_its_start_the_stream_says_nothing_until_a_snapshot(self) -> None:
+    def test_fold_without_the_stream_start_stays_empty_until_a_snapshot(self) -> None:
         fold = fold_of([None, Join(member=A, seen=Offset(0))], start=1)
         assert not fold.is_complete
         assert fold.members() == ()
@@ -143,7 +147,7 @@
         assert tail.make_snapshot() == full.make_snapshot()
 
     @given(history=st.lists(records, max_size=20))
-    def test_records_survive_the_log(self, history: list[Any]) -> None:
+    def test_records_round_trip_through_the_codec(self, history: list[Any]) -> None:
         known = [record for record in history if not isinstance(record, UnknownRecord)]
         for record in [*known, fold_of(history).make_snapshot()]:
             text = encode_record(record, record_id=RecordId("r"))
--- a/tests/test_ownership_hazards.py
+++ b/tests/test_ownership_hazards.py
@@ -16,7 +16,14 @@
 from galenastall.proof.ownership_search import run_schedule, search
 from galenastall.proof.ownership_weakenings import WEAKENINGS
 from galenastall.state.ids import HostId, Incarnation, Offset, OwnableId, RecordId, StreamName
-from galenastall.state.ownership_records import Activate, Claim, HandOver, Join, Member, Reroster
+from galenastall.state.ownership_records import (
+    Activate,
+    Claim,
+    HandOver,
+    Join,
+    Member,
+    UpdateRoster,
+)
 from galenastall.state.records import LoggedRecord
 
 X = OwnableId("worker/w0")
@@ -293,7 +300,7 @@
         core.on_tick(2.9)
         (reroster,) = appended(core)
         core.on_append_outcome(reroster.record_id, AppendOutcome.NOT_APPENDED, 2.95)
-        assert (type(handover.record), type(reroster.record)) == (HandOver, Reroster)
+        assert (type(handover.record), type(reroster.record)) == (HandOver, UpdateRoster)
         assert core.may_act(X, 2.95) is None
 
 
--- a/tests/test_settings_tree.py
+++ b/tests/test_settings_tree.py
@@ -109,7 +109,7 @@
         assert fold.settings.teams["a"].weight == 4
         assert fold.revision("teams/a") == 2
 
-    def test_ancestor_and_descendant_are_one_matter_and_siblings_are_not(self) -> None:
+    def test_ancestor_and_descendant_conflict_and_siblings_do_not(self) -> None:
         fold = folded(
             [
                 change("a", "teams/a", {"weight": 2}),
@@ -124,7 +124,7 @@
         assert kind_of(fold, "all") is VerdictKind.STALE
         assert kind_of(fold, "below") is VerdictKind.STALE
 
-    def test_repeated_change_is_one_change(self) -> None:
+    def test_repeated_change_is_applied_once(self) -> None:
         first = change("same", "teams/a", {"weight": 2})
         fold = folded([first, change("undo", "teams/a", {"weight": 1}, base=0), first])
         assert fold.settings.teams["a"].weight == 1
@@ -132,7 +132,7 @@
         assert verdict is not None
         assert verdict.offset == 0
 
-    def test_repeat_past_the_memory_of_verdicts_is_stale(
+    def test_repeat_after_its_verdict_is_evicted_is_stale(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(settings_tree, "MAX_VERDICTS", 2)
@@ -155,7 +155,7 @@
             ("teams/a/weight", [1]),
         ],
     )
-    def test_invalid_change_leaves_all_as_it_was(self, path: str, subtree: Any) -> None:
+    def test_invalid_change_leaves_settings_unchanged(self, path: str, subtree: Any) -> None:
         fold = folded([change("a", "teams/a", {"weight": 2})])
         before = fold.settings
         base = fold.revision(path) if path != "teams//a" else NO_REVISION
@@ -199,7 +199,7 @@
 
 
 class TestSchemaVersions:
-    def test_newer_schema_keeps_the_path_and_says_so(self) -> None:
+    def test_newer_schema_blocks_the_path(self) -> None:
         fold = folded(
             [
                 change("a", "teams/a", {"weight": 2}),
@@ -285,7 +285,7 @@
         assert fold.next_offset == 5
         assert len(fold.settings.teams) == 5
 
-    def test_damaged_and_diverging_snapshots_are_not_taken(self) -> None:
+    def test_damaged_and_diverging_snapshots_are_not_adopted(self) -> None:
         good = folded([change("c0", "teams/t0", {})]).snapshot(written_at=0.0)
         other = folded([change("c0", "teams/t1", {})]).snapshot(written_at=0.0)
         damaged = type(good)(covering=good.covering, digest=good.digest, state=other.state)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -63,7 +63,7 @@
         kept = [item for item, is_detail in pairs if is_detail][-5:]
         kept += [item for item, is_detail in pairs if not is_detail][-6:]
         assert ring.about("j") == tuple(sorted(kept, key=lambda item: item.at))
-        assert ring.forgotten == len(events) - len(kept)
+        assert ring.evicted == len(events) - len(kept)
 
     def test_finds_by_any_subject_the_latest(self) -> None:
         ring = TimelineRing(capacity=100)
--- a/tests/test_upstream_tenures.py
+++ b/tests/test_upstream_tenures.py
@@ -15,12 +15,12 @@
     Activate,
     Claim,
     Claimed,
-    Gift,
     HandOver,
     Member,
     OwnableGroup,
     OwnableState,
     OwnershipSnapshot,
+    OwnershipTransfer,
     Tenure,
 )
 from galenastall.state.records import LoggedRecord
@@ -53,7 +53,7 @@
 
 
 class TestTenureHistory:
-    def test_the_first_owner_has_none_before_it(self) -> None:
+    def test_the_first_owner_has_no_predecessor(self) -> None:
         folded = history(claim(E1), activate(E1, 0))
         assert folded.is_first(ownable=UP, epoch=Epoch(0))
 
@@ -61,14 +61,14 @@
         folded = history(claim(E1), claim(E2), activate(E2, 1))
         assert folded.is_first(ownable=UP, epoch=Epoch(1))
 
-    def test_a_takeover_and_a_handover_name_the_one_before(self) -> None:
-        gift = Gift(to=E1, ownables=(UP,))
-        handover = HandOver(by=E2, generation=1, gifts=(gift,), members=(E1, E2))
+    def test_a_takeover_and_a_handover_name_the_previous_owner(self) -> None:
+        transfer = OwnershipTransfer(to=E1, ownables=(UP,))
+        handover = HandOver(by=E2, generation=1, gifts=(transfer,), members=(E1, E2))
         folded = history(claim(E1), activate(E1, 0), claim(E2), activate(E2, 2), handover)
         assert folded.previous_owner(ownable=UP, epoch=Epoch(2)) == "e1"
         assert folded.previous_owner(ownable=UP, epoch=Epoch(4)) == "e2"
 
-    def test_nothing_is_said_of_epochs_beyond_what_was_read(self) -> None:
+    def test_epochs_beyond_the_last_read_offset_are_undetermined(self) -> None:
         folded = history(claim(E1), activate(E1, 0))
         assert folded.previous_owner(ownable=UP, epoch=Epoch(2)) == "e1"
         assert folded.previous_owner(ownable=UP, epoch=Epoch(3)) is None
@@ -76,12 +76,12 @@
         assert folded.is_first(ownable=other, epoch=Epoch(2))
         assert not folded.is_first(ownable=other, epoch=Epoch(3))
 
-    def test_a_trimmed_stream_leaves_it_open_who_came_before(self) -> None:
+    def test_a_trimmed_stream_leaves_the_previous_owner_unknown(self) -> None:
         folded = history(claim(E1), activate(E1, 500), start=500)
         assert folded.previous_owner(ownable=UP, epoch=Epoch(500)) is None
         assert not folded.is_first(ownable=UP, epoch=Epoch(500))
 
-    def test_a_snapshot_tells_of_the_trimmed_part(self) -> None:
+    def test_a_snapshot_restores_the_trimmed_part(self) -> None:
         tenure = Tenure(owner=E1, epoch=Epoch(7), members=(E1,))
         state = OwnableState(tenure=tenure, claim=Claimed(by=E1, epoch=Epoch(7)))
         snapshot = OwnershipSnapshot(
--- a/tests/test_worker_listing.py
+++ b/tests/test_worker_listing.py
@@ -11,7 +11,7 @@
 from galenastall.state.work import RunningTask
 from standin_cases import SIZE, make_task
 
-NOTHING_KNOWN = WorkerListing(running=(), finished=())
+EMPTY_LISTING = WorkerListing(running=(), finished=())
 Row = tuple[int, int, int, int]
 
 
@@ -39,7 +39,7 @@
 
 class TestListingChanges:
     @given(before=ROWS, after=ROWS)
-    def test_changes_build_the_listing_that_they_were_taken_from(
+    def test_applied_changes_reproduce_the_listing(
         self, before: list[Row], after: list[Row]
     ) -> None:
         """Also with second copies of a task, whose rows can't be told apart."""
@@ -53,12 +53,12 @@
     @pytest.mark.parametrize(
         "known",
         [
-            pytest.param(NOTHING_KNOWN, id="nothing is known"),
+            pytest.param(EMPTY_LISTING, id="nothing is known"),
             pytest.param(listing_of([(1, 0, 1, 1)], "0"), id="another listing is known"),
             pytest.param(listing_of([(2, 0, 1, 1)], "1"), id="a changed task is not known"),
         ],
     )
-    def test_changes_to_another_listing_are_not_taken(self, known: WorkerListing) -> None:
+    def test_changes_to_another_listing_are_rejected(self, known: WorkerListing) -> None:
         """Taken as whole they would declare running tasks lost."""
         base = listing_of([(1, 0, 1, 1)], "1")
         answer = changes_since(base, listing_of([(1, 0, 1, 2), (3, 0, 1, 1)], "2"))
