--- a/src/galenastall/bench/request_policies.py
+++ b/src/galenastall/bench/request_policies.py
@@ -192,7 +192,7 @@
         for number, name in enumerate(EXECUTORS):
             upstream = OwnedUpstream(host_id=name, address=name, slots=SLOTS, connections=64)
             owner = self._owners[number % len(HOSTS)]
-            owner.open(upstream=upstream, epoch=EPOCH, silent=(), now=0.0)
+            owner.open(upstream=upstream, epoch=EPOCH, unreported=(), now=0.0)
         self._tick()
 
     def arrive(self, host: int, request: WaitingRequest) -> None:
@@ -203,7 +203,7 @@
     def _tick(self) -> None:
         for host in range(len(HOSTS)):
             _drop_late(self._world, self._queues[host])
-            self._holders[host].lapse(now=self._world.now)
+            self._holders[host].expire_asks(now=self._world.now)
             self._pump(host)
         self._world.at(self._world.now + TICK_S, self._tick)
 
@@ -257,7 +257,7 @@
         world.execute(permit.upstream, request, ended)
 
     def _returned(self, owner: int, permit_id: str) -> None:
-        self._owners[owner].give_back(permit_id=permit_id, busy_for_s=0.0, now=self._world.now)
+        self._owners[owner].release(permit_id=permit_id, busy_for_s=0.0, now=self._world.now)
         self._grant(owner)
 
 
--- a/src/galenastall/coordination/requests/admission.py
+++ b/src/galenastall/coordination/requests/admission.py
@@ -17,7 +17,7 @@
 """Least service time charged to a team, in seconds, so that shares stay finite."""
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 30.0
-GIVE_UP_SLACK: Final = 1.5
+OVERTAKEN_SLACK: Final = 1.5
 """A wait is hopeless if it is expected to take so many times the time that is left."""
 PRUNE_SLACK: Final = 1_000
 """Stale heap entries tolerated beyond four for each waiting request."""
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Offered:
+class OfferResult:
     """The answer to an offer: refused, or queued with what had to make room for it."""
 
     refusal: Refusal | None = None
@@ -84,7 +84,9 @@
 _Entries = dict[RequestId, _Entry]
 
 
-def _alive(entries_by_id: _Entries, sequence: int, request_id: RequestId) -> WaitingRequest | None:
+def _queued_request(
+    entries_by_id: _Entries, sequence: int, request_id: RequestId
+) -> WaitingRequest | None:
     entry = entries_by_id.get(request_id)
     return entry.request if entry is not None and entry.sequence == sequence else None
 
@@ -134,7 +136,7 @@
             request = self._take_of(team, entries_by_id)
             if request is None:
                 del self._queues_by_team[team]
-                self._remember(team, start)
+                self._save_finish_time(team, start)
                 continue
             self._virtual = max(self._virtual, start)
             cost = max(request.service_s, MIN_COST_S) / weights.get(team, 1.0)
@@ -146,7 +148,7 @@
         queue = self._queues_by_team[team]
         while queue.heap:
             _, sequence, request_id = heapq.heappop(queue.heap)
-            request = _alive(entries_by_id, sequence, request_id)
+            request = _queued_request(entries_by_id, sequence, request_id)
             if request is None:
                 continue
             queue.size -= 1
@@ -154,7 +156,7 @@
             return request
         return None
 
-    def _remember(self, team: TeamPath, start: float) -> None:
+    def _save_finish_time(self, team: TeamPath, start: float) -> None:
         if start > self._virtual:
             self._finish_by_team[team] = start
         if len(self._finish_by_team) > len(self._queues_by_team) + 1_000:
@@ -170,7 +172,7 @@
     def latest_of(self, team: TeamPath, entries_by_id: _Entries) -> WaitingRequest | None:
         """Return the team's request with the latest deadline."""
         heap = self._queues_by_team[team].heap
-        found = (_alive(entries_by_id, sequence, one) for _, sequence, one in heap)
+        found = (_queued_request(entries_by_id, sequence, one) for _, sequence, one in heap)
         alive = (request for request in found if request is not None)
         return max(alive, key=lambda request: request.deadline, default=None)
 
@@ -209,16 +211,16 @@
         """Return how many requests of a class wait."""
         return self._classes[urgency].size
 
-    def offer(self, *, request: WaitingRequest, now: float) -> Offered:
+    def offer(self, *, request: WaitingRequest, now: float) -> OfferResult:
         """Queue the request, or refuse it with a hint when to come again."""
         refusal = self._refusal(request, now)
         if refusal is not None:
-            return Offered(refusal=refusal)
+            return OfferResult(refusal=refusal)
         displaced = None
         if len(self._entries_by_id) >= self.limits.waiting:
             displaced = self._displace_for(request)
             if displaced is None:
-                return Offered(refusal=self._refuse("queue_full", request.urgency))
+                return OfferResult(refusal=self._refuse("queue_full", request.urgency))
         self._sequence += 1
         self._entries_by_id[request.request_id] = _Entry(self._sequence, request)
         self._classes[request.urgency].add(request, self._sequence)
@@ -226,7 +228,7 @@
         entry = (request.latest_start, self._sequence, request.request_id)
         heapq.heappush(self._latest_starts, entry)
         self._prune_latest_starts()
-        return Offered(displaced=displaced)
+        return OfferResult(displaced=displaced)
 
     def check(self, *, request: WaitingRequest, now: float) -> Refusal | None:
         """Return why an offer would be refused now, without queueing anything."""
@@ -246,7 +248,7 @@
             request = self._classes[urgency].take(self._entries_by_id, self.weights_by_team)
             if request is not None:
                 del self._entries_by_id[request.request_id]
-                self._drain.took(now=now, left=len(self._entries_by_id))
+                self._drain.note_taken(now=now, left=len(self._entries_by_id))
                 return request
         return None
 
@@ -254,12 +256,12 @@
         """Remove and yield every request that can no longer make its deadline."""
         while self._latest_starts and self._latest_starts[0][0] <= now:
             _, sequence, request_id = heapq.heappop(self._latest_starts)
-            request = _alive(self._entries_by_id, sequence, request_id)
+            request = _queued_request(self._entries_by_id, sequence, request_id)
             if request is not None:
                 self.withdraw(request_id)
                 yield request
 
-    def give_up(self, *, now: float) -> list[WaitingRequest]:
+    def drop_overtaken(self, *, now: float) -> list[WaitingRequest]:
         """Remove and return those that others have overtaken for good.
 
         What is served next is sure enough; it is the end of a queue that more urgent arrivals
@@ -268,17 +270,17 @@
         rate = self._drain.per_second
         if rate is None:
             return []
-        hopeless = [
+        overtaken = [
             entry.request
             for urgency in Urgency
             if urgency is not Urgency.URGENT and self._classes[urgency].size
-            for entry in self._hopeless_of(urgency, rate, now)
+            for entry in self._overtaken_of(urgency, rate, now)
         ]
-        for request in hopeless:
+        for request in overtaken:
             self.withdraw(request.request_id)
-        return hopeless
+        return overtaken
 
-    def _hopeless_of(self, urgency: Urgency, rate: float, now: float) -> Iterator[_Entry]:
+    def _overtaken_of(self, urgency: Urgency, rate: float, now: float) -> Iterator[_Entry]:
         """Yield what its class's rate does not reach in GIVE_UP_SLACK times the time left."""
         own_rate = self._rate_of(urgency, rate, now)
         teams = max(1, self._classes[urgency].active_teams)
@@ -289,7 +291,7 @@
         for entry in entries:
             ahead = ahead_by_team.get(entry.request.team, 0)
             needed_s = (above + ahead * teams) / own_rate
-            if needed_s > (entry.request.latest_start - now) * GIVE_UP_SLACK:
+            if needed_s > (entry.request.latest_start - now) * OVERTAKEN_SLACK:
                 yield entry
             else:
                 ahead_by_team[entry.request.team] = ahead + 1
@@ -299,7 +301,7 @@
         """Runtime time of the next drop, or None if nothing waits."""
         while self._latest_starts:
             latest_start, sequence, request_id = self._latest_starts[0]
-            if _alive(self._entries_by_id, sequence, request_id) is not None:
+            if _queued_request(self._entries_by_id, sequence, request_id) is not None:
                 return latest_start
             heapq.heappop(self._latest_starts)
         return None
--- a/src/galenastall/coordination/requests/ejection.py
+++ b/src/galenastall/coordination/requests/ejection.py
@@ -91,7 +91,7 @@
         if record is None:
             return False
         record.failures = 0
-        if self._widen(record, slots):
+        if self._raise_allowance(record, slots):
             self._limited.discard(upstream)
         record.samples += 1
         weight = 1.0 if record.samples == 1 else LATENCY_WEIGHT
@@ -107,7 +107,7 @@
         limit = 1 if record.reentry is not None else self.limits.consecutive_failures
         return record.failures >= limit and self._eject(upstream, record, now)
 
-    def _widen(self, record: _Record, slots: int) -> bool:
+    def _raise_allowance(self, record: _Record, slots: int) -> bool:
         """Allow twice as many requests; return whether the upstream is fully back by that."""
         if record.reentry is None:
             return False
--- a/src/galenastall/coordination/requests/keys.py
+++ b/src/galenastall/coordination/requests/keys.py
@@ -80,15 +80,15 @@
     A key is `<seconds since 1970>-<text>` or a UUID of version 7.
     """
     if not key or len(key) > MAX_KEY_LENGTH or not key.isascii() or not key.isprintable():
-        return Failure(_bad_key(key[:MAX_KEY_LENGTH], f"1 to {MAX_KEY_LENGTH} printable ASCII"))
+        return Failure(_invalid_key(key[:MAX_KEY_LENGTH], f"1 to {MAX_KEY_LENGTH} printable ASCII"))
     if len(key) == UUID_LENGTH and key[UUID_VERSION_AT] == "7" and key[8] == "-":
         try:
             return Success(int(key[:8] + key[9:13], 16) / MILLISECONDS)
         except ValueError:
-            return Failure(_bad_key(key, "a UUID of version 7"))
+            return Failure(_invalid_key(key, "a UUID of version 7"))
     seconds, dash, text = key.partition("-")
     if not dash or not text or not seconds.isdigit():
-        return Failure(_bad_key(key, "<seconds since 1970>-<text> or a UUID of version 7"))
+        return Failure(_invalid_key(key, "<seconds since 1970>-<text> or a UUID of version 7"))
     return Success(float(seconds))
 
 
@@ -99,9 +99,9 @@
         return made
     at = made.unwrap()
     if at + rules.memory_s < wall:
-        return Failure(_bad_key(key, f"made at most {rules.memory_s:.0f} s ago"))
+        return Failure(_invalid_key(key, f"made at most {rules.memory_s:.0f} s ago"))
     if at > wall + rules.skew_s:
-        return Failure(_bad_key(key, "not made in the future"))
+        return Failure(_invalid_key(key, "not made in the future"))
     return made
 
 
@@ -204,13 +204,15 @@
 
     def restore(self, entries: Iterable[KeyEntry]) -> tuple[KeyEntry, ...]:
         """Take in entries read back from holders; return those that the log lacks or has open."""
-        missing = tuple(entry for entry in _merged(entries) if self._adds(entry))
+        missing = tuple(entry for entry in _merged(entries) if self._is_newer(entry))
         self._entries_by_key.update({entry.key: entry for entry in missing})
         return missing
 
     def unlogged(self) -> tuple[KeyEntry, ...]:
         """Return what the log does not show yet, and forget what it does."""
-        for key in [key for key, entry in self._entries_by_key.items() if not self._adds(entry)]:
+        for key in [
+            key for key, entry in self._entries_by_key.items() if not self._is_newer(entry)
+        ]:
             del self._entries_by_key[key]
         return tuple(self._entries_by_key.values())
 
@@ -222,7 +224,7 @@
             return own or logged
         return own if rank(own) >= rank(logged) else logged
 
-    def _adds(self, entry: KeyEntry) -> bool:
+    def _is_newer(self, entry: KeyEntry) -> bool:
         logged = self._fold.entry(shard=self.name, key=entry.key)
         return logged is None or rank(entry) > rank(logged)
 
@@ -301,7 +303,7 @@
     return 2 * count > of
 
 
-def meets_every_majority(*, count: int, of: int) -> bool:
+def intersects_every_majority(*, count: int, of: int) -> bool:
     """Return whether any `count` of `of` include one of each majority: so many must be read."""
     return count >= of - of // 2
 
@@ -320,7 +322,7 @@
     return by_key.values()
 
 
-def _bad_key(key: str, allowed: str) -> StepError:
+def _invalid_key(key: str, allowed: str) -> StepError:
     return StepError(
         step="keys.check",
         peer="",
--- a/src/galenastall/coordination/requests/load_shed.py
+++ b/src/galenastall/coordination/requests/load_shed.py
@@ -23,9 +23,9 @@
     """Lateness that is let stand."""
     gain_per_s: float = 0.5
     """Share gained in a second for each time that lateness exceeds the target."""
-    most: float = 0.95
+    max_refused_share: float = 0.95
     """Largest share refused, so that it is seen when the load has gone."""
-    urgent_above: float = 0.8
+    urgent_above_share: float = 0.8
     """Share above which urgent requests are refused too, at half the share."""
     open_requests: int = 2_000
     """Requests without an answer above which all new ones are refused."""
@@ -44,7 +44,7 @@
         self._urgent_credit = 0.0
 
     @property
-    def standing_s(self) -> float:
+    def sustained_late_s(self) -> float:
         """Lateness that no sample of the last few went below, in seconds."""
         return min(self._late_s) if len(self._late_s) == SAMPLES else 0.0
 
@@ -52,9 +52,9 @@
         """Take in how late a timer was, and the time since the sample before."""
         self._late_s.append(late_s)
         limits = self.limits
-        excess = min(self.standing_s / limits.target_late_s - 1.0, RISE_LIMIT)
+        excess = min(self.sustained_late_s / limits.target_late_s - 1.0, RISE_LIMIT)
         moved = self.share + excess * limits.gain_per_s * span_s
-        self.share = min(max(moved, 0.0), limits.most)
+        self.share = min(max(moved, 0.0), limits.max_refused_share)
 
     def refuses(self, *, urgent: bool, open_requests: int) -> bool:
         """Return whether to refuse a request that has just arrived; spread evenly, not drawn."""
@@ -71,7 +71,7 @@
         return True
 
     def _refuses_urgent(self) -> bool:
-        if self.share < self.limits.urgent_above:
+        if self.share < self.limits.urgent_above_share:
             return False
         self._urgent_credit += self.share / 2
         if self._urgent_credit < 1.0:
--- a/src/galenastall/coordination/requests/permits.py
+++ b/src/galenastall/coordination/requests/permits.py
@@ -66,9 +66,9 @@
         self._outstanding += 1
         return self._next_ask
 
-    def lapse(self, *, now: float) -> int:
+    def expire_asks(self, *, now: float) -> int:
         """Stop waiting for asks that the owner no longer keeps; return how many those were."""
-        lapsed = 0
+        expired = 0
         waited_s = self.limits.ask_ttl_s + ANSWER_SLACK_S
         for ask in self._asks_by_id.values():
             if ask.sent_at + waited_s > now:
@@ -76,7 +76,7 @@
             if ask.open:
                 ask.open = False
                 self._outstanding -= 1
-                lapsed += 1
+                expired += 1
         while self._asks_by_id:
             ask_id, oldest = next(iter(self._asks_by_id.items()))
             if oldest.sent_at + self.limits.begin_within_s > now:
@@ -84,9 +84,9 @@
             del self._asks_by_id[ask_id]
         for permit_id in [p for p, held in self._busy_by_id.items() if held.ends_at <= now]:
             del self._busy_by_id[permit_id]
-        return lapsed
+        return expired
 
-    def refused(self, *, ask_id: int) -> None:
+    def note_refused(self, *, ask_id: int) -> None:
         """Note that the owner did not take an ask."""
         self._close(ask_id)
 
--- a/src/galenastall/coordination/requests/rates.py
+++ b/src/galenastall/coordination/requests/rates.py
@@ -21,7 +21,7 @@
         self._gap_s: float | None = None
         self._last: float | None = None
 
-    def took(self, *, now: float, left: int) -> None:
+    def note_taken(self, *, now: float, left: int) -> None:
         """Note that one was taken and how many are left."""
         if self._last is not None:
             gap = now - self._last
--- a/src/galenastall/coordination/requests/slot_tables.py
+++ b/src/galenastall/coordination/requests/slot_tables.py
@@ -24,7 +24,7 @@
     leaving: bool = False
     uses_by_permit: dict[str, SlotUse] = field(default_factory=dict)
     uses_by_client: dict[HostId, int] = field(default_factory=dict)
-    silent_until_by_client: dict[HostId, float] = field(default_factory=dict)
+    unreported_until_by_client: dict[HostId, float] = field(default_factory=dict)
     returned_early: set[str] = field(default_factory=set)
     """Permits given back before anyone told of them."""
     forget_at: float = 0.0
--- a/src/galenastall/coordination/requests/slots.py
+++ b/src/galenastall/coordination/requests/slots.py
@@ -46,7 +46,7 @@
         self._asks_by_client: dict[HostId, int] = {}
 
     def open(
-        self, *, upstream: OwnedUpstream, epoch: Epoch, silent: Iterable[HostId], now: float
+        self, *, upstream: OwnedUpstream, epoch: Epoch, unreported: Iterable[HostId], now: float
     ) -> None:
         """Begin to grant on an upstream under a new epoch.
 
@@ -54,10 +54,10 @@
         the longest permit has passed, the upstream counts as full.
         """
         until = now + self.limits.takeover_s
-        opened = UpstreamTable(info=upstream, epoch=epoch)
-        opened.silent_until_by_client = dict.fromkeys(silent, until)
+        table = UpstreamTable(info=upstream, epoch=epoch)
+        table.unreported_until_by_client = dict.fromkeys(unreported, until)
         self.close(upstream.host_id, now=now)
-        self._upstreams_by_id[upstream.host_id] = opened
+        self._upstreams_by_id[upstream.host_id] = table
 
     def report(
         self,
@@ -72,52 +72,52 @@
 
         Ask for a report under the epoch that `open` was given; a report for another is passed over.
         """
-        opened = self._opened_under(upstream, epoch)
-        if opened is None:
+        table = self._table_under(upstream, epoch)
+        if table is None:
             return
         for permit in held:
-            self._adopt(opened, permit.permit_id, client, now + permit.ends_in_s)
-        self._heard(opened, client)
+            self._adopt(table, permit.permit_id, client, now + permit.ends_in_s)
+        self._note_reported(table, client)
 
     def take_over(
         self, *, upstream: HostId, epoch: Epoch, ledger: PermitLedger, now: float
     ) -> None:
         """Go on from the last owner's ledger: nobody is silent but whom it had not heard itself."""
-        opened = self._opened_under(upstream, epoch)
-        if opened is None:
+        table = self._table_under(upstream, epoch)
+        if table is None:
             return
         for use in ledger.uses:
-            self._adopt(opened, use.permit_id, use.client, now + use.ends_in_s)
-        opened.silent_until_by_client = {client: now + s for client, s in ledger.silent}
-        self._drop_early(opened)
+            self._adopt(table, use.permit_id, use.client, now + use.ends_in_s)
+        table.unreported_until_by_client = {client: now + s for client, s in ledger.silent}
+        self._clear_early_returns(table)
 
-    def expect(
-        self, *, upstream: HostId, epoch: Epoch, silent: Mapping[HostId, float], now: float
+    def expect_reports(
+        self, *, upstream: HostId, epoch: Epoch, unreported: Mapping[HostId, float], now: float
     ) -> None:
         """Replace who is waited for: seconds by entry host for which it may hold permits."""
-        opened = self._opened_under(upstream, epoch)
-        if opened is not None:
-            opened.silent_until_by_client = {client: now + s for client, s in silent.items()}
+        table = self._table_under(upstream, epoch)
+        if table is not None:
+            table.unreported_until_by_client = {client: now + s for client, s in unreported.items()}
 
     def ledger(self, *, upstream: HostId, before: Epoch, now: float) -> PermitLedger | None:
         """Return the ledger for the owner of the later epoch `before`; None if there is none.
 
         The upstream is closed by this, so that nothing is granted after the ledger was given out.
         """
-        opened = self._upstreams_by_id.get(upstream)
-        if opened is not None and opened.epoch < before:
+        table = self._upstreams_by_id.get(upstream)
+        if table is not None and table.epoch < before:
             self.close(upstream, now=now)
         closed = self._closed_by_id.get(upstream)
         if closed is None or closed.epoch >= before:
             return None
-        silent = closed.silent_until_by_client.items()
+        unreported = closed.unreported_until_by_client.items()
         return PermitLedger(
             uses=tuple(
                 LedgerUse(permit_id=permit_id, client=use.client, ends_in_s=use.until - now)
                 for permit_id, use in closed.uses_by_permit.items()
                 if use.until > now
             ),
-            silent=tuple((client, until - now) for client, until in silent if until > now),
+            silent=tuple((client, until - now) for client, until in unreported if until > now),
         )
 
     def close(self, upstream: HostId, *, now: float) -> None:
@@ -133,15 +133,15 @@
 
     def update(self, upstream: OwnedUpstream) -> None:
         """Take in a changed address or size; fewer slots than are in use just grant nothing."""
-        opened = self._upstreams_by_id.get(upstream.host_id)
-        if opened is not None and opened.info != upstream:
-            opened.info = upstream
+        table = self._upstreams_by_id.get(upstream.host_id)
+        if table is not None and table.info != upstream:
+            table.info = upstream
 
     def set_leaving(self, upstream: HostId, leaving: bool) -> None:
         """Grant nothing more on an upstream that leaves, or take it back."""
-        opened = self._upstreams_by_id.get(upstream)
-        if opened is not None:
-            opened.leaving = leaving
+        table = self._upstreams_by_id.get(upstream)
+        if table is not None:
+            table.leaving = leaving
 
     def ask(
         self,
@@ -196,39 +196,39 @@
             return granted
         free_by_id = self._free(allowed)
         for urgency in Urgency:
-            self._grant_class(self._asks[urgency], free_by_id, now, may_act, granted)
+            self._grant_urgency(self._asks[urgency], free_by_id, now, may_act, granted)
             if not free_by_id:
                 break
         return granted
 
-    def give_back(self, *, permit_id: str, busy_for_s: float, now: float) -> HostId | None:
+    def release(self, *, permit_id: str, busy_for_s: float, now: float) -> HostId | None:
         """Free a permit's slot; return its upstream, or None if the permit is not known.
 
         `busy_for_s` above 0 says that the request may still run for so many seconds: the slot stays
         in use until then, or until the permit's own end if that is earlier.
         """
-        opened = self._upstream_by_permit.get(permit_id)
-        if opened is None:
-            self._note_early(permit_id, busy_for_s)
+        table = self._upstream_by_permit.get(permit_id)
+        if table is None:
+            self._note_early_return(permit_id, busy_for_s)
             return None
         if busy_for_s <= 0:
-            self._free_use(opened, permit_id)
-            return opened.info.host_id
-        use = opened.uses_by_permit[permit_id]
+            self._free_use(table, permit_id)
+            return table.info.host_id
+        use = table.uses_by_permit[permit_id]
         use.until = min(use.until, now + busy_for_s)
-        return opened.info.host_id
+        return table.info.host_id
 
     def expire(self, *, now: float) -> int:
         """Free slots whose permits ended without being given back; return how many."""
         expired = 0
-        for opened in self._upstreams_by_id.values():
-            ended = [p for p, use in opened.uses_by_permit.items() if use.until <= now]
+        for table in self._upstreams_by_id.values():
+            ended = [p for p, use in table.uses_by_permit.items() if use.until <= now]
             for permit_id in ended:
-                self._free_use(opened, permit_id)
+                self._free_use(table, permit_id)
             expired += len(ended)
-            silent = opened.silent_until_by_client
-            for client in [c for c, until in silent.items() if until <= now]:
-                self._heard(opened, client)
+            unreported = table.unreported_until_by_client
+            for client in [c for c, until in unreported.items() if until <= now]:
+                self._note_reported(table, client)
         for upstream in [u for u, closed in self._closed_by_id.items() if closed.forget_at <= now]:
             for permit_id in list(self._closed_by_id.pop(upstream).uses_by_permit):
                 self._upstream_by_permit.pop(permit_id, None)
@@ -241,10 +241,10 @@
 
     def in_use(self, upstream: HostId) -> int:
         """Return the slots in use, those that silent entry hosts may use included."""
-        opened = self._upstreams_by_id[upstream]
-        if opened.silent_until_by_client:
-            return max(opened.info.slots, len(opened.uses_by_permit))
-        return len(opened.uses_by_permit)
+        table = self._upstreams_by_id[upstream]
+        if table.unreported_until_by_client:
+            return max(table.info.slots, len(table.uses_by_permit))
+        return len(table.uses_by_permit)
 
     def slots_of(self, upstream: HostId) -> int:
         """Return how many slots an open upstream has."""
@@ -253,64 +253,64 @@
     def totals(self, *, allowed: AllowedSlots = all_slots) -> tuple[int, int]:
         """Return the slots that may be granted and those in use, over all upstreams."""
         slots = in_use = 0
-        for host_id, opened in self._upstreams_by_id.items():
-            if opened.leaving:
+        for host_id, table in self._upstreams_by_id.items():
+            if table.leaving:
                 continue
-            all_of_it = opened.info.slots
-            slots += all_of_it if allowed is all_slots else allowed(host_id, all_of_it)
-            used = len(opened.uses_by_permit)
-            in_use += all_of_it if opened.silent_until_by_client else min(used, all_of_it)
+            size = table.info.slots
+            slots += size if allowed is all_slots else allowed(host_id, size)
+            used = len(table.uses_by_permit)
+            in_use += size if table.unreported_until_by_client else min(used, size)
         return slots, in_use
 
     def upstreams(self) -> tuple[HostId, ...]:
         """Return the upstreams opened here."""
         return tuple(self._upstreams_by_id)
 
-    def silent(self, upstream: HostId) -> frozenset[HostId]:
+    def unreported(self, upstream: HostId) -> frozenset[HostId]:
         """Return the entry hosts that have not reported their permits yet."""
-        opened = self._upstreams_by_id.get(upstream)
-        return frozenset(opened.silent_until_by_client) if opened else frozenset()
+        table = self._upstreams_by_id.get(upstream)
+        return frozenset(table.unreported_until_by_client) if table else frozenset()
 
     def is_open(self, upstream: HostId) -> bool:
         """Return whether this entry host grants on the upstream."""
         return upstream in self._upstreams_by_id
 
-    def _opened_under(self, upstream: HostId, epoch: Epoch) -> UpstreamTable | None:
-        opened = self._upstreams_by_id.get(upstream)
-        return opened if opened is not None and opened.epoch == epoch else None
+    def _table_under(self, upstream: HostId, epoch: Epoch) -> UpstreamTable | None:
+        table = self._upstreams_by_id.get(upstream)
+        return table if table is not None and table.epoch == epoch else None
 
-    def _adopt(self, opened: UpstreamTable, permit_id: str, client: HostId, ends_at: float) -> None:
-        if permit_id in opened.uses_by_permit or permit_id in opened.returned_early:
+    def _adopt(self, table: UpstreamTable, permit_id: str, client: HostId, ends_at: float) -> None:
+        if permit_id in table.uses_by_permit or permit_id in table.returned_early:
             return
-        self._use(opened, permit_id, client, ends_at + self.limits.grace_s)
+        self._use(table, permit_id, client, ends_at + self.limits.grace_s)
 
-    def _heard(self, opened: UpstreamTable, client: HostId) -> None:
-        opened.silent_until_by_client.pop(client, None)
-        self._drop_early(opened)
+    def _note_reported(self, table: UpstreamTable, client: HostId) -> None:
+        table.unreported_until_by_client.pop(client, None)
+        self._clear_early_returns(table)
 
-    def _drop_early(self, opened: UpstreamTable) -> None:
-        if not opened.silent_until_by_client:
-            opened.returned_early.clear()
+    def _clear_early_returns(self, table: UpstreamTable) -> None:
+        if not table.unreported_until_by_client:
+            table.returned_early.clear()
 
-    def _note_early(self, permit_id: str, busy_for_s: float) -> None:
-        opened = self._upstreams_by_id.get(HostId(permit_id.rsplit(":", 2)[0]))
-        if opened is not None and opened.silent_until_by_client and busy_for_s <= 0:
-            opened.returned_early.add(permit_id)
+    def _note_early_return(self, permit_id: str, busy_for_s: float) -> None:
+        table = self._upstreams_by_id.get(HostId(permit_id.rsplit(":", 2)[0]))
+        if table is not None and table.unreported_until_by_client and busy_for_s <= 0:
+            table.returned_early.add(permit_id)
 
     def _free(self, allowed: AllowedSlots) -> dict[HostId, int]:
         free_by_id: dict[HostId, int] = {}
-        for host_id, opened in self._upstreams_by_id.items():
-            if opened.leaving or opened.silent_until_by_client:
+        for host_id, table in self._upstreams_by_id.items():
+            if table.leaving or table.unreported_until_by_client:
                 continue
-            slots = opened.info.slots
+            slots = table.info.slots
             if allowed is not all_slots:
                 slots = min(slots, allowed(host_id, slots))
-            free = slots - len(opened.uses_by_permit)
+            free = slots - len(table.uses_by_permit)
             if free > 0:
                 free_by_id[host_id] = free
         return free_by_id
 
-    def _grant_class(
+    def _grant_urgency(
         self,
         asks_by_client: OrderedDict[HostId, deque[WaitingAsk]],
         free_by_id: dict[HostId, int],
@@ -326,27 +326,27 @@
                 del asks_by_client[client]
                 continue
             asks_by_client.move_to_end(client)
-            opened = self._pick(client, asks[0].avoid, free_by_id)
-            if opened is None:
+            table = self._pick(client, asks[0].avoid, free_by_id)
+            if table is None:
                 passed_over += 1
                 continue
             passed_over = 0
-            if may_act(opened.info.host_id) != opened.epoch:
-                del free_by_id[opened.info.host_id]
+            if may_act(table.info.host_id) != table.epoch:
+                del free_by_id[table.info.host_id]
                 continue
             ask = asks.popleft()
-            self._count_ask_gone(client)
-            granted.append((client, self._grant(opened, client, ask, now)))
-            free_by_id[opened.info.host_id] -= 1
-            if not free_by_id[opened.info.host_id]:
-                del free_by_id[opened.info.host_id]
+            self._count_removed_ask(client)
+            granted.append((client, self._grant(table, client, ask, now)))
+            free_by_id[table.info.host_id] -= 1
+            if not free_by_id[table.info.host_id]:
+                del free_by_id[table.info.host_id]
 
     def _drop_expired(self, client: HostId, asks: deque[WaitingAsk], now: float) -> None:
         while asks and asks[0].until <= now:
             asks.popleft()
-            self._count_ask_gone(client)
+            self._count_removed_ask(client)
 
-    def _count_ask_gone(self, client: HostId) -> None:
+    def _count_removed_ask(self, client: HostId) -> None:
         left = self._asks_by_client[client] - 1
         if left:
             self._asks_by_client[client] = left
@@ -363,38 +363,38 @@
         best: UpstreamTable | None = None
         best_rank = (False, 0, 0)
         for host_id, free in free_by_id.items():
-            opened = self._upstreams_by_id[host_id]
-            share = max(1, opened.info.connections // max(1, self.clients))
-            rank = (host_id not in avoid, free, -opened.serial)
-            if rank > best_rank and opened.uses_by_client.get(client, 0) < share:
-                best, best_rank = opened, rank
+            table = self._upstreams_by_id[host_id]
+            share = max(1, table.info.connections // max(1, self.clients))
+            rank = (host_id not in avoid, free, -table.serial)
+            if rank > best_rank and table.uses_by_client.get(client, 0) < share:
+                best, best_rank = table, rank
         return best
 
-    def _grant(self, opened: UpstreamTable, client: HostId, ask: WaitingAsk, now: float) -> Permit:
-        opened.serial += 1
-        host_id = opened.info.host_id
-        permit_id = f"{host_id}:{opened.epoch}:{opened.serial}"
-        self._use(opened, permit_id, client, now + self.limits.longest_s + self.limits.grace_s)
+    def _grant(self, table: UpstreamTable, client: HostId, ask: WaitingAsk, now: float) -> Permit:
+        table.serial += 1
+        host_id = table.info.host_id
+        permit_id = f"{host_id}:{table.epoch}:{table.serial}"
+        self._use(table, permit_id, client, now + self.limits.longest_s + self.limits.grace_s)
         return Permit(
             permit_id=permit_id,
             upstream=host_id,
-            address=opened.info.address,
-            epoch=opened.epoch,
+            address=table.info.address,
+            epoch=table.epoch,
             ask_id=ask.ask_id,
             begin_within_s=self.limits.begin_within_s,
             ends_within_s=self.limits.longest_s,
         )
 
-    def _use(self, opened: UpstreamTable, permit_id: str, client: HostId, until: float) -> None:
-        opened.uses_by_permit[permit_id] = SlotUse(client, until)
-        opened.uses_by_client[client] = opened.uses_by_client.get(client, 0) + 1
-        self._upstream_by_permit[permit_id] = opened
+    def _use(self, table: UpstreamTable, permit_id: str, client: HostId, until: float) -> None:
+        table.uses_by_permit[permit_id] = SlotUse(client, until)
+        table.uses_by_client[client] = table.uses_by_client.get(client, 0) + 1
+        self._upstream_by_permit[permit_id] = table
 
-    def _free_use(self, opened: UpstreamTable, permit_id: str) -> None:
-        use = opened.uses_by_permit.pop(permit_id)
+    def _free_use(self, table: UpstreamTable, permit_id: str) -> None:
+        use = table.uses_by_permit.pop(permit_id)
         self._upstream_by_permit.pop(permit_id, None)
-        left = opened.uses_by_client[use.client] - 1
+        left = table.uses_by_client[use.client] - 1
         if left:
-            opened.uses_by_client[use.client] = left
+            table.uses_by_client[use.client] = left
         else:
-            del opened.uses_by_client[use.client]
+            del table.uses_by_client[use.client]
--- a/src/galenastall/coordination/requests/team_rates.py
+++ b/src/galenastall/coordination/requests/team_rates.py
@@ -16,15 +16,15 @@
 
 
 class _Bucket:
-    __slots__ = ("at", "tokens")
+    __slots__ = ("filled_at", "tokens")
 
     def __init__(self, *, rate: TeamRate, now: float) -> None:
         self.tokens = rate.burst
-        self.at = now
+        self.filled_at = now
 
     def fill(self, rate: TeamRate, now: float) -> None:
-        self.tokens = min(rate.burst, self.tokens + (now - self.at) * rate.per_s)
-        self.at = now
+        self.tokens = min(rate.burst, self.tokens + (now - self.filled_at) * rate.per_s)
+        self.filled_at = now
 
 
 class TeamRates:
@@ -43,7 +43,7 @@
         """
         spent: list[_Bucket] = []
         wait_s = 0.0
-        for path in _lineage(team):
+        for path in _with_ancestors(team):
             rate = rates_by_team.get(path)
             if rate is None:
                 self._buckets_by_team.pop(path, None)
@@ -61,7 +61,7 @@
         return 0.0
 
 
-def _lineage(team: TeamPath) -> Iterator[TeamPath]:
+def _with_ancestors(team: TeamPath) -> Iterator[TeamPath]:
     """Yield the team and all teams above it."""
     path: str = team
     while path:
--- a/src/galenastall/node/entry_host.py
+++ b/src/galenastall/node/entry_host.py
@@ -188,7 +188,7 @@
             timeline=self.timeline,
             not_ready_reasons=self.not_ready_reasons,
             present=PresentState(
-                jobs=self.job_side.intake, requests=self.request_side.requests.book
+                jobs=self.job_side.intake, requests=self.request_side.requests.request_table
             ).describe,
         )
         register_host_metrics(
--- a/src/galenastall/node/requests/key_answers.py
+++ b/src/galenastall/node/requests/answer_cache.py
@@ -11,23 +11,23 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptAnswer:
+class CachedAnswer:
     """A whole answer."""
 
     content_type: str
     body: bytes
 
 
-class KeptAnswers:
+class AnswerCache:
     """Bounded memory of answers by the request that got them."""
 
     def __init__(self, *, max_bytes: int = MAX_BYTES) -> None:
         """Start empty."""
         self._max_bytes = max_bytes
         self._size = 0
-        self._answers_by_request: OrderedDict[RequestId, KeptAnswer] = OrderedDict()
+        self._answers_by_request: OrderedDict[RequestId, CachedAnswer] = OrderedDict()
 
-    def keep(self, *, request_id: RequestId, answer: KeptAnswer) -> None:
+    def put(self, *, request_id: RequestId, answer: CachedAnswer) -> None:
         """Keep an answer, unless it is larger than all that may be kept."""
         if len(answer.body) > self._max_bytes or request_id in self._answers_by_request:
             return
@@ -37,6 +37,6 @@
             _, dropped = self._answers_by_request.popitem(last=False)
             self._size -= len(dropped.body)
 
-    def get(self, request_id: RequestId) -> KeptAnswer | None:
+    def get(self, request_id: RequestId) -> CachedAnswer | None:
         """Return the answer, or None if it is not kept."""
         return self._answers_by_request.get(request_id)
--- a/src/galenastall/node/requests/answer_stream.py
+++ b/src/galenastall/node/requests/answer_stream.py
@@ -7,7 +7,7 @@
 
 from galenastall.protocol.platform import UpstreamCutError
 
-Ended = Callable[[bool], None]
+EndCallback = Callable[[bool], None]
 """Takes whether the answer came to its end."""
 
 
@@ -19,13 +19,18 @@
     """
 
     def __init__(
-        self, *, first: list[bytes], rest: AsyncIterator[bytes], call: AsyncExitStack, ended: Ended
+        self,
+        *,
+        first: list[bytes],
+        rest: AsyncIterator[bytes],
+        call: AsyncExitStack,
+        on_end: EndCallback,
     ) -> None:
         """Own `call` from now on."""
         self._first = list(reversed(first))
         self._rest = rest
         self._call = call
-        self._ended = ended
+        self._on_end = on_end
         self._is_open = True
 
     async def __anext__(self) -> bytes:
@@ -37,10 +42,10 @@
         try:
             return await self._rest.__anext__()
         except StopAsyncIteration:
-            await self._close(whole=True)
+            await self._close(complete=True)
             raise
         except UpstreamCutError:
-            await self._close(whole=False)
+            await self._close(complete=False)
             raise
 
     async def asend(self, value: None) -> bytes:
@@ -54,18 +59,18 @@
         tb: TracebackType | None = None,
     ) -> bytes:
         """Close and raise."""
-        await self._close(whole=False)
+        await self._close(complete=False)
         if isinstance(typ, BaseException):
             raise typ
         raise typ(val)
 
     async def aclose(self) -> None:
         """End the call if the answer was not read to its end."""
-        await self._close(whole=False)
+        await self._close(complete=False)
 
-    async def _close(self, *, whole: bool) -> None:
+    async def _close(self, *, complete: bool) -> None:
         if not self._is_open:
             return
         self._is_open = False
-        self._ended(whole)
+        self._on_end(complete)
         await self._call.aclose()
--- a/src/galenastall/node/requests/http_requests.py
+++ b/src/galenastall/node/requests/http_requests.py
@@ -111,9 +111,9 @@
         if isinstance(parsed, Failure):
             return self._refuse(parsed.failure(), request)
         headers = parsed.unwrap()
-        shut = self._gate.check(team=headers.team, request_id=_request_id(request.headers))
-        if shut is not None:
-            return respond(self._requests.count(shut))
+        refusal = self._gate.check(team=headers.team, request_id=_request_id(request.headers))
+        if refusal is not None:
+            return respond(self._requests.record_refusal(refusal))
         key = request.headers.get(KEY, "")
         body = await self._body(request, settings, keyed=bool(key))
         if isinstance(body, Failure):
@@ -138,7 +138,7 @@
     async def status(self, request: HttpRequest) -> HttpResponse:
         """Return where a request of this entry host stands."""
         wanted = RequestId(request.path_params["id"])
-        status = self._requests.book.get(wanted)
+        status = self._requests.request_table.get(wanted)
         if status is None:
             detail = f"request {wanted!r} is not known to this entry host"
             return error_response(_error(Reason.NOT_FOUND, detail))
@@ -206,20 +206,20 @@
 def _parse(headers: Mapping[str, str], settings: RequestSettings) -> Result[_Headers, StepError]:
     team = headers.get(TEAM, "")
     if not team:
-        return Failure(_bad(TEAM, team, "the path of a team"))
+        return Failure(_invalid_header(TEAM, team, "the path of a team"))
     urgency = _URGENCIES_BY_NAME.get(headers.get(CLASS, "normal"))
     if urgency is None:
-        return Failure(_bad(CLASS, headers[CLASS], ", ".join(_URGENCIES_BY_NAME)))
+        return Failure(_invalid_header(CLASS, headers[CLASS], ", ".join(_URGENCIES_BY_NAME)))
     deadline_s = _deadline_s(headers.get(DEADLINE_MS), settings)
     if deadline_s is None:
         longest_ms = round(settings.longest_deadline_s * 1000)
-        return Failure(_bad(DEADLINE_MS, headers[DEADLINE_MS], f"1 to {longest_ms}"))
+        return Failure(_invalid_header(DEADLINE_MS, headers[DEADLINE_MS], f"1 to {longest_ms}"))
     idempotent = _BOOLEANS_BY_NAME.get(headers.get(IDEMPOTENT, "false"))
     if idempotent is None:
-        return Failure(_bad(IDEMPOTENT, headers[IDEMPOTENT], "true or false"))
+        return Failure(_invalid_header(IDEMPOTENT, headers[IDEMPOTENT], "true or false"))
     if REQUEST_ID in headers and not _request_id(headers):
         allowed = f"1 to {MAX_ID_LENGTH} printable ASCII characters without '#'"
-        return Failure(_bad(REQUEST_ID, headers[REQUEST_ID], allowed))
+        return Failure(_invalid_header(REQUEST_ID, headers[REQUEST_ID], allowed))
     return Success(
         _Headers(team=TeamPath(team), urgency=urgency, deadline_s=deadline_s, idempotent=idempotent)
     )
@@ -236,8 +236,10 @@
 
 def _request_id(headers: Mapping[str, str]) -> RequestId:
     text = headers.get(REQUEST_ID, "")
-    good = len(text) <= MAX_ID_LENGTH and text.isascii() and text.isprintable() and "#" not in text
-    return RequestId(text) if good else RequestId("")
+    is_valid = (
+        len(text) <= MAX_ID_LENGTH and text.isascii() and text.isprintable() and "#" not in text
+    )
+    return RequestId(text) if is_valid else RequestId("")
 
 
 async def _chained(first: list[bytes], rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
@@ -247,7 +249,7 @@
         yield chunk
 
 
-def _bad(header: str, value: str, allowed: str) -> StepError:
+def _invalid_header(header: str, value: str, allowed: str) -> StepError:
     return _error(Reason.INVALID, f"header {header}: {value!r}; allowed: {allowed}")
 
 
--- a/src/galenastall/node/requests/key_owner.py
+++ b/src/galenastall/node/requests/key_owner.py
@@ -12,8 +12,8 @@
     KeyAnswer,
     KeyShard,
     KeyVerdict,
+    intersects_every_majority,
     is_majority,
-    meets_every_majority,
     shard_of,
 )
 from galenastall.node.requests.permit_settings import RequestSettings
@@ -48,7 +48,7 @@
 READ_TRIES: Final = 4
 """Rounds of reading back before intents held in an outage are given up as lost."""
 RETRY_S: Final = 1.0
-REARM_ROUNDS: Final = 10
+HOLDER_REFRESH_ROUNDS: Final = 10
 """Every so many rounds the holders are asked anew, since a restarted process holds for nobody."""
 CARRY_CHUNK: Final = 200
 """Keys in one carried record."""
@@ -109,7 +109,7 @@
             while True:
                 await trio.sleep(RETRY_S)
                 for owned in list(self._owned_by_name.values()):
-                    await self._keep_up(owned)
+                    await self._maintain(owned)
 
     @property
     def serving(self) -> frozenset[str]:
@@ -285,7 +285,7 @@
     def _is_complete(self, serving: KeyShardReady | None, answered: int) -> bool:
         if serving is None:
             return self._fold.first_offset in (None, 0)
-        return meets_every_majority(count=answered, of=len(serving.holders))
+        return intersects_every_majority(count=answered, of=len(serving.holders))
 
     async def _read_one(self, host: HostId, request: KeyRead) -> KeyReadAnswer | None:
         if host == self._me:
@@ -301,7 +301,7 @@
         read_back: KeyReadAnswer = answer.unwrap()
         return read_back
 
-    async def _keep_up(self, owned: OwnedShard) -> None:
+    async def _maintain(self, owned: OwnedShard) -> None:
         """Write what was held once the log is back, then follow changes of the roster."""
         if not self._appender.is_log_up or not self._may_act(owned.shard):
             return
@@ -310,18 +310,18 @@
         roster = self._ownership.roster()
         owned.rounds += 1
         is_current = len(owned.holder_sets) == 1 and owned.holder_sets[0] == roster
-        if is_current and owned.rounds % REARM_ROUNDS:
+        if is_current and owned.rounds % HOLDER_REFRESH_ROUNDS:
             return
         await self._change_holders(owned, roster)
 
     async def _flush(self, owned: OwnedShard) -> bool:
         owned.needs_flush = False
-        if await self.carry(owned.shard, owned.shard.unlogged()):
+        if await self.carry_forward(owned.shard, owned.shard.unlogged()):
             return True
         owned.needs_flush = True
         return False
 
-    async def carry(self, shard: KeyShard, entries: Iterable[KeyEntry]) -> bool:
+    async def carry_forward(self, shard: KeyShard, entries: Iterable[KeyEntry]) -> bool:
         """Write entries once more in chunks; False as soon as one is not known to be written."""
         pending = tuple(entries)
         for first in range(0, len(pending), CARRY_CHUNK):
--- a/src/galenastall/node/requests/key_service.py
+++ b/src/galenastall/node/requests/key_service.py
@@ -15,7 +15,7 @@
     home_of,
     shard_of,
 )
-from galenastall.node.requests.key_answers import KeptAnswer, KeptAnswers
+from galenastall.node.requests.answer_cache import AnswerCache, CachedAnswer
 from galenastall.node.requests.key_owner import KeyOwner, OwnedShard
 from galenastall.node.requests.permit_settings import RequestSettings
 from galenastall.protocol.clock import Clock
@@ -52,7 +52,7 @@
 END_RETRY_S: Final = 1.0
 END_TRIES: Final = 60
 FETCH_TIMEOUT_S: Final = 1.0
-UPKEEP_S: Final = 30.0
+MAINTENANCE_PERIOD_S: Final = 30.0
 """Period at which keys are forgotten and old records are written once more."""
 CARRY_AFTER_S: Final = 1_800.0
 """Age in the log at which a key is written once more; well below what the log keeps."""
@@ -86,7 +86,7 @@
         self._offsets_by_time: deque[tuple[float, Offset]] = deque()
         self._ends: trio.MemorySendChannel[KeyEnded]
         self._ends, self._ends_in = trio.open_memory_channel[KeyEnded](10_000)
-        self.kept = KeptAnswers()
+        self.answer_cache = AnswerCache()
         self.fold = KeyFold()
         self.held = HeldIntents()
         self.owner = KeyOwner(
@@ -113,11 +113,11 @@
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
-            nursery.start_soon(self._tell_ends, nursery)
+            nursery.start_soon(self._report_ends, nursery)
             task_status.started()
             while True:
-                await self._upkeep()
-                await trio.sleep(UPKEEP_S)
+                await self._maintain()
+                await trio.sleep(MAINTENANCE_PERIOD_S)
 
     def check(self, key: str) -> Result[tuple[float, DataCentre], StepError]:
         """Return a key's time and home, or why it is refused."""
@@ -171,10 +171,10 @@
         except trio.WouldBlock:
             self.lost_ends += 1
 
-    async def fetch(self, first: KeyEntry) -> KeptAnswer | None:
+    async def fetch(self, first: KeyEntry) -> CachedAnswer | None:
         """Return the answer that a key's request got, if whoever ran it still keeps it."""
         if first.runner == self._me:
-            return self.kept.get(first.request_id)
+            return self.answer_cache.get(first.request_id)
         message = KeyAnswerFetch(key=first.key, request_id=first.request_id)
         answer = await self._peers.call(
             peer=first.runner, message=message, timeout_s=FETCH_TIMEOUT_S
@@ -184,20 +184,20 @@
         kept: KeyAnswerKept = answer.unwrap()
         if not kept.found:
             return None
-        return KeptAnswer(content_type=kept.content_type, body=kept.body)
+        return CachedAnswer(content_type=kept.content_type, body=kept.body)
 
-    async def _tell_ends(self, nursery: trio.Nursery) -> None:
+    async def _report_ends(self, nursery: trio.Nursery) -> None:
         async for ended in self._ends_in:
-            nursery.start_soon(self._tell_end, ended)
+            nursery.start_soon(self._report_end, ended)
 
-    async def _tell_end(self, ended: KeyEnded) -> None:
+    async def _report_end(self, ended: KeyEnded) -> None:
         for _ in range(END_TRIES):
-            if await self._told(ended):
+            if await self._report_once(ended):
                 return
             await trio.sleep(END_RETRY_S)
         self.lost_ends += 1
 
-    async def _told(self, ended: KeyEnded) -> bool:
+    async def _report_once(self, ended: KeyEnded) -> bool:
         owner = self._owner_of(ended.shard)
         if owner is None:
             return False
@@ -232,12 +232,12 @@
         )
 
     async def _on_fetch(self, sender: HostId, message: KeyAnswerFetch) -> Any:
-        kept = self.kept.get(message.request_id)
+        kept = self.answer_cache.get(message.request_id)
         if kept is None:
             return KeyAnswerKept(found=False)
         return KeyAnswerKept(found=True, content_type=kept.content_type, body=kept.body)
 
-    async def _upkeep(self) -> None:
+    async def _maintain(self) -> None:
         wall = self._clock.wall()
         self.fold.forget(wall=wall)
         self.held.forget(fold=self.fold, wall=wall)
@@ -260,7 +260,7 @@
         if self.fold.shard(name).opened_offset < horizon:
             await self.owner.reopen(owned)
         old = tuple(self.fold.recorded_before(shard=name, offset=horizon))
-        await self.owner.carry(owned.shard, old)
+        await self.owner.carry_forward(owned.shard, old)
 
 
 def _error(reason: Reason, detail: str) -> StepError:
--- a/src/galenastall/node/requests/keyed_requests.py
+++ b/src/galenastall/node/requests/keyed_requests.py
@@ -1,7 +1,7 @@
 """Requests with an idempotency key: intent first, then the run, then its end."""
 
 from galenastall.coordination.requests.keys import KeyAnswer, KeyVerdict
-from galenastall.node.requests.key_answers import KeptAnswer
+from galenastall.node.requests.answer_cache import CachedAnswer
 from galenastall.node.requests.key_service import KeyService
 from galenastall.node.requests.request_service import RequestService
 from galenastall.node.requests.request_types import RequestAnswer, RequestCall, RequestReason
@@ -41,7 +41,7 @@
             return await self._requests.submit(call)
         reserved = await self._reserve(call)
         if isinstance(reserved, RequestAnswer):
-            return self._requests.note(call, reserved)
+            return self._requests.record_answer(call, reserved)
         return await self._run(call, reserved)
 
     async def _reserve(self, call: RequestCall) -> RequestAnswer | RequestId:
@@ -88,8 +88,8 @@
         finally:
             self._keys.ended(key=call.key, request_id=run_id, outcome=outcome, status=status)
         if answer.outcome is Outcome.DONE and isinstance(answer.body, bytes):
-            kept = KeptAnswer(content_type=answer.content_type, body=answer.body)
-            self._keys.kept.keep(request_id=run_id, answer=kept)
+            kept = CachedAnswer(content_type=answer.content_type, body=answer.body)
+            self._keys.answer_cache.put(request_id=run_id, answer=kept)
         return answer
 
     async def _answer_repeat(self, call: RequestCall, answer: KeyAnswer) -> RequestAnswer:
--- a/src/galenastall/node/requests/load_guard.py
+++ b/src/galenastall/node/requests/load_guard.py
@@ -26,10 +26,10 @@
 
 SAMPLE_S: Final = 0.01
 """Time between two looks at how late the loop is."""
-QUIET_SAMPLE_S: Final = 0.1
+IDLE_SAMPLE_S: Final = 0.1
 """The same while no request came for QUIET_AFTER_S, so that an idle host costs little."""
-QUIET_AFTER_S: Final = 1.0
-LEAST_RETRY_S: Final = 0.2
+IDLE_AFTER_S: Final = 1.0
+MIN_RETRY_S: Final = 0.2
 RETRY_SPAN_S: Final = 2.0
 """Added to the least time to come back, times the share that is refused."""
 
@@ -48,15 +48,15 @@
         self._clock = clock
         self._counters = counters
         self.shedder = shedder or LoadShedder()
-        self._asked_at = clock.now()
+        self._last_request_at = clock.now()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Measure until cancelled."""
         task_status.started()
         before = self._clock.now()
         while True:
-            is_quiet = before - self._asked_at > QUIET_AFTER_S
-            sample_s = QUIET_SAMPLE_S if is_quiet else SAMPLE_S
+            is_idle = before - self._last_request_at > IDLE_AFTER_S
+            sample_s = IDLE_SAMPLE_S if is_idle else SAMPLE_S
             await trio.sleep(sample_s)
             now = self._clock.now()
             span_s = now - before
@@ -67,7 +67,7 @@
         """Return the refusal of a request that is not to be looked at any further."""
         if scope["method"] != "POST" or not scope["raw_path"].startswith(_PATH):
             return None
-        self._asked_at = self._clock.now()
+        self._last_request_at = self._clock.now()
         urgent = _CLASS in scope["headers"]
         if not self.shedder.refuses(urgent=urgent, open_requests=open_requests):
             return None
@@ -77,8 +77,8 @@
         reason = RequestReason.OVERLOADED
         answer = RequestAnswer(request_id=RequestId(""), outcome=Outcome.NOT_RUN, reason=reason)
         self._counters.ended(answer)
-        retry_s = LEAST_RETRY_S + RETRY_SPAN_S * self.shedder.share
-        named = {
+        retry_s = MIN_RETRY_S + RETRY_SPAN_S * self.shedder.share
+        response_headers = {
             OUTCOME: answer.outcome.value,
             REASON: reason.value,
             "retry-after": str(math.ceil(retry_s)),
@@ -86,5 +86,5 @@
         }
         for name, value in headers:
             if name == _REQUEST_ID:
-                named[REQUEST_ID] = value.decode("latin-1")
-        return HttpResponse(status=STATUS_BY_REASON[reason], headers=named)
+                response_headers[REQUEST_ID] = value.decode("latin-1")
+        return HttpResponse(status=STATUS_BY_REASON[reason], headers=response_headers)
--- a/src/galenastall/node/requests/permit_owner.py
+++ b/src/galenastall/node/requests/permit_owner.py
@@ -60,7 +60,7 @@
         deliver: Callable[[Permit], None],
         refuse: Callable[[int], None],
         report: Callable[[PermitReportCall, HostId], PermitReport],
-        heard_leaving: Callable[[HostId], None],
+        note_leaving: Callable[[HostId], None],
     ) -> None:
         """`deliver` and `refuse` answer this entry host's own asks, `report` is what it holds.
 
@@ -80,7 +80,7 @@
         self._deliver = deliver
         self._refuse = refuse
         self._report = report
-        self._heard_leaving = heard_leaving
+        self._note_leaving = note_leaving
         self._hosts_by_id: dict[HostId, ListedHost] = {}
         self._epochs_by_id: dict[HostId, Epoch] = {}
         self._ownables_by_id: dict[HostId, OwnableId] = {}
@@ -90,7 +90,7 @@
         self._flush = trio.Event()
         self._takeovers: list[tuple[HostId, Epoch]] = []
         self._work = trio.Event()
-        self.asked = trio.Event()
+        self.ask_received = trio.Event()
         """Set by asks, here and from peers; ends a long pause between ticks."""
         self.expired = 0
         """Permits that were never given back."""
@@ -137,7 +137,7 @@
 
         Call `grant` after.
         """
-        self.asked.set()
+        self.ask_received.set()
         now = self._clock.now()
         can_grant = self.load()[0] > 0
         for ask in asks.asks:
@@ -158,17 +158,17 @@
             self._pending_by_client[client].permits.append(permit)
             self._flush.set()
 
-    def take_return(self, returned: PermitReturn) -> bool:
+    def apply_return(self, returned: PermitReturn) -> bool:
         """Free a slot and learn from it; False if the upstream is not open here."""
         upstream = returned.upstream
         if not self.slots.is_open(upstream):
             return False
         now = self._clock.now()
-        self.slots.give_back(permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now)
+        self.slots.release(permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now)
         if returned.leaving:
-            self._heard_leaving(upstream)
+            self._note_leaving(upstream)
             self.slots.set_leaving(upstream, True)
-        self._judge(returned, now)
+        self._update_ejection(returned, now)
         return True
 
     def load(self) -> tuple[int, int, int]:
@@ -176,7 +176,7 @@
         slots, in_use = self.slots.totals(allowed=self._allowance())
         return slots, in_use, self.slots.waiting
 
-    def _judge(self, returned: PermitReturn, now: float) -> None:
+    def _update_ejection(self, returned: PermitReturn, now: float) -> None:
         if returned.outcome is None:
             return
         if returned.is_fault:
@@ -242,7 +242,7 @@
         self.slots.open(
             upstream=_owned_upstream(listed),
             epoch=epoch,
-            silent=() if is_first else (self._me,),
+            unreported=() if is_first else (self._me,),
             now=self._clock.now(),
         )
         self.slots.set_leaving(upstream, self._is_leaving(upstream))
@@ -253,25 +253,25 @@
 
     async def _take_over(self, upstream: HostId, epoch: Epoch) -> None:
         """Learn what earlier owners granted: from the last one's ledger, else from everyone."""
-        if await self._take_ledger(upstream, epoch):
+        if await self._request_ledger(upstream, epoch):
             self._events.record("permits.took_over", peer=upstream, cause="ledger")
             self.grant()
             return
-        silent = dict(self._recent_clients())
+        unreported = dict(self._recent_clients())
         now = self._clock.now()
-        self.slots.expect(upstream=upstream, epoch=epoch, silent=silent, now=now)
+        self.slots.expect_reports(upstream=upstream, epoch=epoch, unreported=unreported, now=now)
         self._events.record("permits.took_over", peer=upstream, cause="reports")
         while self._epochs_by_id.get(upstream) == epoch:
-            waiting = self.slots.silent(upstream)
+            waiting = self.slots.unreported(upstream)
             if not waiting:
                 break
             async with trio.open_nursery() as nursery:
                 for client in waiting:
-                    nursery.start_soon(self._take_report, upstream, epoch, client)
+                    nursery.start_soon(self._request_report, upstream, epoch, client)
             self.grant()
             await trio.sleep(TAKEOVER_RETRY_S)
 
-    async def _take_ledger(self, upstream: HostId, epoch: Epoch) -> bool:
+    async def _request_ledger(self, upstream: HostId, epoch: Epoch) -> bool:
         ownable = self._ownables_by_id[upstream]
         last = self._tenures.previous_owner(ownable=ownable, epoch=epoch)
         if last is None:
@@ -288,16 +288,16 @@
         self.slots.take_over(upstream=upstream, epoch=epoch, ledger=ledger, now=now)
         return True
 
-    async def _take_report(self, upstream: HostId, epoch: Epoch, client: HostId) -> None:
+    async def _request_report(self, upstream: HostId, epoch: Epoch, client: HostId) -> None:
         call = PermitReportCall(upstream=upstream, epoch=epoch)
         if client == self._me:
-            self.take_report(upstream, epoch, client, self._report(call, client))
+            self.apply_report(upstream, epoch, client, self._report(call, client))
             return
         answer = await self._peers.call(peer=client, message=call, timeout_s=TAKEOVER_CALL_S)
         if isinstance(answer, Success):
-            self.take_report(upstream, epoch, client, answer.unwrap())
+            self.apply_report(upstream, epoch, client, answer.unwrap())
 
-    def take_report(
+    def apply_report(
         self, upstream: HostId, epoch: Epoch, client: HostId, report: PermitReport
     ) -> None:
         """Count what an entry host holds; a young process's earlier life stays waited for."""
@@ -316,10 +316,10 @@
         self.grant()
 
     async def _on_returns(self, sender: HostId, message: PermitReturns) -> None:
-        elsewhere = [one for one in message.returns if not self.take_return(one)]
+        not_open = [one for one in message.returns if not self.apply_return(one)]
         now = self._clock.now()
-        for returned in elsewhere:
-            self.slots.give_back(
+        for returned in not_open:
+            self.slots.release(
                 permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now
             )
             owner = self._ownership.owner_of(
--- a/src/galenastall/node/requests/permit_service.py
+++ b/src/galenastall/node/requests/permit_service.py
@@ -79,18 +79,18 @@
             deliver=self._deliver_own,
             refuse=self._refuse_own,
             report=self._report,
-            heard_leaving=self._heard_leaving,
+            note_leaving=self._note_leaving,
         )
         ownership.on_activated(lambda _ownable, _epoch: self._refresh_owners())
         ownership.on_lost(lambda _ownable: self._refresh_owners())
-        self._take: Callable[[Permit], bool] = _takes_nothing
-        self._wanted: Callable[[], tuple[int, Urgency]] = _wants_nothing
+        self._take: Callable[[Permit], bool] = _takes_none
+        self._demand: Callable[[], tuple[int, Urgency]] = _no_demand
         self._upstreams_by_id: dict[HostId, ListedHost] = {}
         self._ownables_by_id: dict[HostId, OwnableId] = {}
         self._owners: tuple[HostId, ...] = ()
         self._loads_by_id: dict[HostId, OwnerLoad] = {}
-        self._heard_at_by_id: dict[HostId, float] = {}
-        self._left_words: dict[HostId, float] = {}
+        self._load_received_at_by_id: dict[HostId, float] = {}
+        self._leaving_reported_at_by_id: dict[HostId, float] = {}
         self._seen_at_by_client: dict[HostId, float] = {}
         self._asks_by_owner: defaultdict[HostId, list[PermitAsk]] = defaultdict(list)
         self._returns_by_owner: defaultdict[HostId, list[PermitReturn]] = defaultdict(list)
@@ -101,11 +101,11 @@
         peers.handle(PermitReportCall, self._on_report_call)
 
     def connect(
-        self, *, take: Callable[[Permit], bool], wanted: Callable[[], tuple[int, Urgency]]
+        self, *, take: Callable[[Permit], bool], demand: Callable[[], tuple[int, Urgency]]
     ) -> None:
         """Set who takes permits, and who says how many requests wait and of which class."""
         self._take = take
-        self._wanted = wanted
+        self._demand = demand
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Ask, grant and give back until cancelled."""
@@ -116,10 +116,10 @@
             while True:
                 self._tick()
                 await trio.sleep(TICK_S)
-                if not self._is_waited_for:
+                if not self._is_busy:
                     with trio.move_on_after(IDLE_TICK_S):
-                        await self.owner.asked.wait()
-                self.owner.asked = trio.Event()
+                        await self.owner.ask_received.wait()
+                self.owner.ask_received = trio.Event()
 
     def set_hosts(self, listing: HostListing) -> None:
         """Take in the platform's list; what is absent, leaving or gone gets nothing new."""
@@ -143,8 +143,11 @@
             return True
         if upstream in self._settings().leaving:
             return True
-        said_at = self._left_words.get(upstream)
-        return said_at is not None and said_at + self._settings().leaving_word_s > self._clock.now()
+        reported_at = self._leaving_reported_at_by_id.get(upstream)
+        return (
+            reported_at is not None
+            and reported_at + self._settings().leaving_report_s > self._clock.now()
+        )
 
     def has_upstreams(self) -> bool:
         """Return whether any upstream of this data centre may get work."""
@@ -168,15 +171,15 @@
             recent[HostId("")] = self._longest_s - age_s
         return recent
 
-    def pump(self, *, avoid: tuple[HostId, ...] = ()) -> None:
+    def request_permits(self, *, avoid: tuple[HostId, ...] = ()) -> None:
         """Ask for as many permits as requests wait, within the window.
 
         `avoid` names the upstreams that the request at hand has tried.
         """
-        waiting, urgency = self._wanted()
+        waiting, urgency = self._demand()
         window = self._settings().ask_window * (2 if urgency is Urgency.URGENT else 1)
-        if waiting and not self.owner.asked.is_set():
-            self.owner.asked.set()
+        if waiting and not self.owner.ask_received.is_set():
+            self.owner.ask_received.set()
             self._apply_settings()
             self._refresh_owners()
         missing = min(waiting, window) - self._holder.outstanding
@@ -201,21 +204,21 @@
         """Return who granted a permit that is held."""
         return self._holder.owner_of(permit_id=permit.permit_id)
 
-    def give_back(self, returned: PermitReturn) -> None:
+    def release(self, returned: PermitReturn) -> None:
         """Give a permit back with what the request saw."""
         if returned.leaving:
-            self._heard_leaving(returned.upstream)
+            self._note_leaving(returned.upstream)
         owner = self._holder.drop(
             permit_id=returned.permit_id,
             busy_for_s=returned.busy_for_s,
             now=self._clock.now(),
         )
-        self._send_back(returned, owner)
+        self._send_return(returned, owner)
 
-    def give_back_unused(self, permit: Permit) -> None:
+    def release_unused(self, permit: Permit) -> None:
         """Give a permit back that no request left under."""
         self.unused += 1
-        self.give_back(PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream))
+        self.release(PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream))
 
     @property
     def host_id(self) -> HostId:
@@ -241,7 +244,7 @@
 
     def _choose(self, avoid: tuple[HostId, ...]) -> HostId:
         """Return the owner to ask: this one while it has room, as that costs no message."""
-        owners = self._owners_beyond(avoid) if avoid else self._owners
+        owners = self._owners_avoiding(avoid) if avoid else self._owners
         if self._me in owners:
             slots, in_use, waiting = self.owner.load()
             if in_use + waiting < slots:
@@ -250,7 +253,7 @@
         policy = CHOICE_POLICIES.get(self._settings().choice_policy)
         return policy(owners, self._loads_by_id, self._random)
 
-    def _owners_beyond(self, avoid: tuple[HostId, ...]) -> tuple[HostId, ...]:
+    def _owners_avoiding(self, avoid: tuple[HostId, ...]) -> tuple[HostId, ...]:
         """Return the owners that have an upstream not in `avoid`, or all if none has."""
         owners = {
             self._ownership.owner_of(ownable)
@@ -271,21 +274,21 @@
         )
 
     @property
-    def _is_waited_for(self) -> bool:
-        return bool(self._holder.outstanding or self.owner.slots.waiting or self._wanted()[0])
+    def _is_busy(self) -> bool:
+        return bool(self._holder.outstanding or self.owner.slots.waiting or self._demand()[0])
 
     def _tick(self) -> None:
         now = self._clock.now()
         self._apply_settings()
         self._refresh_owners()
         self._seen_at_by_client.update(dict.fromkeys(self._ownership.roster(), now))
-        stale = [o for o, at in self._heard_at_by_id.items() if at + LOAD_STALE_S <= now]
+        stale = [o for o, at in self._load_received_at_by_id.items() if at + LOAD_STALE_S <= now]
         for owner in stale:
-            del self._heard_at_by_id[owner]
+            del self._load_received_at_by_id[owner]
             self._loads_by_id.pop(owner, None)
-        self._holder.lapse(now=now)
+        self._holder.expire_asks(now=now)
         self.owner.tick()
-        self.pump()
+        self.request_permits()
 
     def _apply_settings(self) -> None:
         settings = self._settings()
@@ -308,27 +311,27 @@
         self._accept(permit, self._me)
 
     def _refuse_own(self, ask_id: int) -> None:
-        self._holder.refused(ask_id=ask_id)
+        self._holder.note_refused(ask_id=ask_id)
 
-    def _heard_leaving(self, upstream: HostId) -> None:
-        self._left_words[upstream] = self._clock.now()
+    def _note_leaving(self, upstream: HostId) -> None:
+        self._leaving_reported_at_by_id[upstream] = self._clock.now()
 
     def _accept(self, permit: Permit, owner: HostId) -> None:
         if not self._holder.accept(permit=permit, owner=owner, now=self._clock.now()):
             self.unused += 1
             returned = PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream)
-            self._send_back(returned, owner)
+            self._send_return(returned, owner)
             return
         if self.is_leaving(permit.upstream) or not self._take(permit):
-            self.give_back_unused(permit)
+            self.release_unused(permit)
 
-    def _send_back(self, returned: PermitReturn, holder_owner: HostId | None) -> None:
+    def _send_return(self, returned: PermitReturn, holder_owner: HostId | None) -> None:
         ownable = make_ownable_id(OwnableKind.UPSTREAM, returned.upstream)
         owner = self._ownership.owner_of(ownable) or holder_owner
         if owner is None:
             return
         if owner == self._me:
-            if self.owner.take_return(returned):
+            if self.owner.apply_return(returned):
                 self.owner.grant()
             return
         self._returns_by_owner[owner].append(returned)
@@ -338,9 +341,9 @@
         self._loads_by_id[sender] = OwnerLoad(
             slots=grants.slots, in_use=grants.in_use, waiting=grants.waiting
         )
-        self._heard_at_by_id[sender] = self._clock.now()
+        self._load_received_at_by_id[sender] = self._clock.now()
         for ask_id in grants.refused:
-            self._holder.refused(ask_id=ask_id)
+            self._holder.note_refused(ask_id=ask_id)
         for permit in grants.permits:
             self._accept(permit, sender)
 
@@ -359,15 +362,15 @@
             asks, returns = dict(self._asks_by_owner), dict(self._returns_by_owner)
             self._asks_by_owner.clear()
             self._returns_by_owner.clear()
-            for owner, given_back in returns.items():
-                self._peers.send(peer=owner, message=PermitReturns(returns=tuple(given_back)))
+            for owner, released in returns.items():
+                self._peers.send(peer=owner, message=PermitReturns(returns=tuple(released)))
             for owner, wanted in asks.items():
                 self._peers.send(peer=owner, message=PermitAsks(asks=tuple(wanted)))
 
 
-def _takes_nothing(_permit: Permit) -> bool:
+def _takes_none(_permit: Permit) -> bool:
     return False
 
 
-def _wants_nothing() -> tuple[int, Urgency]:
+def _no_demand() -> tuple[int, Urgency]:
     return 0, Urgency.NORMAL
--- a/src/galenastall/node/requests/permit_settings.py
+++ b/src/galenastall/node/requests/permit_settings.py
@@ -50,7 +50,7 @@
     """Largest body of a request with an idempotency key."""
     overrun_s: float = 2.0
     """Time for which an upstream may go on with a request that nobody waits for any more."""
-    leaving_word_s: float = 60.0
+    leaving_report_s: float = 60.0
     """For how long an upstream's own word that it is leaving stands."""
 
 
--- a/src/galenastall/node/requests/request_attempt.py
+++ b/src/galenastall/node/requests/request_attempt.py
@@ -87,7 +87,7 @@
         permits: PermitService,
         settings: Callable[[], RequestSettings],
         counters: RequestCounters,
-        note_time: Callable[[str, float], None],
+        on_run_time: Callable[[str, float], None],
     ) -> None:
         """`note_time` takes the operation and run time of each request that is done."""
         self._clock = clock
@@ -95,7 +95,7 @@
         self._permits = permits
         self._settings = settings
         self._counters = counters
-        self._note_time = note_time
+        self._on_run_time = on_run_time
 
     async def make(
         self, *, call: RequestCall, permit: Permit, attempt_id: AttemptId
@@ -112,7 +112,7 @@
             operation=call.operation,
             content_length=len(call.body) if isinstance(call.body, bytes) else call.content_length,
         )
-        run = _Run(self, call.operation, permit, now)
+        use = _PermitUse(self, call.operation, permit, now)
         body = OutgoingBody(call.body)
         try:
             async with AsyncExitStack() as stack:
@@ -121,55 +121,57 @@
                         address=permit.address, call=upstream_call, body=body.chunks()
                     )
                 )
-                return await self._judge(sent, upstream_call, body, run, stack)
+                return await self._classify(sent, upstream_call, body, use, stack)
         finally:
-            run.give_up()
+            use.end_abandoned()
 
-    async def _judge(
+    async def _classify(
         self,
         sent: Result[UpstreamAnswer, StepError],
         call: UpstreamCall,
         body: OutgoingBody,
-        run: "_Run",
+        use: "_PermitUse",
         stack: AsyncExitStack,
     ) -> AttemptResult:
         if isinstance(sent, Failure):
-            return self._not_answered(sent.failure(), body, run)
+            return self._not_answered(sent.failure(), body, use)
         answer = sent.unwrap()
         if answer.attempt_id != call.attempt_id:
             self._counters.foreign_answers += 1
-            run.end(Outcome.UNKNOWN, is_fault=True)
+            use.end(Outcome.UNKNOWN, is_fault=True)
             return _unknown(RequestReason.FOREIGN_ANSWER, body, f"names {answer.attempt_id!r}")
         if answer.outcome is Outcome.UNKNOWN:
-            run.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
             return _unknown(RequestReason.NO_ANSWER, body, f"status {answer.status}")
         if answer.outcome is Outcome.NOT_RUN:
-            run.end(Outcome.NOT_RUN, leaving=answer.leaving)
+            use.end(Outcome.NOT_RUN, leaving=answer.leaving)
             return AttemptResult(
                 outcome=Outcome.NOT_RUN,
                 reason=RequestReason.REFUSED_BY_UPSTREAM,
                 body_replayable=body.is_replayable,
             )
-        return await self._read(answer, body, run, stack)
+        return await self._read(answer, body, use, stack)
 
-    def _not_answered(self, error: StepError, body: OutgoingBody, run: "_Run") -> AttemptResult:
+    def _not_answered(
+        self, error: StepError, body: OutgoingBody, use: "_PermitUse"
+    ) -> AttemptResult:
         reason = NOT_RUN_REASONS.get(error.reason)
         if reason is not None:
-            run.end(Outcome.NOT_RUN, is_fault=error.reason is Reason.UNREACHABLE)
+            use.end(Outcome.NOT_RUN, is_fault=error.reason is Reason.UNREACHABLE)
             return AttemptResult(
                 outcome=Outcome.NOT_RUN,
                 reason=reason,
                 detail=str(error),
                 body_replayable=body.is_replayable,
             )
-        run.end(Outcome.UNKNOWN, is_fault=True)
+        use.end(Outcome.UNKNOWN, is_fault=True)
         cut = error.reason is Reason.CUT
         self._counters.cut_answers += cut
         reason = RequestReason.ANSWER_CUT if cut else RequestReason.NO_ANSWER
         return _unknown(reason, body, str(error))
 
     async def _read(
-        self, answer: UpstreamAnswer, body: OutgoingBody, run: "_Run", stack: AsyncExitStack
+        self, answer: UpstreamAnswer, body: OutgoingBody, use: "_PermitUse", stack: AsyncExitStack
     ) -> AttemptResult:
         """Read a small answer whole; hand a large one on as a stream."""
         limit = self._settings().whole_answer_bytes
@@ -180,40 +182,40 @@
                 chunks.append(chunk)
                 size += len(chunk)
                 if size > limit:
-                    return self._stream(answer, chunks, run, stack)
+                    return self._stream(answer, chunks, use, stack)
         except UpstreamCutError as error:
             self._counters.cut_answers += 1
-            run.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
             return _unknown(RequestReason.ANSWER_CUT, body, str(error))
-        run.end_answered(answer)
+        use.end_answered(answer)
         whole = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         return _answered(answer, whole)
 
     def _stream(
-        self, answer: UpstreamAnswer, first: list[bytes], run: "_Run", stack: AsyncExitStack
+        self, answer: UpstreamAnswer, first: list[bytes], use: "_PermitUse", stack: AsyncExitStack
     ) -> AttemptResult:
-        def ended(whole: bool) -> None:
-            if whole:
-                run.end_answered(answer)
+        def on_end(complete: bool) -> None:
+            if complete:
+                use.end_answered(answer)
                 return
             self._counters.broken_streams += 1
-            run.end(Outcome.UNKNOWN, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, leaving=answer.leaving)
 
-        run.is_handed_on = True
-        stream = AnswerStream(first=first, rest=answer.body, call=stack.pop_all(), ended=ended)
+        use.is_streaming = True
+        stream = AnswerStream(first=first, rest=answer.body, call=stack.pop_all(), on_end=on_end)
         return _answered(answer, stream)
 
-    def give_back(self, returned: PermitReturn) -> None:
+    def release(self, returned: PermitReturn) -> None:
         """Give a permit back."""
-        self._permits.give_back(returned)
+        self._permits.release(returned)
 
     def now(self) -> float:
         """Return the runtime time."""
         return self._clock.now()
 
-    def ran(self, operation: str, seconds: float) -> None:
+    def note_run_time(self, operation: str, seconds: float) -> None:
         """Note the run time of a request that is done."""
-        self._note_time(operation, seconds)
+        self._on_run_time(operation, seconds)
 
     @property
     def overrun_s(self) -> float:
@@ -221,10 +223,10 @@
         return self._settings().overrun_s
 
 
-class _Run:
+class _PermitUse:
     """One permit in use; ends once, whichever way comes first."""
 
-    __slots__ = ("_attempts", "_is_over", "_operation", "_permit", "_started_at", "is_handed_on")
+    __slots__ = ("_attempts", "_is_over", "_operation", "_permit", "_started_at", "is_streaming")
 
     def __init__(
         self, attempts: Attempts, operation: str, permit: Permit, started_at: float
@@ -234,13 +236,13 @@
         self._permit = permit
         self._started_at = started_at
         self._is_over = False
-        self.is_handed_on = False
+        self.is_streaming = False
 
     def end_answered(self, answer: UpstreamAnswer) -> None:
         """End with a whole answer."""
         done = answer.outcome is Outcome.DONE
         if done:
-            self._attempts.ran(self._operation, self._attempts.now() - self._started_at)
+            self._attempts.note_run_time(self._operation, self._attempts.now() - self._started_at)
         fault = not done and answer.status >= SERVER_FAULT
         self.end(answer.outcome, is_fault=fault, leaving=answer.leaving)
 
@@ -249,7 +251,7 @@
         if self._is_over:
             return
         self._is_over = True
-        self._attempts.give_back(
+        self._attempts.release(
             PermitReturn(
                 permit_id=self._permit.permit_id,
                 upstream=self._permit.upstream,
@@ -261,9 +263,9 @@
             )
         )
 
-    def give_up(self) -> None:
+    def end_abandoned(self) -> None:
         """End an attempt that was left by an exception; it may have run."""
-        if not self.is_handed_on:
+        if not self.is_streaming:
             self.end(Outcome.UNKNOWN)
 
 
--- a/src/galenastall/node/requests/request_service.py
+++ b/src/galenastall/node/requests/request_service.py
@@ -7,14 +7,14 @@
 
 import trio
 
-from galenastall.coordination.requests.admission import Admission, Offered, WaitingRequest
+from galenastall.coordination.requests.admission import Admission, OfferResult, WaitingRequest
 from galenastall.coordination.requests.permit_types import Permit
 from galenastall.coordination.requests.rates import ShortestTime
 from galenastall.coordination.requests.retries import AttemptEnd, RetryBudget, may_retry
 from galenastall.node.requests.permit_service import IDLE_TICK_S, TICK_S, PermitService
 from galenastall.node.requests.permit_settings import RequestSettings
 from galenastall.node.requests.request_attempt import AttemptResult, Attempts
-from galenastall.node.requests.request_book import RequestBook, RequestStatus
+from galenastall.node.requests.request_table import RequestStatus, RequestTable
 from galenastall.node.requests.request_trace import RequestTrace
 from galenastall.node.requests.request_types import (
     RequestAnswer,
@@ -32,7 +32,7 @@
 
 MAX_SWAPS: Final = 2
 """Permits of an upstream tried before that a retry gives back in the hope of another."""
-GIVE_UP_EVERY_S: Final = 0.25
+OVERTAKEN_CHECK_PERIOD_S: Final = 0.25
 """Time between two looks for requests that wait in vain."""
 DRAIN_RETRY_S: Final = 1.0
 NO_UPSTREAM_RETRY_S: Final = 2.0
@@ -76,7 +76,7 @@
     ) -> None:
         """`incarnation` must differ for each life of the process: ids of attempts rest on it."""
         self.counters = RequestCounters()
-        self.book = RequestBook()
+        self.request_table = RequestTable()
         self._clock = clock
         self._permits = permits
         self._settings = settings
@@ -89,7 +89,7 @@
             RequestId(f"{permits.host_id}.{incarnation}.{n}") for n in itertools.count(1)
         )
         self._in_progress = 0
-        self._gives_up_at = 0.0
+        self._next_overtaken_check_at = 0.0
         self._is_draining = False
         self._drained = trio.Event()
         self._busy = trio.Event()
@@ -100,9 +100,9 @@
             permits=permits,
             settings=settings,
             counters=self.counters,
-            note_time=self._note_time,
+            on_run_time=self._note_run_time,
         )
-        permits.connect(take=self._take_permit, wanted=self._wanted)
+        permits.connect(take=self._take_permit, demand=self._demand)
 
     @property
     def waiting(self) -> int:
@@ -139,9 +139,9 @@
         """Return an id that no other request of any entry host has."""
         return next(self._tickets)
 
-    def note(self, call: RequestCall, answer: RequestAnswer) -> RequestAnswer:
+    def record_answer(self, call: RequestCall, answer: RequestAnswer) -> RequestAnswer:
         """Count and record an answer given before the request came to `submit`; return it."""
-        run = _Run(call=call, ticket=RequestId(""), status=self.book.open(call.request_id))
+        run = _Run(call=call, ticket=RequestId(""), status=self.request_table.open(call.request_id))
         self._end(run, answer)
         return answer
 
@@ -162,7 +162,9 @@
 
     async def submit(self, call: RequestCall) -> RequestAnswer:
         """Run a request; returns its final answer, exactly one of the four outcomes."""
-        run = _Run(call=call, ticket=next(self._tickets), status=self.book.open(call.request_id))
+        run = _Run(
+            call=call, ticket=next(self._tickets), status=self.request_table.open(call.request_id)
+        )
         self._in_progress += 1
         try:
             answer = self.refusal(call) or await self._until_final(run)
@@ -185,10 +187,10 @@
             if not self._permits.may_begin(permit):
                 self.counters.void_permits += 1
                 self._trace.passed_over(run.call, permit, "it came too late to begin under it")
-                self._permits.give_back_unused(permit)
+                self._permits.release_unused(permit)
                 continue
             result = await self._attempt(run, permit)
-            if not self._goes_on(run, result):
+            if not self._should_retry(run, result):
                 return self._final(run, result)
             self.counters.retries += 1
             self._trace.retried(run.call, run.status.upstream, result.reason or result.outcome)
@@ -208,7 +210,7 @@
         self._trace.answered(run.call, permit, result.outcome, result.reason or result.detail)
         return result
 
-    def _goes_on(self, run: _Run, result: AttemptResult) -> bool:
+    def _should_retry(self, run: _Run, result: AttemptResult) -> bool:
         end = AttemptEnd(
             outcome=result.outcome,
             attempt=run.attempts,
@@ -235,7 +237,7 @@
                 ahead = len(self._admission)
                 offered = self._offer(run)
                 if offered.refusal is not None:
-                    return self._gave_up(run, RequestReason(offered.refusal.reason))
+                    return self._answer_without_permit(run, RequestReason(offered.refusal.reason))
                 if run.swaps == swaps_before:
                     self._trace.queued(run.call, ahead=ahead)
                 if waiter.permit is None and not waiter.reason:
@@ -243,17 +245,17 @@
             except BaseException:
                 self._admission.withdraw(run.ticket)
                 if waiter.permit is not None:
-                    self._permits.give_back_unused(waiter.permit)
+                    self._permits.release_unused(waiter.permit)
                 raise
             finally:
                 del self._waiters_by_ticket[run.ticket]
             if waiter.permit is None:
-                return self._gave_up(run, waiter.reason)
+                return self._answer_without_permit(run, waiter.reason)
             if waiter.permit.upstream not in run.tried or run.swaps >= MAX_SWAPS:
                 return waiter.permit
             run.swaps += 1
             self._trace.passed_over(run.call, waiter.permit, "it was tried there before")
-            self._permits.give_back_unused(waiter.permit)
+            self._permits.release_unused(waiter.permit)
 
     async def _wait(self, run: _Run, waiter: _Waiter) -> None:
         """Wait for a permit or a reason; a request whose caller goes away leaves the queue."""
@@ -274,14 +276,14 @@
             waiter.reason = RequestReason.ABANDONED
             waiter.woken.set()
 
-    def _offer(self, run: _Run) -> Offered:
+    def _offer(self, run: _Run) -> OfferResult:
         offered = self._admission.offer(
             request=self._waiting_of(run.call, run.ticket), now=self._clock.now()
         )
         if offered.displaced is not None:
             self._wake(offered.displaced.request_id, RequestReason.DISPLACED)
         if offered.refusal is None:
-            self._permits.pump(avoid=tuple(run.tried))
+            self._permits.request_permits(avoid=tuple(run.tried))
         return offered
 
     def _waiting_of(self, call: RequestCall, ticket: RequestId) -> WaitingRequest:
@@ -308,7 +310,7 @@
         waiter.woken.set()
         return True
 
-    def _wanted(self) -> tuple[int, Urgency]:
+    def _demand(self) -> tuple[int, Urgency]:
         waiting = len(self._admission)
         for urgency in Urgency:
             if self._admission.waiting_of(urgency):
@@ -319,7 +321,7 @@
         self._apply_settings()
         now = self._clock.now()
         self._drop_late(now)
-        self._drop_hopeless(now)
+        self._drop_overtaken(now)
         if self._is_draining and not self._in_progress and not self._permits.held:
             self._drained.set()
 
@@ -333,11 +335,11 @@
         for request in self._admission.expire(now=now):
             self._wake(request.request_id, RequestReason.DEADLINE_PASSED)
 
-    def _drop_hopeless(self, now: float) -> None:
-        if now < self._gives_up_at:
+    def _drop_overtaken(self, now: float) -> None:
+        if now < self._next_overtaken_check_at:
             return
-        self._gives_up_at = now + GIVE_UP_EVERY_S
-        for request in self._admission.give_up(now=now):
+        self._next_overtaken_check_at = now + OVERTAKEN_CHECK_PERIOD_S
+        for request in self._admission.drop_overtaken(now=now):
             self._wake(request.request_id, RequestReason.OVERTAKEN)
 
     def _wake(self, ticket: RequestId, reason: RequestReason) -> None:
@@ -345,10 +347,10 @@
         waiter.reason = reason
         waiter.woken.set()
 
-    def _note_time(self, operation: str, seconds: float) -> None:
+    def _note_run_time(self, operation: str, seconds: float) -> None:
         self._shortest.note(operation=operation, seconds=seconds)
 
-    def _gave_up(self, run: _Run, reason: RequestReason) -> RequestAnswer:
+    def _answer_without_permit(self, run: _Run, reason: RequestReason) -> RequestAnswer:
         """Answer a request that gets no further permit; one that may have run is unknown."""
         if run.maybe_ran is not None:
             return self._final(run, run.maybe_ran)
@@ -375,7 +377,7 @@
             detail=result.detail,
         )
 
-    def count(self, answer: RequestAnswer) -> RequestAnswer:
+    def record_refusal(self, answer: RequestAnswer) -> RequestAnswer:
         """Count and record an answer that was given without a run, and return it."""
         self._trace.refused(answer)
         self.counters.ended(answer)
@@ -397,4 +399,4 @@
 
     def _close(self, run: _Run, answer: RequestAnswer) -> None:
         self.counters.ended(answer)
-        self.book.close(run.status, answer)
+        self.request_table.close(run.status, answer)
--- a/src/galenastall/node/requests/request_book.py
+++ b/src/galenastall/node/requests/request_table.py
@@ -8,7 +8,7 @@
 from galenastall.state.ids import HostId, RequestId
 from galenastall.state.outcomes import Outcome
 
-KEPT: Final = 10_000
+MAX_REQUESTS: Final = 10_000
 """Requests remembered; the oldest go first."""
 
 
@@ -25,19 +25,19 @@
     attempts: int = 0
 
 
-class RequestBook:
+class RequestTable:
     """Bounded memory of requests, for the status page."""
 
-    def __init__(self, *, kept: int = KEPT) -> None:
+    def __init__(self, *, max_requests: int = MAX_REQUESTS) -> None:
         """Start empty."""
-        self._kept = kept
+        self._max_requests = max_requests
         self._statuses_by_id: OrderedDict[RequestId, RequestStatus] = OrderedDict()
 
     def open(self, request_id: RequestId) -> RequestStatus:
         """Begin a request; a later one of the same id replaces it."""
         status = RequestStatus(request_id)
         self._statuses_by_id[request_id] = status
-        if len(self._statuses_by_id) > self._kept:
+        if len(self._statuses_by_id) > self._max_requests:
             self._statuses_by_id.popitem(last=False)
         return status
 
--- a/src/galenastall/node/requests/request_trace.py
+++ b/src/galenastall/node/requests/request_trace.py
@@ -6,7 +6,7 @@
 from galenastall.state.ids import HostId
 from galenastall.state.outcomes import Outcome
 
-ACCOUNTED: frozenset[Outcome] = frozenset({Outcome.UNKNOWN, Outcome.FAILED})
+ALWAYS_RECORDED: frozenset[Outcome] = frozenset({Outcome.UNKNOWN, Outcome.FAILED})
 """Ends that are kept for every request, whatever the share of details."""
 
 
@@ -75,7 +75,7 @@
         cause = answer.reason.value or answer.detail
         if answer.detail:
             fields["detail"] = answer.detail
-        if answer.outcome in ACCOUNTED:
+        if answer.outcome in ALWAYS_RECORDED:
             self._events.record(
                 step,
                 peer=answer.upstream,
--- a/src/galenastall/node/timeline/present_state.py
+++ b/src/galenastall/node/timeline/present_state.py
@@ -1,14 +1,14 @@
 """Sentences on how an id stands now, as far as this entry host knows or can ask."""
 
 from galenastall.node.jobs.job_intake import JobIntake
-from galenastall.node.requests.request_book import RequestBook, RequestStatus
+from galenastall.node.requests.request_table import RequestStatus, RequestTable
 from galenastall.state.ids import JobId, RequestId, job_of_task
 
 
 class PresentState:
     """Tells how jobs of this data centre and requests of this entry host stand."""
 
-    def __init__(self, *, jobs: JobIntake, requests: RequestBook) -> None:
+    def __init__(self, *, jobs: JobIntake, requests: RequestTable) -> None:
         """Ask these."""
         self._jobs = jobs
         self._requests = requests
--- a/tests/request_rig.py
+++ b/tests/request_rig.py
@@ -117,25 +117,25 @@
 class Ownership:
     """OwnershipView whose owners the test sets."""
 
-    def __init__(self, rig: "Rig", me: HostId) -> None:
-        self._rig = rig
+    def __init__(self, harness: "Harness", me: HostId) -> None:
+        self._harness = harness
         self._me = me
         self.callbacks: list[Callable[[OwnableId, Epoch], None]] = []
         self.lost_callbacks: list[Callable[[OwnableId], None]] = []
         self.may_not_act: set[OwnableId] = set()
 
     def may_act(self, ownable: OwnableId) -> Epoch | None:
-        owner, epoch = self._rig.owners.get(ownable, (None, Epoch(0)))
+        owner, epoch = self._harness.owners.get(ownable, (None, Epoch(0)))
         return epoch if owner == self._me and ownable not in self.may_not_act else None
 
     def owner_of(self, ownable: OwnableId) -> HostId | None:
-        return self._rig.owners.get(ownable, (None, Epoch(0)))[0]
+        return self._harness.owners.get(ownable, (None, Epoch(0)))[0]
 
     def owned(self) -> frozenset[OwnableId]:
-        return frozenset(o for o, (owner, _) in self._rig.owners.items() if owner == self._me)
+        return frozenset(o for o, (owner, _) in self._harness.owners.items() if owner == self._me)
 
     def roster(self) -> frozenset[HostId]:
-        return frozenset(self._rig.hosts)
+        return frozenset(self._harness.hosts)
 
     def on_activated(self, callback: Callable[[OwnableId, Epoch], None]) -> None:
         self.callbacks.append(callback)
@@ -157,7 +157,7 @@
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
-class Rig:
+class Harness:
     """All of it."""
 
     def __init__(self, *, nursery: trio.Nursery, executors: int, slots: int) -> None:
@@ -181,7 +181,7 @@
         self.platform = MemoryPlatform(clock=self.clock, seed=1, hosts=self.listed.values())
         self.owners: dict[OwnableId, tuple[HostId, Epoch]] = {}
         self.hosts: dict[HostId, EntryHost] = {}
-        self.lives = 0
+        self.incarnations = 0
         self.ring = TimelineRing()
         """What happened to requests on all hosts."""
 
@@ -200,9 +200,9 @@
             connections=old.connections,
             state=state,
         )
-        self.relist()
+        self.publish_listing()
 
-    def relist(self) -> None:
+    def publish_listing(self) -> None:
         listing = HostListing(as_of=self.clock.wall(), by_id=dict(self.listed))
         for host in self.hosts.values():
             host.permits.set_hosts(listing)
@@ -211,9 +211,9 @@
         host_id = HostId(name)
         link = Link(self.network, host_id)
         ownership = Ownership(self, host_id)
-        self.lives += 1
-        incarnation = Incarnation(str(self.lives))
-        rng = random.Random(self.lives)
+        self.incarnations += 1
+        incarnation = Incarnation(str(self.incarnations))
+        rng = random.Random(self.incarnations)
         log = LogSide(
             log=self.log,
             clock=self.clock,
@@ -259,7 +259,7 @@
         host = EntryHost(ownership, permits, requests, keys, keyed, log)
         self.hosts[host_id] = host
         await self.nursery.start(self._run_host, host)
-        self.relist()
+        self.publish_listing()
         return host
 
     async def _run_host(self, host: EntryHost, *, task_status: trio.TaskStatus[None]) -> None:
@@ -274,7 +274,7 @@
         self.hosts.pop(HostId(name)).scope.cancel()
         del self.network.handlers[HostId(name)]
 
-    async def give(self, ownable: OwnableId, name: str, *, told: bool = True) -> None:
+    async def assign(self, ownable: OwnableId, name: str, *, notify: bool = True) -> None:
         """Make a host the owner through the log, as ownership does."""
         host_id = HostId(name)
         host = self.hosts[host_id]
@@ -290,18 +290,18 @@
             await other.log.followers_by_stream[STREAM].wait_for(activated)
         last = self.owners.get(ownable)
         self.owners[ownable] = (host_id, epoch)
-        if last is not None and last[0] in self.hosts and told:
+        if last is not None and last[0] in self.hosts and notify:
             for lost in self.hosts[last[0]].ownership.lost_callbacks:
                 lost(ownable)
         for activated_callback in host.ownership.callbacks:
             activated_callback(ownable, epoch)
 
-    async def spread(self) -> None:
+    async def assign_all(self) -> None:
         """Give upstreams and one key shard out, turn by turn."""
         names = sorted(self.hosts)
         for number, upstream in enumerate(self.upstreams):
             ownable = make_ownable_id(OwnableKind.UPSTREAM, upstream)
-            await self.give(ownable, names[number % len(names)])
+            await self.assign(ownable, names[number % len(names)])
 
     def call(
         self,
@@ -334,13 +334,15 @@
 
 
 @asynccontextmanager
-async def open_rig(*, hosts: int = 2, executors: int = 2, slots: int = 2) -> AsyncIterator[Rig]:
+async def open_harness(
+    *, hosts: int = 2, executors: int = 2, slots: int = 2
+) -> AsyncIterator[Harness]:
     async with trio.open_nursery() as nursery:
-        rig = Rig(nursery=nursery, executors=executors, slots=slots)
+        harness = Harness(nursery=nursery, executors=executors, slots=slots)
         for number in range(hosts):
-            await rig.add_host(f"e{number + 1}")
-        await rig.spread()
-        yield rig
+            await harness.add_host(f"e{number + 1}")
+        await harness.assign_all()
+        yield harness
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -191,17 +191,17 @@
                 assert queue.take(now=step / 10) == request
         return queue
 
-    def test_what_has_no_chance_is_given_up_long_before_its_deadline(self) -> None:
+    def test_overtaken_requests_are_dropped_long_before_their_deadline(self) -> None:
         queue = self.overtaken(urgent_every=1)
-        given_up = queue.give_up(now=10.0)
+        given_up = queue.drop_overtaken(now=10.0)
         assert 0 < len(given_up) < 10
         assert {one.urgency for one in given_up} == {Urgency.BACKFILL}
         assert len(queue) == 10 - len(given_up)
-        assert queue.give_up(now=10.0) == []
+        assert queue.drop_overtaken(now=10.0) == []
 
-    def test_the_first_in_line_is_kept_and_a_long_deadline_too(self) -> None:
+    def test_the_head_of_the_queue_and_long_deadlines_are_kept(self) -> None:
         assert self.overtaken(urgent_every=1).waiting_of(Urgency.BACKFILL) == 10
-        assert self.overtaken(urgent_every=1, deadline=1e9).give_up(now=10.0) == []
+        assert self.overtaken(urgent_every=1, deadline=1e9).drop_overtaken(now=10.0) == []
 
     def test_a_new_one_that_would_be_overtaken_is_refused(self) -> None:
         queue = self.overtaken(urgent_every=1)
@@ -212,7 +212,7 @@
         normal = waiting("normal", deadline=30.0)
         assert queue.offer(request=normal, now=10.0).refusal is None
 
-    def test_nothing_is_given_up_before_a_rate_is_known(self) -> None:
+    def test_nothing_is_dropped_before_a_rate_is_known(self) -> None:
         queue = Admission(limits=AdmissionLimits())
         queue.offer(request=waiting("b", urgency=Urgency.BACKFILL, deadline=0.1), now=0.0)
-        assert queue.give_up(now=0.05) == []
+        assert queue.drop_overtaken(now=0.05) == []
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 from galenastall.coordination.timeline.explain import SENTENCES, explain, explanation_text
 from galenastall.coordination.timeline.timeline_merge import merge_timelines
 from galenastall.node import http_ops
-from galenastall.node.requests.request_book import RequestBook
+from galenastall.node.requests.request_table import RequestTable
 from galenastall.node.requests.request_trace import RequestTrace
 from galenastall.node.requests.request_types import RequestAnswer, RequestCall
 from galenastall.node.timeline.present_state import PresentState
@@ -22,7 +22,7 @@
 from galenastall.transport.clock import TrioClock
 from galenastall.transport.logs import Level, Recorder
 from job_cluster import make_spec, open_cluster
-from request_rig import open_rig
+from request_rig import open_harness
 
 
 def told(ring: TimelineRing, subject: str, present: tuple[str, ...] = ()) -> str:
@@ -32,7 +32,7 @@
 
 class TestRequests:
     async def test_a_retried_request(self, autojump_clock: Any) -> None:
-        async with open_rig() as rig:
+        async with open_harness() as rig:
             rig.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
             await rig.ask("e1", rig.call("r1", idempotent=True))
             text = told(rig.ring, "r1")
@@ -48,7 +48,7 @@
     async def test_a_refused_request_was_not_run_and_when_to_come_again(
         self, autojump_clock: Any
     ) -> None:
-        async with open_rig() as rig:
+        async with open_harness() as rig:
             rig.hosts[HostId("e1")].requests.begin_drain()
             answer = await rig.ask("e1", rig.call("r1"))
             assert answer.outcome is Outcome.NOT_RUN
@@ -64,7 +64,7 @@
             await host.intake.submit(make_spec("j", tasks=3))
             await host.intake.submit(make_spec("k", tasks=3))
             await cluster.until(lambda: cluster.ended("j") and cluster.ended("k"))
-            present = PresentState(jobs=host.intake, requests=RequestBook())
+            present = PresentState(jobs=host.intake, requests=RequestTable())
             job = told(cluster.ring, "j", await present.describe("j"))
             task = told(cluster.ring, "j/0", await present.describe("j/0"))
             assert await present.describe("nobody") == ()
@@ -98,7 +98,7 @@
             await cluster.until(lambda: len(cluster.running()) > 10)
             placed = cluster.running()
             waiting = next(f"full/{n}" for n in range(500) if f"full/{n}" not in placed)
-            present = PresentState(jobs=host.intake, requests=RequestBook())
+            present = PresentState(jobs=host.intake, requests=RequestTable())
             text = told(cluster.ring, waiting, await present.describe(waiting))
         assert text.splitlines()[-1].startswith(f"Now: {waiting} is waiting")
 
--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -12,17 +12,20 @@
 from galenastall.transport.http_messages import BodyStream, HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
 from http_support import connect, serving
-from request_rig import Rig, open_rig
+from request_rig import Harness, open_harness
 
 
-def routes_of(rig: Rig) -> RequestRoutes:
-    host = rig.hosts[HostId("e1")]
+def routes_of(harness: Harness) -> RequestRoutes:
+    host = harness.hosts[HostId("e1")]
     return RequestRoutes(
-        clock=rig.clock, requests=host.requests, keyed=host.keyed, settings=lambda: rig.settings
+        clock=harness.clock,
+        requests=host.requests,
+        keyed=host.keyed,
+        settings=lambda: harness.settings,
     )
 
 
-async def post(rig: Rig, headers: dict[str, str], *, body: bytes = b"in") -> HttpResponse:
+async def post(harness: Harness, headers: dict[str, str], *, body: bytes = b"in") -> HttpResponse:
     named = {f"galenastall-{name}": value for name, value in headers.items()}
     request = HttpRequest(
         method="POST",
@@ -31,7 +34,7 @@
         headers={"galenastall-team": "a", "content-length": str(len(body)), **named},
         stream=BodyStream.of(body),
     )
-    return await routes_of(rig).submit(request)
+    return await routes_of(harness).submit(request)
 
 
 class TestHeaders:
@@ -51,37 +54,37 @@
     async def test_a_bad_header_is_named_with_what_is_allowed(
         self, autojump_clock: MockClock, header: str, value: str
     ) -> None:
-        async with open_rig() as rig:
-            response = await post(rig, {header: value})
+        async with open_harness() as harness:
+            response = await post(harness, {header: value})
             assert (response.status, response.headers["galenastall-outcome"]) == (400, "not_run")
             assert isinstance(response.body, bytes)
             assert f"galenastall-{header}".encode() in response.body
             assert b"allowed" in response.body
-            assert rig.runs == 0
+            assert harness.runs == 0
 
     async def test_an_answer_names_the_callers_request(self, autojump_clock: MockClock) -> None:
-        async with open_rig() as rig:
-            response = await post(rig, {"request-id": "mine", "deadline-ms": "2000"})
+        async with open_harness() as harness:
+            response = await post(harness, {"request-id": "mine", "deadline-ms": "2000"})
             assert response.status == 200
             assert response.headers["galenastall-request-id"] == "mine"
             assert response.headers["galenastall-outcome"] == "done"
-            status = await routes_of(rig).status(
+            status = await routes_of(harness).status(
                 HttpRequest(method="GET", path="", path_params={"id": "mine"})
             )
             assert isinstance(status.body, bytes)
             assert b'"outcome":"done"' in status.body
 
     async def test_a_body_too_large_for_a_key_runs_nothing(self, autojump_clock: MockClock) -> None:
-        async with open_rig() as rig:
-            rig.settings = RequestSettings(keyed_body_bytes=10)
-            response = await post(rig, {"idempotency-key": "1-a"}, body=b"x" * 11)
+        async with open_harness() as harness:
+            harness.settings = RequestSettings(keyed_body_bytes=10)
+            response = await post(harness, {"idempotency-key": "1-a"}, body=b"x" * 11)
             assert (response.status, response.headers["galenastall-outcome"]) == (413, "not_run")
 
     async def test_a_large_body_is_streamed_through(self, autojump_clock: MockClock) -> None:
-        async with open_rig() as rig:
-            rig.settings = RequestSettings(replay_bytes=10)
-            response = await post(rig, {}, body=b"x" * 1_000)
-            assert (response.status, rig.runs) == (200, 1)
+        async with open_harness() as harness:
+            harness.settings = RequestSettings(replay_bytes=10)
+            response = await post(harness, {}, body=b"x" * 1_000)
+            assert (response.status, harness.runs) == (200, 1)
 
 
 class TestStatuses:
@@ -126,29 +129,29 @@
 class Caller:
     """A route without headers to set, for the raw client."""
 
-    def __init__(self, rig: Rig) -> None:
-        self._rig = rig
+    def __init__(self, harness: Harness) -> None:
+        self._harness = harness
 
     @route("GET", "/ask")
     async def ask(self, _request: HttpRequest) -> HttpResponse:
-        return respond(await self._rig.ask("e1", self._rig.call(idempotent=True)))
+        return respond(await self._harness.ask("e1", self._harness.call(idempotent=True)))
 
 
 class TestOverSockets:
     @pytest.mark.parametrize("cut", [0.0, 1.0])
     async def test_a_streamed_answer_is_whole_or_its_connection_breaks(self, cut: float) -> None:
-        async with open_rig() as rig, serving(Caller(rig)) as server:
-            rig.set_faults(ExecutorFaults(answer_bytes=3_000_000, cut=cut))
+        async with open_harness() as harness, serving(Caller(harness)) as server:
+            harness.set_faults(ExecutorFaults(answer_bytes=3_000_000, cut=cut))
             client = await connect(server.address)
             answer = await client.ask("GET", "/ask")
             assert answer.status == 200
             assert answer.is_whole is (cut == 0.0)
             assert (len(answer.body) == 3_000_000) is (cut == 0.0)
-            assert rig.hosts[HostId("e1")].permits.held == 0
+            assert harness.hosts[HostId("e1")].permits.held == 0
 
     async def test_a_small_answer_that_breaks_is_an_error_status(self) -> None:
-        async with open_rig() as rig, serving(Caller(rig)) as server:
-            rig.set_faults(ExecutorFaults(cut=1.0))
+        async with open_harness() as harness, serving(Caller(harness)) as server:
+            harness.set_faults(ExecutorFaults(cut=1.0))
             answer = await (await connect(server.address)).ask("GET", "/ask")
             assert (answer.status, answer.is_whole) == (504, True)
             assert answer.headers["galenastall-outcome"] == "unknown"
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -14,9 +14,9 @@
     KeyVerdict,
     check_age,
     home_of,
+    intersects_every_majority,
     is_majority,
     key_time,
-    meets_every_majority,
 )
 from galenastall.protocol.codec import decode_record, encode_record
 from galenastall.state.ids import DataCentre, Epoch, HostId, Offset, RecordId, RequestId, StreamName
@@ -190,7 +190,7 @@
     def test_each_read_meets_each_majority(self, size: int) -> None:
         for held in range(size + 1):
             for read in range(size + 1):
-                enough = is_majority(count=held, of=size) and meets_every_majority(
+                enough = is_majority(count=held, of=size) and intersects_every_majority(
                     count=read, of=size
                 )
                 assert not enough or held + read > size
@@ -205,7 +205,7 @@
         assert not held.hold(shard="0", epoch=Epoch(1), entries=(entry,))
         assert not held.read(shard="0", epoch=Epoch(1), serving=Epoch(1)).is_holder
 
-    def test_a_restarted_process_does_not_pass_for_a_holder(self) -> None:
+    def test_a_restarted_process_is_not_taken_for_a_holder(self) -> None:
         held = HeldIntents()
         assert not held.hold(shard="0", epoch=Epoch(1), entries=())
         read = held.read(shard="0", epoch=Epoch(2), serving=Epoch(1))
@@ -257,7 +257,7 @@
                 read = holder.read(shard="0", epoch=epoch, serving=last)
                 answered += read.was_holder
                 found += read.entries
-        complete = serving is None or meets_every_majority(count=answered, of=len(HOLDERS))
+        complete = serving is None or intersects_every_majority(count=answered, of=len(HOLDERS))
         restored = shard.restore(found)
         self.log.append(KeysCarried(shard="0", epoch=epoch, entries=restored))
         lost = 0.0 if complete else 100.0
--- a/tests/test_load_shed.py
+++ b/tests/test_load_shed.py
@@ -43,7 +43,7 @@
         assert refused_of(shedder_after(late_s=0.05, seconds=0.3), urgent=True) == 0
         assert 400 < refused_of(shedder_after(late_s=0.05, seconds=10), urgent=True) < 500
 
-    def test_all_is_taken_again_once_the_loop_keeps_up(self) -> None:
+    def test_all_requests_are_accepted_again_once_the_loop_keeps_up(self) -> None:
         shedder = shedder_after(late_s=0.05, seconds=10)
         for _ in range(300):
             shedder.note(late_s=0.0, span_s=0.01)
--- a/tests/test_retries_and_ejection.py
+++ b/tests/test_retries_and_ejection.py
@@ -125,14 +125,14 @@
         ]
         assert ejection.allowed(upstream=HOSTS[0], slots=8, now=4.9) == 0
 
-    def test_no_more_than_the_cap_are_out(self) -> None:
+    def test_no_more_than_the_cap_are_ejected(self) -> None:
         ejection = self.make()
         for host in HOSTS:
             for _ in range(5):
                 ejection.failed(upstream=host, now=0.0)
         assert len(ejection.ejected(now=0.0)) == 3
 
-    def test_a_slow_one_is_out(self) -> None:
+    def test_a_slow_upstream_is_ejected(self) -> None:
         ejection = self.make()
         for _ in range(5):
             for host in HOSTS:
@@ -141,7 +141,7 @@
         ejection.succeeded(upstream=HOSTS[0], latency_s=2.0, slots=8, now=0.0)
         assert ejection.ejected(now=0.0) == {HOSTS[0]}
 
-    def test_it_comes_back_slowly_and_goes_at_the_first_failure(self) -> None:
+    def test_an_ejected_upstream_returns_slowly_and_goes_at_the_first_failure(self) -> None:
         ejection = self.make()
         for _ in range(3):
             ejection.failed(upstream=HOSTS[0], now=0.0)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -26,7 +26,7 @@
 def owner_of(*upstreams: OwnedUpstream, limits: PermitLimits = LIMITS) -> OwnedSlots:
     owned = OwnedSlots(limits=limits, clients=3)
     for one in upstreams:
-        owned.open(upstream=one, epoch=Epoch(5), silent=(), now=0.0)
+        owned.open(upstream=one, epoch=Epoch(5), unreported=(), now=0.0)
     return owned
 
 
@@ -50,8 +50,8 @@
         ask(owned, CLIENTS[0], 4)
         first = grants(owned)
         assert len(first) == 3
-        owned.give_back(permit_id=first[0].permit_id, busy_for_s=0.0, now=0.1)
-        owned.give_back(permit_id=first[0].permit_id, busy_for_s=0.0, now=0.1)
+        owned.release(permit_id=first[0].permit_id, busy_for_s=0.0, now=0.1)
+        owned.release(permit_id=first[0].permit_id, busy_for_s=0.0, now=0.1)
         assert len(grants(owned, now=0.1)) == 1
 
     def test_nothing_is_granted_without_the_right_to_act(self) -> None:
@@ -60,7 +60,7 @@
         assert grants(owned, epoch=None) == []
         assert grants(owned, epoch=6) == []
 
-    def test_urgent_goes_first_and_entry_hosts_take_turns(self) -> None:
+    def test_urgent_goes_first_then_round_robin_over_entry_hosts(self) -> None:
         owned = owner_of(upstream(slots=4))
         ask(owned, CLIENTS[0], 4)
         ask(owned, CLIENTS[1], 1)
@@ -68,7 +68,7 @@
         granted = owned.grant(now=0.0, may_act=lambda _: Epoch(5), allowed=all_slots)
         assert [client for client, _ in granted] == ["e3", "e1", "e2", "e1"]
 
-    def test_an_ask_left_too_long_is_not_granted(self) -> None:
+    def test_an_expired_ask_is_not_granted(self) -> None:
         owned = owner_of(upstream())
         ask(owned, CLIENTS[0], 1)
         assert grants(owned, now=1.0) == []
@@ -87,16 +87,16 @@
         ask(owned, CLIENTS[1], 1)
         assert len(grants(owned)) == 1
 
-    def test_a_smaller_upstream_gets_nothing_until_it_has_room(self) -> None:
+    def test_a_smaller_upstream_gets_nothing_until_it_has_free_slots(self) -> None:
         owned = owner_of(upstream(slots=4))
         ask(owned, CLIENTS[0], 4)
         held = grants(owned)
         owned.update(upstream(slots=2))
         ask(owned, CLIENTS[1], 1)
         for permit in held[:2]:
-            owned.give_back(permit_id=permit.permit_id, busy_for_s=0.0, now=0.0)
+            owned.release(permit_id=permit.permit_id, busy_for_s=0.0, now=0.0)
             assert grants(owned) == []
-        owned.give_back(permit_id=held[2].permit_id, busy_for_s=0.0, now=0.0)
+        owned.release(permit_id=held[2].permit_id, busy_for_s=0.0, now=0.0)
         assert len(grants(owned)) == 1
 
     def test_one_after_the_other_they_spread_over_the_upstreams(self) -> None:
@@ -106,14 +106,14 @@
             ask(owned, CLIENTS[0], 1)
             (permit,) = grants(owned)
             used.append(permit.upstream)
-            owned.give_back(permit_id=permit.permit_id, busy_for_s=0.0, now=0.0)
+            owned.release(permit_id=permit.permit_id, busy_for_s=0.0, now=0.0)
         assert sorted(used) == ["a", "a", "b", "b", "c", "c"]
 
     def test_a_slot_that_may_still_be_busy_is_kept(self) -> None:
         owned = owner_of(upstream(slots=1))
         ask(owned, CLIENTS[0], 2)
         permit = grants(owned)[0]
-        owned.give_back(permit_id=permit.permit_id, busy_for_s=0.5, now=0.1)
+        owned.release(permit_id=permit.permit_id, busy_for_s=0.5, now=0.1)
         owned.expire(now=0.5)
         assert grants(owned, now=0.5) == []
         owned.expire(now=0.6)
@@ -123,7 +123,7 @@
 class TestTakeover:
     def test_the_upstream_is_full_until_all_have_reported(self) -> None:
         owned = OwnedSlots(limits=LIMITS, clients=3)
-        owned.open(upstream=upstream(), epoch=Epoch(5), silent=CLIENTS[:2], now=0.0)
+        owned.open(upstream=upstream(), epoch=Epoch(5), unreported=CLIENTS[:2], now=0.0)
         ask(owned, CLIENTS[2], 1)
         owned.report(upstream=UPSTREAM, epoch=Epoch(5), client=CLIENTS[0], held=(), now=0.0)
         assert grants(owned) == []
@@ -132,13 +132,13 @@
         owned.report(upstream=UPSTREAM, epoch=Epoch(5), client=CLIENTS[1], held=(), now=0.0)
         assert len(grants(owned)) == 1
 
-    def test_a_silent_one_counts_until_the_longest_permit_has_passed(self) -> None:
+    def test_an_unreported_client_counts_until_the_longest_permit_has_passed(self) -> None:
         owned = OwnedSlots(limits=LIMITS, clients=3)
-        owned.open(upstream=upstream(), epoch=Epoch(5), silent=CLIENTS[:1], now=0.0)
+        owned.open(upstream=upstream(), epoch=Epoch(5), unreported=CLIENTS[:1], now=0.0)
         owned.expire(now=10.9)
-        assert owned.silent(UPSTREAM) == {CLIENTS[0]}
+        assert owned.unreported(UPSTREAM) == {CLIENTS[0]}
         owned.expire(now=11.0)
-        assert owned.silent(UPSTREAM) == frozenset()
+        assert owned.unreported(UPSTREAM) == frozenset()
 
     def test_a_grant_of_an_earlier_owner_is_void_after_the_report(self) -> None:
         holder = PermitHolder(limits=LIMITS)
@@ -165,14 +165,14 @@
         ask(old, CLIENTS[0], 2)
         first, second = grants(old)
         new = OwnedSlots(limits=LIMITS, clients=3)
-        new.open(upstream=upstream(slots=2), epoch=Epoch(7), silent=CLIENTS, now=0.0)
-        new.give_back(permit_id=first.permit_id, busy_for_s=0.0, now=0.0)
+        new.open(upstream=upstream(slots=2), epoch=Epoch(7), unreported=CLIENTS, now=0.0)
+        new.release(permit_id=first.permit_id, busy_for_s=0.0, now=0.0)
         ledger = old.ledger(upstream=UPSTREAM, before=Epoch(7), now=0.0)
         assert ledger is not None
         assert not old.is_open(UPSTREAM)
         new.take_over(upstream=UPSTREAM, epoch=Epoch(7), ledger=ledger, now=0.0)
         assert new.in_use(UPSTREAM) == 1
-        new.give_back(permit_id=second.permit_id, busy_for_s=0.0, now=0.0)
+        new.release(permit_id=second.permit_id, busy_for_s=0.0, now=0.0)
         assert new.in_use(UPSTREAM) == 0
         assert new.ledger(upstream=UPSTREAM, before=Epoch(7), now=0.0) is None
 
@@ -185,7 +185,7 @@
         self.now = 0.0
         self.epoch = 1
         self.owners = {1: OwnedSlots(limits=LIMITS, clients=3)}
-        self.owners[1].open(upstream=upstream(), epoch=Epoch(1), silent=(), now=0.0)
+        self.owners[1].open(upstream=upstream(), epoch=Epoch(1), unreported=(), now=0.0)
         self.holders = {name: PermitHolder(limits=LIMITS) for name in CLIENTS}
         self.asks: list[tuple[HostId, int, int]] = []
         self.flying: list[tuple[HostId, int, Permit]] = []
@@ -265,7 +265,7 @@
             return
         epoch, permit_id = self.returns.pop(index % len(self.returns))
         if not lost:
-            self.owners[epoch].give_back(permit_id=permit_id, busy_for_s=0.0, now=self.now)
+            self.owners[epoch].release(permit_id=permit_id, busy_for_s=0.0, now=self.now)
 
     @rule(seconds=st.sampled_from([0.9, 2.0, 11.0]))
     def wait(self, seconds: float) -> None:
@@ -276,7 +276,7 @@
     def take_over(self) -> None:
         self.epoch += 1
         owner = self.owners[self.epoch] = OwnedSlots(limits=LIMITS, clients=3)
-        owner.open(upstream=upstream(), epoch=Epoch(self.epoch), silent=CLIENTS, now=self.now)
+        owner.open(upstream=upstream(), epoch=Epoch(self.epoch), unreported=CLIENTS, now=self.now)
 
     @rule()
     def take_over_from_ledger(self) -> None:
