--- a/src/galenastall/coordination/requests/admission.py
+++ b/src/galenastall/coordination/requests/admission.py
@@ -1,7 +1,7 @@
-"""Admit requests to a bounded queue and hand them out by class, team share and deadline.
+"""Admit requests to a bounded queue and dispatch them by class, team share and deadline.
 
-A request that cannot make its deadline is refused or dropped before anything leaves this process,
-so that `not run` is always the truth and the caller hears it while it can still act on it.
+A request that cannot meet its deadline is refused or dropped before anything is sent to an
+upstream, so `not run` is always correct and reaches the caller while it can still react.
 """
 
 import heapq
@@ -14,29 +14,29 @@
 from galenastall.state.work import Urgency
 
 MIN_COST_S: Final = 0.001
-"""Least service time charged to a team, in seconds, so that shares stay finite."""
+"""Minimum service time charged to a team, in seconds, so that shares stay finite."""
 MIN_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 30.0
 OVERTAKEN_SLACK: Final = 1.5
-"""A wait is hopeless if it is expected to take so many times the time that is left."""
+"""A request counts as overtaken if its expected wait exceeds this many times the time left."""
 PRUNE_SLACK: Final = 1_000
-"""Stale heap entries tolerated beyond four for each waiting request."""
+"""Stale heap entries tolerated beyond four per waiting request."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AdmissionLimits:
-    """Bounds of the queue; all settable while the process runs."""
+    """Bounds of the queue; all can be changed while the process runs."""
 
     waiting: int = 1_000
     """Requests that may wait, over all classes and teams."""
     waiting_per_team: int = 500
     """Requests that one team may have waiting."""
     waiting_by_team: Mapping[TeamPath, int] = field(default_factory=dict)
-    """The same for teams with a lower bound of their own."""
+    """Overrides of `waiting_per_team` by team."""
     wait_share: float = 0.5
-    """Share of the time to its latest start that a request may be expected to wait."""
+    """Largest expected wait, as a share of the time to the request's latest start."""
     lower_class_every: int = 20
-    """Every n-th request handed out is of the lowest class waiting, so that none starves."""
+    """Every n-th dispatched request is of the lowest waiting class, so that none starves."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -47,19 +47,19 @@
     team: TeamPath
     urgency: Urgency
     deadline: float
-    """Runtime time in seconds by which the caller needs the whole answer."""
+    """Monotonic time in seconds by which the caller needs the complete response."""
     service_s: float = 0.0
-    """Shortest run time to expect, in seconds; 0 if nothing is known."""
+    """Shortest expected run time, in seconds; 0 if unknown."""
 
     @property
     def latest_start(self) -> float:
-        """Runtime time after which starting it is in vain."""
+        """Monotonic time after which a start can no longer meet the deadline."""
         return self.deadline - self.service_s
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refusal:
-    """Why a request was not taken in, and when to come again."""
+    """Why a request was refused, and when to retry."""
 
     reason: str
     retry_after_s: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OfferResult:
-    """The answer to an offer: refused, or queued with what had to make room for it."""
+    """The result of an offer: refused, or queued, possibly displacing another request."""
 
     refusal: Refusal | None = None
     displaced: WaitingRequest | None = None
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """A queued request; heaps refer to it by sequence, since an id may be queued again."""
+    """A queued request; heaps refer to it by sequence, since an id may be queued twice."""
 
     sequence: int
     request: WaitingRequest
@@ -92,7 +92,7 @@
 
 
 class _TeamQueue:
-    """A team's requests of one class by deadline; removed ones are skipped when met."""
+    """A team's requests of one class by deadline; removed ones are skipped when popped."""
 
     __slots__ = ("heap", "size")
 
@@ -123,7 +123,7 @@
         self.size += 1
 
     def forget(self, request: WaitingRequest) -> None:
-        """Count a request as gone; its heap entry is skipped when it comes up."""
+        """Count a request as removed; its heap entry is skipped when popped."""
         self._queues_by_team[request.team].size -= 1
         self.size -= 1
 
@@ -164,7 +164,7 @@
             self._finish_by_team = kept
 
     def largest_team(self) -> TeamPath | None:
-        """Return the team with most requests waiting."""
+        """Return the team with the most waiting requests."""
         if not self.size:
             return None
         return max(self._queues_by_team, key=lambda team: self._queues_by_team[team].size)
@@ -178,11 +178,11 @@
 
     @property
     def active_teams(self) -> int:
-        """How many teams have requests of this class, or had until a moment ago."""
+        """Teams with requests of this class; emptied ones count until `take` meets them."""
         return len(self._queues_by_team)
 
     def size_of(self, team: TeamPath) -> int:
-        """Return how many requests of the team wait."""
+        """Return the number of waiting requests of the team."""
         queue = self._queues_by_team.get(team)
         return queue.size if queue else 0
 
@@ -208,11 +208,11 @@
         return len(self._entries_by_id)
 
     def waiting_of(self, urgency: Urgency) -> int:
-        """Return how many requests of a class wait."""
+        """Return the number of waiting requests of a class."""
         return self._classes[urgency].size
 
     def offer(self, *, request: WaitingRequest, now: float) -> OfferResult:
-        """Queue the request, or refuse it with a hint when to come again."""
+        """Queue the request, or refuse it with a hint when to retry."""
         refusal = self._refusal(request, now)
         if refusal is not None:
             return OfferResult(refusal=refusal)
@@ -240,7 +240,7 @@
         return self._refuse("queue_full", request.urgency)
 
     def take(self, *, now: float) -> WaitingRequest | None:
-        """Remove and return the request to dispatch next; drop late ones with `expire` first."""
+        """Remove and return the request to dispatch next; call `expire` first to drop late ones."""
         if not self._entries_by_id:
             return None
         self._taken += 1
@@ -253,7 +253,7 @@
         return None
 
     def expire(self, *, now: float) -> Iterator[WaitingRequest]:
-        """Remove and yield every request that can no longer make its deadline."""
+        """Remove and yield every request that can no longer meet its deadline."""
         while self._latest_starts and self._latest_starts[0][0] <= now:
             _, sequence, request_id = heapq.heappop(self._latest_starts)
             request = _queued_request(self._entries_by_id, sequence, request_id)
@@ -262,10 +262,10 @@
                 yield request
 
     def drop_overtaken(self, *, now: float) -> list[WaitingRequest]:
-        """Remove and return those that others have overtaken for good.
+        """Remove and return requests that more urgent ones keep from meeting their deadline.
 
-        What is served next is sure enough; it is the end of a queue that more urgent arrivals
-        leave no room for. It hears so now rather than at its deadline.
+        These are at the end of a queue whose capacity goes to more urgent arrivals. They are
+        refused now rather than at their deadline.
         """
         rate = self._drain.per_second
         if rate is None:
@@ -281,7 +281,7 @@
         return overtaken
 
     def _overtaken_of(self, urgency: Urgency, rate: float, now: float) -> Iterator[_Entry]:
-        """Yield what its class's rate does not reach in GIVE_UP_SLACK times the time left."""
+        """Yield what the class's rate does not reach in OVERTAKEN_SLACK times the time left."""
         own_rate = self._rate_of(urgency, rate, now)
         teams = max(1, self._classes[urgency].active_teams)
         above = self._ahead_of(urgency) - self._classes[urgency].size
@@ -298,7 +298,7 @@
 
     @property
     def next_expiry(self) -> float | None:
-        """Runtime time of the next drop, or None if nothing waits."""
+        """Monotonic time of the next expiry, or None if the queue is empty."""
         while self._latest_starts:
             latest_start, sequence, request_id = self._latest_starts[0]
             if _queued_request(self._entries_by_id, sequence, request_id) is not None:
@@ -307,7 +307,7 @@
         return None
 
     def withdraw(self, request_id: RequestId) -> WaitingRequest | None:
-        """Remove a request, for example one whose caller went away."""
+        """Remove a request, for example because its caller disconnected."""
         entry = self._entries_by_id.pop(request_id, None)
         if entry is None:
             return None
@@ -315,7 +315,7 @@
         return entry.request
 
     def retry_after_s(self, urgency: Urgency) -> float:
-        """Return seconds until about half of what goes before this class has drained."""
+        """Return seconds until about half of the requests ahead of this class have drained."""
         rate = self._drain.per_second
         if rate is None:
             return 1.0
@@ -323,11 +323,11 @@
 
     @property
     def drain_per_s(self) -> float | None:
-        """Requests handed out per second while others waited; None until measured."""
+        """Requests dispatched per second while others waited; None until measured."""
         return self._drain.per_second
 
     def _prune_latest_starts(self) -> None:
-        """Drop the entries of requests long gone once they outnumber the waiting ones."""
+        """Rebuild the heap once stale entries far outnumber the waiting requests."""
         if len(self._latest_starts) < 4 * len(self._entries_by_id) + PRUNE_SLACK:
             return
         self._latest_starts = [
@@ -358,10 +358,10 @@
         return None
 
     def _wait_s(self, request: WaitingRequest, rate: float, now: float) -> float:
-        """Return the wait to expect: classes above, and the team's fair share of its own class.
+        """Return the expected wait: classes above, and the team's fair share of its own class.
 
-        What more urgent classes bring in while the request waits goes before it too, so only the
-        rest of the rate serves what is ahead of it, and at least the lowest class's turns.
+        More urgent arrivals during the wait are served first too, so only the rest of the rate
+        serves the requests ahead, but at least the share reserved for the lowest class.
         """
         own_class = self._classes[request.urgency]
         above = self._ahead_of(request.urgency) - own_class.size
--- a/src/galenastall/coordination/requests/ejection.py
+++ b/src/galenastall/coordination/requests/ejection.py
@@ -1,7 +1,7 @@
-"""Take failing or slow upstreams out for a while, never more than a share of them.
+"""Outlier ejection: stop using failing or slow upstreams for a while, up to a share of them.
 
-Ejection answers to what requests saw, not to probes: consecutive failures, or a mean latency far
-above the median of the others. An upstream comes back slowly, one request at a time at first.
+Ejection is based on the results of requests, not on probes: consecutive failures, or a mean latency
+far above the median of the others. An upstream returns slowly, with one request at a time at first.
 """
 
 from dataclasses import dataclass
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EjectionLimits:
-    """When an upstream is taken out and for how long."""
+    """When an upstream is ejected and for how long."""
 
     consecutive_failures: int = 5
     latency_factor: float = 4.0
-    """Mean latency over the median of all that ejects."""
+    """Ratio of mean latency to the median of the other upstreams above which one is ejected."""
     latency_samples: int = 20
-    """Answers since the last ejection before latency counts."""
+    """Responses needed since the last ejection before latency is considered."""
     latency_floor_s: float = 0.05
-    """Means below this never eject, in seconds."""
+    """Mean latencies below this never cause an ejection, in seconds."""
     base_s: float = 5.0
-    """First ejection, in seconds; doubles with each further one."""
+    """Duration of the first ejection, in seconds; doubles with each further one."""
     max_s: float = 120.0
     max_share: float = 0.3
-    """Largest share of the upstreams that may be out at once."""
+    """Largest share of the upstreams that may be ejected at once."""
 
 
 class _Record:
@@ -45,7 +45,7 @@
 
 
 class Ejection:
-    """The standing of each upstream that this entry host owns."""
+    """Ejection state of each upstream that this entry host owns."""
 
     def __init__(self, *, limits: EjectionLimits) -> None:
         """Start with no upstreams."""
@@ -54,16 +54,16 @@
         self._limited: set[HostId] = set()
 
     def add(self, upstream: HostId) -> None:
-        """Follow an upstream."""
+        """Start tracking an upstream."""
         self._records_by_id.setdefault(upstream, _Record())
 
     def remove(self, upstream: HostId) -> None:
-        """Forget an upstream."""
+        """Stop tracking an upstream."""
         self._records_by_id.pop(upstream, None)
         self._limited.discard(upstream)
 
     def ejected(self, *, now: float) -> frozenset[HostId]:
-        """Return the upstreams that are out now."""
+        """Return the upstreams that are ejected now."""
         records = self._records_by_id.items()
         return frozenset(upstream for upstream, record in records if record.ejected_until > now)
 
@@ -77,16 +77,16 @@
         return slots if record.reentry is None else min(slots, record.reentry)
 
     def limits_any(self) -> bool:
-        """Return whether any upstream is out or on its way back."""
+        """Return whether any upstream is ejected or only partly readmitted."""
         return bool(self._limited)
 
     def next_return(self, *, now: float) -> float | None:
-        """Runtime time at which the next ejected upstream comes back, if any is out."""
+        """Return the monotonic time at which the next ejection ends, or None if there is none."""
         later = (r.ejected_until for r in self._records_by_id.values() if r.ejected_until > now)
         return min(later, default=None)
 
     def succeeded(self, *, upstream: HostId, latency_s: float, slots: int, now: float) -> bool:
-        """Take in a good answer; return True if its latency ejected the upstream."""
+        """Record a success; return True if its latency ejected the upstream."""
         record = self._records_by_id.get(upstream)
         if record is None:
             return False
@@ -99,7 +99,7 @@
         return self._is_slow(record) and self._eject(upstream, record, now)
 
     def failed(self, *, upstream: HostId, now: float) -> bool:
-        """Take in a failure; return True if it ejected the upstream."""
+        """Record a failure; return True if it ejected the upstream."""
         record = self._records_by_id.get(upstream)
         if record is None:
             return False
@@ -108,7 +108,7 @@
         return record.failures >= limit and self._eject(upstream, record, now)
 
     def _raise_allowance(self, record: _Record, slots: int) -> bool:
-        """Allow twice as many requests; return whether the upstream is fully back by that."""
+        """Double the allowed requests; return whether that readmits the upstream fully."""
         if record.reentry is None:
             return False
         record.reentry *= 2
--- a/src/galenastall/coordination/requests/keys.py
+++ b/src/galenastall/coordination/requests/keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys: where a key lives, and what its shard's owner answers.
+"""Idempotency keys: placement of keys on shards, and the verdicts of a shard's owner.
 
-A key carries the time at which it was made, because a key that has been forgotten cannot be told
-from a new one: keys older than memory are refused instead of run. The owner records an intent
-before a request leaves, so that no later owner lets it leave a second time.
+A key contains its creation time, because a forgotten key cannot be distinguished from a new one:
+keys older than the retention period are refused instead of run. The owner records an intent before
+a request is sent, so that no later owner allows it to be sent a second time.
 """
 
 from collections.abc import Iterable, Sequence
@@ -19,7 +19,7 @@
 from galenastall.state.outcomes import Outcome
 
 KEY_SHARDS: Final = 8
-"""Shards of keys in each data centre; a change would move keys away from their records."""
+"""Key shards in each data centre; changing it would separate keys from their records."""
 MAX_KEY_LENGTH: Final = 200
 UUID_LENGTH: Final = 36
 UUID_VERSION_AT: Final = 14
@@ -31,20 +31,20 @@
     """How long keys are remembered, in seconds."""
 
     memory_s: float = 86_400.0
-    """Age up to which a key is accepted."""
+    """Retention period: the age up to which a key is accepted."""
     margin_s: float = 600.0
-    """Further time for which it is remembered, over any skew of clocks."""
+    """Extra time for which a key is remembered, larger than any clock skew."""
     skew_s: float = 5.0
-    """Largest difference between two wall clocks; keys from further ahead are refused."""
+    """Largest difference between two wall clocks; keys further in the future are refused."""
     settle_s: float = 5.0
-    """Time after a request's deadline for its end to be recorded, before it is unknown."""
+    """Time after a request's deadline to record its end, before it counts as unknown."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyHomes:
-    """The data centres that share the keys made from a moment on.
+    """The data centres that share the keys created from a given time on.
 
-    A list per span of time, so that adding a data centre moves no key made before.
+    There is one list per period, so that adding a data centre moves no existing key.
     """
 
     since: float
@@ -53,21 +53,21 @@
 
 
 class KeyVerdict(StrEnum):
-    """What the owner says to a request with a key."""
+    """The owner's verdict on a request with a key."""
 
     GO = "go"
     REPEAT = "repeat"
-    """It ended before; the first one's outcome is the answer."""
+    """The first request has ended; its outcome is returned."""
     IN_PROGRESS = "in_progress"
     UNKNOWN = "unknown"
-    """It may have run."""
+    """The first request may have run."""
     MISMATCH = "mismatch"
-    """The key came before with another operation or body."""
+    """The key was used before with another operation or body."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyAnswer:
-    """The verdict and, for a repeat, what the first one came to."""
+    """The verdict and, for a repeat, the entry of the first request."""
 
     verdict: KeyVerdict
     epoch: Epoch
@@ -75,7 +75,7 @@
 
 
 def key_time(key: str) -> Result[float, StepError]:
-    """Return the wall time at which a key was made.
+    """Return the wall time at which a key was created.
 
     A key is `<seconds since 1970>-<text>` or a UUID of version 7.
     """
@@ -106,7 +106,7 @@
 
 
 def digest_of(*, operation: str, body: bytes) -> str:
-    """Return the digest that tells a repeat from another request under the same key."""
+    """Return the digest that distinguishes a repeat from a different request with the same key."""
     digest = xxhash.xxh3_128()
     digest.update(operation.encode())
     digest.update(b"\0")
@@ -131,10 +131,10 @@
 
 
 class KeyShard:
-    """The owner's decisions on one shard, from the fold and what is not in the log yet."""
+    """The owner's decisions on one shard, from the fold and entries not yet in the log."""
 
     def __init__(self, *, name: str, epoch: Epoch, fold: KeyFold, rules: KeyRules) -> None:
-        """Serve the shard under `epoch`; only once its `KeyShardReady` was read back."""
+        """Serve the shard under `epoch`, once its `KeyShardReady` was read back from the log."""
         self.name = name
         self.epoch = epoch
         self._fold = fold
@@ -142,7 +142,7 @@
         self._entries_by_key: dict[str, KeyEntry] = {}
 
     def check(self, *, key: str, digest: str, made_at: float, wall: float) -> KeyAnswer:
-        """Return the verdict on a request that comes with this key."""
+        """Return the verdict on a request with this key."""
         entry = self._entry(key)
         if entry is None:
             return self._first_seen(made_at)
@@ -169,7 +169,7 @@
         runner: HostId,
         ends_at: float,
     ) -> KeyIntent:
-        """Take the key for a request after a GO; the intent must be durable before it leaves."""
+        """Reserve the key after a GO; the intent must be durable before the request is sent."""
         earlier = self._entry(key)
         intent = KeyIntent(
             shard=self.name,
@@ -186,14 +186,14 @@
         return intent
 
     def is_recorded(self, intent: KeyIntent) -> bool:
-        """Return whether the log, as folded, gives the key to this very intent."""
+        """Return whether the folded log assigns the key to this intent."""
         entry = self._fold.entry(shard=self.name, key=intent.key)
         return entry is not None and entry.request_id == intent.request_id
 
     def end(
         self, *, key: str, request_id: RequestId, outcome: Outcome, status: int
     ) -> KeyEnded | None:
-        """Take in a request's end; return the record to append, None if nothing changes."""
+        """Apply a request's end; return the record to append, or None if nothing changes."""
         entry = self._entry(key)
         if entry is None or entry.request_id != request_id or entry.outcome is not None:
             return None
@@ -203,13 +203,13 @@
         )
 
     def restore(self, entries: Iterable[KeyEntry]) -> tuple[KeyEntry, ...]:
-        """Take in entries read back from holders; return those that the log lacks or has open."""
+        """Merge entries read from holders; return those missing or still open in the log."""
         missing = tuple(entry for entry in _merged(entries) if self._is_newer(entry))
         self._entries_by_key.update({entry.key: entry for entry in missing})
         return missing
 
     def unlogged(self) -> tuple[KeyEntry, ...]:
-        """Return what the log does not show yet, and forget what it does."""
+        """Return the entries that the log does not contain yet, and drop the others."""
         for key in [
             key for key, entry in self._entries_by_key.items() if not self._is_newer(entry)
         ]:
@@ -217,7 +217,7 @@
         return tuple(self._entries_by_key.values())
 
     def _entry(self, key: str) -> KeyEntry | None:
-        """Return the higher of what is held here and what the log shows."""
+        """Return the higher-ranked of the local and the logged entry."""
         own = self._entries_by_key.get(key)
         logged = self._fold.entry(shard=self.name, key=key)
         if own is None or logged is None:
@@ -229,7 +229,7 @@
         return logged is None or rank(entry) > rank(logged)
 
     def _first_seen(self, made_at: float) -> KeyAnswer:
-        """Answer for a key of which nothing is known: it may have run if intents were lost."""
+        """Return the verdict for an unknown key: it may have run if intents were lost."""
         lost_until = self._fold.shard(self.name).incomplete_until
         if made_at <= lost_until + self._rules.skew_s:
             return self._answer(KeyVerdict.UNKNOWN)
@@ -241,30 +241,30 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeldRead:
-    """What one process holds of a shard, as it tells a new owner."""
+    """The entries that one process holds of a shard, as reported to a new owner."""
 
     is_holder: bool
-    """It holds for the new owner from now on; False if that one has been replaced."""
+    """It is a holder for the new owner from now on; False if that owner has been replaced."""
     was_holder: bool
-    """It held for the owner that served last, all the time since."""
+    """It has been a holder without interruption since the last serving owner began."""
     entries: tuple[KeyEntry, ...]
 
 
 class HeldIntents:
-    """Intents that this process holds for the owners of shards while the log is down.
+    """Intents that this process stores for the owners of shards while the log is down.
 
-    It counts as a holder only from the first owner that asked it on, so that a restarted process,
-    which has lost what its earlier life held, is never taken for one that held nothing.
+    It counts as a holder only from the first owner that queried it, so that a restarted process,
+    which has lost the entries of its previous incarnation, is not taken for one that held nothing.
     """
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Start without entries."""
         self._fences_by_shard: dict[str, Epoch] = {}
         self._since_by_shard: dict[str, Epoch] = {}
         self._entries_by_shard: dict[str, dict[str, KeyEntry]] = {}
 
     def hold(self, *, shard: str, epoch: Epoch, entries: Iterable[KeyEntry]) -> bool:
-        """Hold entries; False for an owner that was replaced or never made this one a holder."""
+        """Store entries; return False for an owner that was replaced or never sent a read."""
         since = self._since_by_shard.get(shard)
         if since is None or since > epoch or epoch < self._fences_by_shard[shard]:
             return False
@@ -276,7 +276,7 @@
         return True
 
     def read(self, *, shard: str, epoch: Epoch, serving: Epoch | None) -> HeldRead:
-        """Return what is held to a new owner, and hold nothing for earlier ones from now on."""
+        """Return the held entries to a new owner, and reject earlier owners from now on."""
         if epoch < self._fences_by_shard.get(shard, 0):
             return HeldRead(is_holder=False, was_holder=False, entries=())
         self._fences_by_shard[shard] = epoch
@@ -286,7 +286,7 @@
         return HeldRead(is_holder=True, was_holder=was_holder, entries=tuple(entries.values()))
 
     def forget(self, *, fold: KeyFold, wall: float) -> None:
-        """Drop what the log shows as well, and keys past their time."""
+        """Drop entries that are in the log, and keys past their retention."""
         for shard, entries in self._entries_by_shard.items():
             for key, entry in list(entries.items()):
                 logged = fold.entry(shard=shard, key=key)
@@ -299,12 +299,12 @@
 
 
 def is_majority(*, count: int, of: int) -> bool:
-    """Return whether `count` is more than half of `of`: so many hold each intent."""
+    """Return whether `count` is more than half of `of`: so many must hold each intent."""
     return 2 * count > of
 
 
 def intersects_every_majority(*, count: int, of: int) -> bool:
-    """Return whether any `count` of `of` include one of each majority: so many must be read."""
+    """Return whether any `count` of `of` intersect every majority: so many must be read."""
     return count >= of - of // 2
 
 
@@ -313,7 +313,7 @@
 
 
 def _merged(entries: Iterable[KeyEntry]) -> Iterable[KeyEntry]:
-    """Return the highest entry of each key."""
+    """Return the highest-ranked entry of each key."""
     by_key: dict[str, KeyEntry] = {}
     for entry in entries:
         known = by_key.get(entry.key)
--- a/src/galenastall/coordination/requests/load_shed.py
+++ b/src/galenastall/coordination/requests/load_shed.py
@@ -1,8 +1,8 @@
 """Decide which share of new requests to refuse while the event loop can't keep up.
 
-A loop that is late is late for every request in it, so what it can't serve in time has to be
-refused before it costs anything. The lateness that counts is the least of the last few samples: a
-single burst or a pause of the process is no overload, a queue that never empties is.
+A late event loop delays every request in it, so requests it can't serve in time must be refused
+before any work is done for them. Lateness is the minimum of the last few samples: a single burst or
+a pause of the process is no overload, but a queue that never empties is.
 """
 
 from collections import deque
@@ -10,46 +10,46 @@
 from typing import Final
 
 SAMPLES: Final = 5
-"""Samples of which the least counts."""
+"""Samples over which the minimum lateness is taken."""
 RISE_LIMIT: Final = 4.0
-"""Most times the target by which lateness raises the share at once."""
+"""Upper bound on the excess lateness, in multiples of the target, that one sample integrates."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShedLimits:
-    """When requests are refused for the loop's sake; times in seconds."""
+    """When requests are refused to protect the event loop; times in seconds."""
 
     target_late_s: float = 0.005
-    """Lateness that is let stand."""
+    """Lateness that is tolerated."""
     gain_per_s: float = 0.5
-    """Share gained in a second for each time that lateness exceeds the target."""
+    """Increase of the share per second, for each multiple of the target above it."""
     max_refused_share: float = 0.95
-    """Largest share refused, so that it is seen when the load has gone."""
+    """Largest share refused, so that some requests still show when the load has gone."""
     urgent_above_share: float = 0.8
     """Share above which urgent requests are refused too, at half the share."""
     open_requests: int = 2_000
-    """Requests without an answer above which all new ones are refused."""
+    """Unanswered requests above which all new ones are refused."""
 
 
 class LoadShedder:
     """Integrates how late the loop is into the share of requests to refuse."""
 
     def __init__(self, *, limits: ShedLimits | None = None) -> None:
-        """Start with nothing refused."""
+        """Start without refusing anything."""
         self.limits = limits or ShedLimits()
         self.share = 0.0
-        """Share of new requests that is refused now."""
+        """Current share of new requests to refuse."""
         self._late_s: deque[float] = deque(maxlen=SAMPLES)
         self._credit = 0.0
         self._urgent_credit = 0.0
 
     @property
     def sustained_late_s(self) -> float:
-        """Lateness that no sample of the last few went below, in seconds."""
+        """Minimum lateness of the last few samples, in seconds."""
         return min(self._late_s) if len(self._late_s) == SAMPLES else 0.0
 
     def note(self, *, late_s: float, span_s: float) -> None:
-        """Take in how late a timer was, and the time since the sample before."""
+        """Record how late a timer fired and the time since the previous sample."""
         self._late_s.append(late_s)
         limits = self.limits
         excess = min(self.sustained_late_s / limits.target_late_s - 1.0, RISE_LIMIT)
@@ -57,7 +57,7 @@
         self.share = min(max(moved, 0.0), limits.max_refused_share)
 
     def refuses(self, *, urgent: bool, open_requests: int) -> bool:
-        """Return whether to refuse a request that has just arrived; spread evenly, not drawn."""
+        """Return whether to refuse a new request; refusals are spread evenly, not random."""
         if open_requests > self.limits.open_requests:
             return True
         if not self.share:
--- a/src/galenastall/coordination/requests/permit_types.py
+++ b/src/galenastall/coordination/requests/permit_types.py
@@ -1,4 +1,4 @@
-"""Permits and their spans, shared by the owner of an upstream and those who ask it."""
+"""Permits and their durations, shared by upstream owners and the entry hosts that ask them."""
 
 from dataclasses import dataclass
 
@@ -7,24 +7,24 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitLimits:
-    """Spans of a permit, in seconds; the same at owner and asker."""
+    """Durations of a permit, in seconds; the same at the owner and at the requesting host."""
 
     ask_ttl_s: float = 1.0
-    """For how long an ask waits at the owner before the asker chooses anew."""
+    """How long an ask (a request for a permit) waits at the owner before another is chosen."""
     begin_within_s: float = 2.0
-    """From the ask until the request must have left; later the permit is void."""
+    """From the ask until the request must have been sent; after that the permit is void."""
     longest_s: float = 30.0
-    """From the ask until the request is over at the latest."""
+    """From the ask until the request must have ended."""
     longest_cap_s: float = 0.0
-    """No owner grants longer ones; a takeover waits by this if it is above `longest_s`."""
+    """Upper bound of `longest_s` at any owner; takeovers wait this long if it is the larger."""
     grace_s: float = 1.0
-    """Further time for which the owner counts an unreturned slot as in use."""
+    """Extra time for which the owner counts an unreturned slot as in use."""
     asks_per_client: int = 256
     """Asks that one entry host may have waiting at an owner."""
 
     @property
     def takeover_s(self) -> float:
-        """For how long permits of earlier owners may be out, whatever their settings were."""
+        """How long permits of earlier owners may stay valid, whatever their settings were."""
         return max(self.longest_s, self.longest_cap_s) + self.grace_s
 
 
@@ -37,7 +37,7 @@
     address: str
     epoch: Epoch
     ask_id: int
-    """The asker's number of its ask; times count from when it sent that."""
+    """The requesting host's number of its ask; times count from when it was sent."""
     begin_within_s: float
     ends_within_s: float
 
@@ -49,12 +49,12 @@
     permit_id: str
     upstream: HostId
     ends_in_s: float
-    """Seconds until it is over at the latest, at the moment of the report."""
+    """Seconds until it expires, at the time of the report."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LedgerUse:
-    """A slot in use, as one owner tells the next."""
+    """A slot in use, as reported by one owner to the next."""
 
     permit_id: str
     client: HostId
@@ -63,16 +63,16 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitLedger:
-    """All that an owner knew of an upstream when it stopped granting."""
+    """An owner's state of an upstream when it stopped granting."""
 
     uses: tuple[LedgerUse, ...]
     silent: tuple[tuple[HostId, float], ...]
-    """Entry hosts that had not reported to it, with the seconds for which they may hold permits."""
+    """Entry hosts that had not reported to it, with the seconds they may still hold permits."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnedUpstream:
-    """What the owner needs to know of an upstream when it opens it."""
+    """What the owner needs to know about an upstream to open it."""
 
     host_id: HostId
     address: str
--- a/src/galenastall/coordination/requests/permits.py
+++ b/src/galenastall/coordination/requests/permits.py
@@ -1,4 +1,4 @@
-"""The asker's side of permits: what was asked, what is held, and what is too old to use."""
+"""The requesting host's side of permits: asks sent, permits held, and permits too old to use."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from galenastall.state.ids import Epoch, HostId
 
 ANSWER_SLACK_S: Final = 0.25
-"""Time beyond an ask's life at the owner for its answer to come back, in seconds."""
+"""Time beyond an ask's lifetime at the owner for its answer to arrive, in seconds."""
 
 
 @dataclass(slots=True)
@@ -30,12 +30,12 @@
 class PermitHolder:
     """Asks and permits of one entry host.
 
-    All spans count from the moment at which the ask was sent, so a grant that was held up in the
-    network, or a process that was paused, finds its permit void.
+    All durations count from the time at which the ask was sent, so a permit that was delayed in the
+    network, or received by a paused process, is found void.
     """
 
     def __init__(self, *, limits: PermitLimits) -> None:
-        """Start with nothing asked and nothing held."""
+        """Start without asks and permits."""
         self.limits = limits
         self._asks_by_id: OrderedDict[int, _Ask] = OrderedDict()
         self._held_by_id: dict[str, _Held] = {}
@@ -55,19 +55,19 @@
         return len(self._held_by_id)
 
     def owner_of(self, *, permit_id: str) -> HostId | None:
-        """Return who granted a permit that is held."""
+        """Return the owner that granted a held permit."""
         held = self._held_by_id.get(permit_id)
         return None if held is None else held.owner
 
     def ask(self, *, owner: HostId, now: float) -> int:
-        """Note an ask that is about to be sent; return its number."""
+        """Register an ask that is about to be sent; return its number."""
         self._next_ask += 1
         self._asks_by_id[self._next_ask] = _Ask(owner, now)
         self._outstanding += 1
         return self._next_ask
 
     def expire_asks(self, *, now: float) -> int:
-        """Stop waiting for asks that the owner no longer keeps; return how many those were."""
+        """Stop waiting for asks that the owner no longer keeps; return their number."""
         expired = 0
         waited_s = self.limits.ask_ttl_s + ANSWER_SLACK_S
         for ask in self._asks_by_id.values():
@@ -87,11 +87,11 @@
         return expired
 
     def note_refused(self, *, ask_id: int) -> None:
-        """Note that the owner did not take an ask."""
+        """Record that the owner refused an ask."""
         self._close(ask_id)
 
     def accept(self, *, permit: Permit, owner: HostId, now: float) -> bool:
-        """Take a granted permit; False if it is void and must be given back unused."""
+        """Accept a granted permit; return False if it is void and must be released unused."""
         ask = self._close(permit.ask_id)
         if ask is None or ask.owner != owner:
             return False
@@ -108,18 +108,18 @@
         return True
 
     def may_begin(self, *, permit_id: str, now: float) -> bool:
-        """Return whether the request may leave now; ask right before the bytes leave."""
+        """Return whether the request may be sent now; call right before sending."""
         held = self._held_by_id.get(permit_id)
         return held is not None and now < held.begin_by
 
     def ends_at(self, *, permit_id: str) -> float:
-        """Return the runtime time by which the request must be over."""
+        """Return the monotonic time by which the request must have ended."""
         return self._held_by_id[permit_id].ends_at
 
     def drop(self, *, permit_id: str, busy_for_s: float, now: float) -> HostId | None:
-        """Use a permit no longer; return the owner to give it back to.
+        """Stop using a permit; return the owner to release it to.
 
-        While the upstream may still be busy with the request, a new owner is told of it.
+        While the upstream may still be busy with the request, reports to a new owner include it.
         """
         held = self._held_by_id.pop(permit_id, None)
         if held is None:
@@ -132,9 +132,9 @@
     def report(
         self, *, upstream: HostId, epoch: Epoch, owner: HostId, now: float
     ) -> tuple[HeldPermit, ...]:
-        """Tell a new owner what is held, and take nothing of earlier owners from now on.
+        """Return the held permits to a new owner, and reject earlier owners' permits from now on.
 
-        What is held stays usable, since the new owner counts it, and goes back to the new owner.
+        Held permits stay usable, since the new owner counts them, and are released to it.
         """
         if epoch < self._fences_by_upstream.get(upstream, 0):
             return ()
--- a/src/galenastall/coordination/requests/rates.py
+++ b/src/galenastall/coordination/requests/rates.py
@@ -1,20 +1,20 @@
-"""Rates and run times as measured, smoothed over recent samples."""
+"""Measured rates and run times, smoothed over recent samples."""
 
 import math
 from typing import Final
 
 DRAIN_WEIGHT: Final = 0.05
-"""Weight of the newest gap between two requests handed out."""
+"""Weight of the newest interval between two dispatched requests."""
 ARRIVAL_SPAN_S: Final = 2.0
 """Time over which arrivals are averaged."""
 FALL_WEIGHT: Final = 0.3
 RISE_WEIGHT: Final = 0.02
-"""A shortest-time estimate follows faster answers quickly and slower ones slowly."""
+"""A shortest-time estimate follows faster responses quickly and slower ones slowly."""
 MIN_GAP_S: Final = 1e-6
 
 
 class DrainRate:
-    """How fast a queue empties, measured only over spans in which something waited."""
+    """How fast a queue drains, measured only while something waited."""
 
     def __init__(self) -> None:
         """Start without a measurement."""
@@ -22,7 +22,7 @@
         self._last: float | None = None
 
     def note_taken(self, *, now: float, left: int) -> None:
-        """Note that one was taken and how many are left."""
+        """Record that a request was taken and how many are left."""
         if self._last is not None:
             gap = now - self._last
             old = gap if self._gap_s is None else self._gap_s
@@ -31,27 +31,27 @@
 
     @property
     def per_second(self) -> float | None:
-        """Requests a second, or None before two were taken in a row."""
+        """Requests per second, or None before two were taken in a row."""
         if self._gap_s is None:
             return None
         return 1.0 / max(self._gap_s, MIN_GAP_S)
 
 
 class ArrivalRate:
-    """How many come a second, as a count that decays."""
+    """Arrivals per second, from an exponentially decaying count."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no arrivals."""
         self._count = 0.0
         self._noted_at = 0.0
 
     def note(self, *, now: float) -> None:
-        """Note that one came."""
+        """Record an arrival."""
         self._count = self._decayed(now) + 1.0
         self._noted_at = now
 
     def per_second(self, *, now: float) -> float:
-        """Return arrivals a second over about the last ARRIVAL_SPAN_S."""
+        """Return arrivals per second over about the last ARRIVAL_SPAN_S."""
         return self._decayed(now) / ARRIVAL_SPAN_S
 
     def _decayed(self, now: float) -> float:
@@ -59,9 +59,9 @@
 
 
 class ShortestTime:
-    """Lower envelope of run times by operation: what a request needs at the very least.
+    """Lower envelope of run times by operation: the least time that a request needs.
 
-    It errs low on purpose: it decides what is dropped as hopeless, and a drop must be certain.
+    It errs low on purpose: it decides which requests are dropped, and a drop must be certain.
     """
 
     def __init__(self, *, max_operations: int = 1_000) -> None:
@@ -70,7 +70,7 @@
         self._seconds_by_operation: dict[str, float] = {}
 
     def note(self, *, operation: str, seconds: float) -> None:
-        """Take in the run time of a request that ended well."""
+        """Record the run time of a successful request."""
         old = self._seconds_by_operation.get(operation)
         if old is None:
             if len(self._seconds_by_operation) >= self._max_operations:
--- a/src/galenastall/coordination/requests/retries.py
+++ b/src/galenastall/coordination/requests/retries.py
@@ -1,7 +1,7 @@
-"""Decide whether a request may be tried again, within a budget.
+"""Decide whether a request may be retried, within a budget.
 
-A retry is only ever allowed for what never left this process or is idempotent, and retries together
-stay below a share of first attempts, so that a failing fleet is not loaded further by them.
+Only requests that are known not to have run or are idempotent may be retried, and all retries
+together stay below a share of first attempts, so that they add little load to a failing fleet.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryLimits:
-    """How much may be tried again."""
+    """Limits on retries."""
 
     ratio: float = 0.1
     """Retries allowed for each first attempt."""
     burst: float = 10.0
     """Retries that may be saved up."""
     max_attempts: int = 3
-    """Attempts at one request, the first included."""
+    """Attempts at one request, including the first."""
 
 
 class RetryBudget:
@@ -31,15 +31,15 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that could be paid for now."""
+        """Retries available now."""
         return self._tokens
 
     def first_attempt(self) -> None:
-        """Earn a share of a retry."""
+        """Add the share of a retry that a first attempt earns."""
         self._tokens = min(self.limits.burst, self._tokens + self.limits.ratio)
 
     def spend(self) -> bool:
-        """Pay for one retry; False if the budget is used up."""
+        """Take one retry from the budget; return False if it is used up."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -55,18 +55,18 @@
     """1 for the first."""
     idempotent: bool
     answer_begun: bool = False
-    """Part of the answer has reached the caller."""
+    """Part of the response has reached the caller."""
     body_replayable: bool = True
-    """The request body can be sent once more."""
+    """The request body can be sent again."""
     remaining_s: float
-    """Seconds left to the caller's deadline."""
+    """Seconds until the caller's deadline."""
 
 
 def may_retry(*, end: AttemptEnd, limits: RetryLimits, shortest_s: float) -> bool:
-    """Return whether another attempt is allowed, leaving the budget aside.
+    """Return whether another attempt is allowed, regardless of the budget.
 
-    FAILED is the executor's own word and final; UNKNOWN may have run, so only an idempotent request
-    goes again.
+    FAILED was reported by the executor and is final; UNKNOWN may have run, so only an idempotent
+    request is retried.
     """
     if end.answer_begun or not end.body_replayable:
         return False
--- a/src/galenastall/coordination/requests/slot_tables.py
+++ b/src/galenastall/coordination/requests/slot_tables.py
@@ -1,4 +1,4 @@
-"""Tables of an owner's slots: uses, upstreams and asks that wait."""
+"""Tables of an owner's slots: uses, upstreams and waiting asks."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class UpstreamTable:
-    """What the owner counts of one upstream."""
+    """The owner's accounting of one upstream."""
 
     info: OwnedUpstream
     epoch: Epoch
@@ -26,7 +26,7 @@
     uses_by_client: dict[HostId, int] = field(default_factory=dict)
     unreported_until_by_client: dict[HostId, float] = field(default_factory=dict)
     returned_early: set[str] = field(default_factory=set)
-    """Permits given back before anyone told of them."""
+    """Permits released before any entry host or ledger reported them."""
     forget_at: float = 0.0
 
 
--- a/src/galenastall/coordination/requests/slots.py
+++ b/src/galenastall/coordination/requests/slots.py
@@ -1,9 +1,9 @@
-"""The owner's side of its upstreams: exact slots and connections, permits, and who waits for them.
+"""Owner-side accounting of upstreams: slots, connections, granted permits and waiting asks.
 
-Only the owner of an upstream grants permits on it, from the exact count kept here. Times in a
-permit are spans counted from the moment at which the asking entry host *sent* its ask, so that no
-two clocks are compared: the owner, which heard of it later, frees the slot later than the asker
-stops using it.
+An ask is an entry host's request for a permit. Only the owner of an upstream grants permits on it,
+from the exact count kept here. Times in a permit are durations since the requesting entry host
+*sent* its ask, so no two clocks are compared: the owner received it later, and therefore frees the
+slot later than the entry host stops using it.
 """
 
 from collections import OrderedDict, deque
@@ -22,7 +22,7 @@
 from galenastall.state.work import Urgency
 
 AllowedSlots = Callable[[HostId, int], int]
-"""Takes an upstream and its slots; returns how many may be used now (outlier ejection)."""
+"""Maps an upstream and its slot count to the slots usable now (outlier ejection)."""
 
 
 def all_slots(_upstream: HostId, slots: int) -> int:
@@ -31,10 +31,10 @@
 
 
 class OwnedSlots:
-    """All upstreams that this entry host owns and the asks that wait for them."""
+    """The upstreams that this entry host owns and the asks waiting for their slots."""
 
     def __init__(self, *, limits: PermitLimits, clients: int = 1) -> None:
-        """Own nothing yet; `clients` is how many entry hosts may hold permits."""
+        """Start without upstreams; `clients` is the number of entry hosts that may hold permits."""
         self.limits = limits
         self.clients = clients
         self._upstreams_by_id: dict[HostId, UpstreamTable] = {}
@@ -50,8 +50,8 @@
     ) -> None:
         """Begin to grant on an upstream under a new epoch.
 
-        Each entry host in `silent` may hold permits of an earlier owner: until it has reported, or
-        the longest permit has passed, the upstream counts as full.
+        Each entry host in `unreported` may hold permits of an earlier owner: the upstream counts as
+        full until all have reported or the longest permit has expired.
         """
         until = now + self.limits.takeover_s
         table = UpstreamTable(info=upstream, epoch=epoch)
@@ -68,9 +68,9 @@
         held: Iterable[HeldPermit],
         now: float,
     ) -> None:
-        """Count what an entry host still holds; it is silent no more.
+        """Count the permits an entry host still holds and mark it as having reported.
 
-        Ask for a report under the epoch that `open` was given; a report for another is passed over.
+        Reports must be requested under the epoch passed to `open`; others are ignored.
         """
         table = self._table_under(upstream, epoch)
         if table is None:
@@ -82,7 +82,7 @@
     def take_over(
         self, *, upstream: HostId, epoch: Epoch, ledger: PermitLedger, now: float
     ) -> None:
-        """Go on from the last owner's ledger: nobody is silent but whom it had not heard itself."""
+        """Continue from the last owner's ledger; only hosts that it still awaited are awaited."""
         table = self._table_under(upstream, epoch)
         if table is None:
             return
@@ -94,7 +94,7 @@
     def expect_reports(
         self, *, upstream: HostId, epoch: Epoch, unreported: Mapping[HostId, float], now: float
     ) -> None:
-        """Replace who is waited for: seconds by entry host for which it may hold permits."""
+        """Replace the awaited entry hosts, each with the seconds it may still hold permits."""
         table = self._table_under(upstream, epoch)
         if table is not None:
             table.unreported_until_by_client = {client: now + s for client, s in unreported.items()}
@@ -102,7 +102,7 @@
     def ledger(self, *, upstream: HostId, before: Epoch, now: float) -> PermitLedger | None:
         """Return the ledger for the owner of the later epoch `before`; None if there is none.
 
-        The upstream is closed by this, so that nothing is granted after the ledger was given out.
+        This closes the upstream, so that nothing is granted after the ledger was returned.
         """
         table = self._upstreams_by_id.get(upstream)
         if table is not None and table.epoch < before:
@@ -123,7 +123,7 @@
     def close(self, upstream: HostId, *, now: float) -> None:
         """Stop granting on an upstream, for example when its ownership was lost.
 
-        What is in use stays known for as long as a permit lasts, for the next owner to ask.
+        Slots in use are remembered for the lifetime of a permit, so the next owner can query them.
         """
         closed = self._upstreams_by_id.pop(upstream, None)
         if closed is None:
@@ -132,13 +132,13 @@
         self._closed_by_id[upstream] = closed
 
     def update(self, upstream: OwnedUpstream) -> None:
-        """Take in a changed address or size; fewer slots than are in use just grant nothing."""
+        """Apply a changed address or size; nothing is granted while uses exceed the new size."""
         table = self._upstreams_by_id.get(upstream.host_id)
         if table is not None and table.info != upstream:
             table.info = upstream
 
     def set_leaving(self, upstream: HostId, leaving: bool) -> None:
-        """Grant nothing more on an upstream that leaves, or take it back."""
+        """Stop granting on an upstream that is leaving, or resume it."""
         table = self._upstreams_by_id.get(upstream)
         if table is not None:
             table.leaving = leaving
@@ -152,7 +152,7 @@
         now: float,
         avoid: tuple[HostId, ...] = (),
     ) -> bool:
-        """Queue an ask; False if the entry host has too many waiting.
+        """Queue an ask; return False if the entry host has too many waiting.
 
         Upstreams in `avoid` are granted only if no other is free.
         """
@@ -178,7 +178,7 @@
         return dropped
 
     def forget_client(self, client: HostId) -> None:
-        """Drop the waiting asks of an entry host that is gone; its permits stay until they end."""
+        """Drop the asks of an entry host that is gone; its permits count until they expire."""
         self._asks_by_client.pop(client, None)
         for asks_by_client in self._asks.values():
             asks_by_client.pop(client, None)
@@ -186,10 +186,9 @@
     def grant(
         self, *, now: float, may_act: Callable[[HostId], Epoch | None], allowed: AllowedSlots
     ) -> list[tuple[HostId, Permit]]:
-        """Grant free slots to waiting asks: urgent first, then turn by turn over entry hosts.
+        """Grant free slots to waiting asks: urgent first, then round robin over entry hosts.
 
-        `may_act` is asked at this moment for each upstream that is to grant; one whose epoch
-        differs grants nothing.
+        `may_act` is called right before each grant; an upstream whose epoch differs grants nothing.
         """
         granted: list[tuple[HostId, Permit]] = []
         if not self._asks_by_client:
@@ -204,8 +203,8 @@
     def release(self, *, permit_id: str, busy_for_s: float, now: float) -> HostId | None:
         """Free a permit's slot; return its upstream, or None if the permit is not known.
 
-        `busy_for_s` above 0 says that the request may still run for so many seconds: the slot stays
-        in use until then, or until the permit's own end if that is earlier.
+        If `busy_for_s` is above 0, the request may still run for that many seconds: the slot stays
+        in use until then, or until the permit expires if that is earlier.
         """
         table = self._upstream_by_permit.get(permit_id)
         if table is None:
@@ -219,7 +218,7 @@
         return table.info.host_id
 
     def expire(self, *, now: float) -> int:
-        """Free slots whose permits ended without being given back; return how many."""
+        """Free slots whose permits expired without being released; return how many."""
         expired = 0
         for table in self._upstreams_by_id.values():
             ended = [p for p, use in table.uses_by_permit.items() if use.until <= now]
@@ -236,11 +235,11 @@
 
     @property
     def waiting(self) -> int:
-        """Asks that wait, expired ones not yet met included."""
+        """Waiting asks, including expired ones that have not been removed yet."""
         return sum(self._asks_by_client.values())
 
     def in_use(self, upstream: HostId) -> int:
-        """Return the slots in use, those that silent entry hosts may use included."""
+        """Return the slots in use; all of them while any entry host has not reported."""
         table = self._upstreams_by_id[upstream]
         if table.unreported_until_by_client:
             return max(table.info.slots, len(table.uses_by_permit))
@@ -251,7 +250,7 @@
         return self._upstreams_by_id[upstream].info.slots
 
     def totals(self, *, allowed: AllowedSlots = all_slots) -> tuple[int, int]:
-        """Return the slots that may be granted and those in use, over all upstreams."""
+        """Return the grantable slots and the slots in use, summed over all upstreams."""
         slots = in_use = 0
         for host_id, table in self._upstreams_by_id.items():
             if table.leaving:
@@ -263,7 +262,7 @@
         return slots, in_use
 
     def upstreams(self) -> tuple[HostId, ...]:
-        """Return the upstreams opened here."""
+        """Return the open upstreams."""
         return tuple(self._upstreams_by_id)
 
     def unreported(self, upstream: HostId) -> frozenset[HostId]:
@@ -358,7 +357,7 @@
     ) -> UpstreamTable | None:
         """Return the upstream with most free slots on which the client may open a connection.
 
-        Among equals the one that was granted least goes first, so that light load spreads too.
+        Ties go to the one with the fewest grants, so that light load is spread too.
         """
         best: UpstreamTable | None = None
         best_rank = (False, 0, 0)
--- a/src/galenastall/coordination/requests/team_rates.py
+++ b/src/galenastall/coordination/requests/team_rates.py
@@ -1,4 +1,4 @@
-"""Limit the rate of each team's requests by token buckets; a team counts against those above it."""
+"""Limit each team's request rate by token buckets; requests count against parent teams too."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TeamRate:
-    """How often a team may ask."""
+    """Rate limit of a team."""
 
     per_s: float
     burst: float
-    """Requests that may come at once after a pause."""
+    """Requests that may arrive at once after a pause."""
 
 
 class _Bucket:
@@ -28,7 +28,7 @@
 
 
 class TeamRates:
-    """The buckets of one entry host."""
+    """Token buckets of all teams on one entry host."""
 
     def __init__(self) -> None:
         """Start with full buckets."""
@@ -37,9 +37,9 @@
     def take(
         self, *, team: TeamPath, rates_by_team: Mapping[TeamPath, TeamRate], now: float
     ) -> float:
-        """Count one request; return 0, or the seconds to wait if it is one too many.
+        """Count one request; return 0, or the seconds to wait if it exceeds the rate.
 
-        A request that is one too many for the team or any team above it counts for none of them.
+        A request that exceeds the rate of the team or any parent team counts for none of them.
         """
         spent: list[_Bucket] = []
         wait_s = 0.0
@@ -62,7 +62,7 @@
 
 
 def _with_ancestors(team: TeamPath) -> Iterator[TeamPath]:
-    """Yield the team and all teams above it."""
+    """Yield the team and all its parent teams."""
     path: str = team
     while path:
         yield TeamPath(path)
--- a/src/galenastall/coordination/requests/upstream_choice.py
+++ b/src/galenastall/coordination/requests/upstream_choice.py
@@ -1,7 +1,7 @@
 """Policies that choose which owner of upstreams to ask for a permit.
 
-An owner knows its upstreams exactly and picks among them itself, so an entry host chooses only
-between owners, by their last gossiped load and by what it has asked of them since.
+An owner has exact counts of its upstreams and chooses among them itself, so an entry host chooses
+only between owners, by their last gossiped load and the asks it has sent to them since.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -15,26 +15,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnerLoad:
-    """Load of one owner's upstreams as last heard, plus what was asked since."""
+    """Last received load of one owner's upstreams, plus the asks sent since."""
 
     slots: int
-    """Slots that it may grant."""
+    """Slots that the owner may grant."""
     in_use: int
     waiting: int
     """Asks queued at the owner."""
     asked_since: int = 0
-    """Asks sent to it since its figures were taken."""
+    """Asks sent to the owner since it reported its load."""
 
     @property
     def pressure(self) -> float:
-        """Use and queue for each slot; infinite if it has none."""
+        """Slots in use plus queued asks, per slot; infinite without slots."""
         if self.slots <= 0:
             return float("inf")
         return (self.in_use + self.waiting + self.asked_since) / self.slots
 
 
 ChoicePolicy = Callable[[Sequence[HostId], Mapping[HostId, OwnerLoad], Random], HostId]
-"""Takes candidates (at least one), their loads and a seeded generator."""
+"""Takes candidates (at least one), their loads and a seeded random generator."""
 
 CHOICE_POLICIES: Final[Registry[ChoicePolicy]] = Registry(kind="upstream choice policy")
 
@@ -43,7 +43,7 @@
 def two_choices(
     candidates: Sequence[HostId], loads_by_id: Mapping[HostId, OwnerLoad], random: Random
 ) -> HostId:
-    """Return the less loaded of two drawn at random: avoids herds on stale figures."""
+    """Return the less loaded of two random candidates: avoids herding on stale loads."""
     if len(candidates) == 1:
         return candidates[0]
     first, second = random.sample(candidates, 2)
@@ -56,7 +56,7 @@
 def least_loaded(
     candidates: Sequence[HostId], loads_by_id: Mapping[HostId, OwnerLoad], random: Random
 ) -> HostId:
-    """Return the least loaded of all; ties go at random."""
+    """Return the least loaded candidate; ties are broken at random."""
     least = min(_pressure(loads_by_id, candidate) for candidate in candidates)
     best = [one for one in candidates if _pressure(loads_by_id, one) == least]
     return random.choice(best)
@@ -66,7 +66,7 @@
 def at_random(
     candidates: Sequence[HostId], loads_by_id: Mapping[HostId, OwnerLoad], random: Random
 ) -> HostId:
-    """Return any; the baseline to compare with."""
+    """Return a random candidate; a baseline for comparison."""
     return random.choice(candidates)
 
 
--- a/src/galenastall/node/requests/answer_cache.py
+++ b/src/galenastall/node/requests/answer_cache.py
@@ -1,4 +1,4 @@
-"""Answers of requests with a key, kept a while by the entry host that ran them, for repeats."""
+"""Responses to requests with a key, cached for repeats by the entry host that ran them."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -7,19 +7,19 @@
 from galenastall.state.ids import RequestId
 
 MAX_BYTES: Final = 16 * 1024 * 1024
-"""All answers together; the oldest go first."""
+"""Total size of all responses; the oldest are evicted first."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CachedAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     content_type: str
     body: bytes
 
 
 class AnswerCache:
-    """Bounded memory of answers by the request that got them."""
+    """Bounded cache of responses by request."""
 
     def __init__(self, *, max_bytes: int = MAX_BYTES) -> None:
         """Start empty."""
@@ -28,7 +28,7 @@
         self._answers_by_request: OrderedDict[RequestId, CachedAnswer] = OrderedDict()
 
     def put(self, *, request_id: RequestId, answer: CachedAnswer) -> None:
-        """Keep an answer, unless it is larger than all that may be kept."""
+        """Cache a response, unless it alone exceeds the size of the cache."""
         if len(answer.body) > self._max_bytes or request_id in self._answers_by_request:
             return
         self._answers_by_request[request_id] = answer
@@ -38,5 +38,5 @@
             self._size -= len(dropped.body)
 
     def get(self, request_id: RequestId) -> CachedAnswer | None:
-        """Return the answer, or None if it is not kept."""
+        """Return the response, or None if it is not cached."""
         return self._answers_by_request.get(request_id)
--- a/src/galenastall/node/requests/answer_stream.py
+++ b/src/galenastall/node/requests/answer_stream.py
@@ -1,4 +1,4 @@
-"""An upstream's answer on its way to the caller, with its call kept open until it ends."""
+"""Streaming of an upstream's response to the caller, keeping its call open until the end."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from contextlib import AsyncExitStack
@@ -8,11 +8,11 @@
 from galenastall.protocol.platform import UpstreamCutError
 
 EndCallback = Callable[[bool], None]
-"""Takes whether the answer came to its end."""
+"""Called with whether the response was complete."""
 
 
 class AnswerStream(AsyncGenerator[bytes, None]):
-    """Chunks read already, then the rest; closes the call whatever happens.
+    """Yields the chunks read so far, then the rest; always closes the call.
 
     A class rather than a generator function, since closing a generator that was never started
     would not run its cleanup and would leave the call open.
@@ -26,7 +26,7 @@
         call: AsyncExitStack,
         on_end: EndCallback,
     ) -> None:
-        """Own `call` from now on."""
+        """Take ownership of `call`."""
         self._first = list(reversed(first))
         self._rest = rest
         self._call = call
@@ -34,7 +34,7 @@
         self._is_open = True
 
     async def __anext__(self) -> bytes:
-        """Return the next chunk; raises UpstreamCutError if the answer breaks off."""
+        """Return the next chunk; raises UpstreamCutError if the response is cut short."""
         if not self._is_open:
             raise StopAsyncIteration
         if self._first:
@@ -49,7 +49,7 @@
             raise
 
     async def asend(self, value: None) -> bytes:
-        """Return the next chunk; there is nothing to send to."""
+        """Return the next chunk; the sent value is ignored."""
         return await self.__anext__()
 
     async def athrow(
@@ -58,14 +58,14 @@
         val: BaseException | object = None,
         tb: TracebackType | None = None,
     ) -> bytes:
-        """Close and raise."""
+        """Close the call and raise."""
         await self._close(complete=False)
         if isinstance(typ, BaseException):
             raise typ
         raise typ(val)
 
     async def aclose(self) -> None:
-        """End the call if the answer was not read to its end."""
+        """Close the call if the response was not read to its end."""
         await self._close(complete=False)
 
     async def _close(self, *, complete: bool) -> None:
--- a/src/galenastall/node/requests/http_requests.py
+++ b/src/galenastall/node/requests/http_requests.py
@@ -1,4 +1,4 @@
-"""HTTP face of the request path: headers in, one of four outcomes out."""
+"""HTTP routes of the request path: parse headers, respond with one of four outcomes."""
 
 import math
 from collections.abc import AsyncIterator, Callable, Mapping
@@ -60,7 +60,7 @@
     RequestReason.INVALID: 400,
     RequestReason.UNKNOWN_TEAM: 403,
 }
-"""Reasons with a status of their own, whatever the outcome."""
+"""Statuses of reasons that override the status of the outcome."""
 NOT_RUN_STATUS_BY_REASON: Final = {
     RequestReason.UNREACHABLE: 503,
     RequestReason.REFUSED_BY_UPSTREAM: 503,
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RefusalBody:
-    """What a caller reads where there is no answer of an upstream to read."""
+    """Response body if there is no response of an upstream."""
 
     outcome: Outcome
     reason: RequestReason
@@ -95,7 +95,7 @@
         keyed: KeyedRequests,
         settings: Callable[[], RequestSettings],
     ) -> None:
-        """`keyed` also takes requests without a key."""
+        """`keyed` also accepts requests without a key."""
         self._gate = TeamGate(clock=clock, settings=settings)
         self._clock = clock
         self._requests = requests
@@ -104,7 +104,7 @@
 
     @route("POST", "/v1/requests/{operation*}")
     async def submit(self, request: HttpRequest) -> HttpResponse:
-        """Run a request on an upstream and stream its answer."""
+        """Run a request on an upstream and stream its response."""
         arrived_at = self._clock.now()
         settings = self._settings()
         parsed = _parse(request.headers, settings)
@@ -136,7 +136,7 @@
 
     @route("GET", "/v1/requests/{id}")
     async def status(self, request: HttpRequest) -> HttpResponse:
-        """Return where a request of this entry host stands."""
+        """Return the status of a request of this entry host."""
         wanted = RequestId(request.path_params["id"])
         status = self._requests.request_table.get(wanted)
         if status is None:
@@ -147,7 +147,7 @@
     async def _body(
         self, request: HttpRequest, settings: RequestSettings, *, keyed: bool
     ) -> Result[Body, StepError]:
-        """Return the body: whole if it is small or has a key, else as a stream."""
+        """Return the body: as bytes if it is small or has a key, else as a stream."""
         if keyed:
             return await request.read_body(settings.keyed_body_bytes)
         first: list[bytes] = []
@@ -165,7 +165,7 @@
         request: HttpRequest,
         reason: RequestReason = RequestReason.INVALID,
     ) -> HttpResponse:
-        """Answer a request that never came to be one: malformed, or too large."""
+        """Refuse a malformed or too large request before it is submitted."""
         headers = {OUTCOME: Outcome.NOT_RUN.value, REASON: reason.value}
         if request_id := _request_id(request.headers):
             headers[REQUEST_ID] = request_id
--- a/src/galenastall/node/requests/key_owner.py
+++ b/src/galenastall/node/requests/key_owner.py
@@ -1,4 +1,4 @@
-"""Owner of shards of idempotency keys: makes intents durable before their requests leave."""
+"""Owner of idempotency key shards: makes intents durable before their requests are sent."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -46,21 +46,21 @@
 
 HOLD_CALL_S: Final = 0.5
 READ_TRIES: Final = 4
-"""Rounds of reading back before intents held in an outage are given up as lost."""
+"""Rounds of reading from holders before intents held in a log outage count as lost."""
 RETRY_S: Final = 1.0
 HOLDER_REFRESH_ROUNDS: Final = 10
-"""Every so many rounds the holders are asked anew, since a restarted process holds for nobody."""
+"""Rounds after which the holders are queried again, since a restarted process is no holder."""
 CARRY_CHUNK: Final = 200
-"""Keys in one carried record."""
+"""Keys in one `KeysCarried` record, which writes entries to the log again."""
 
 
 @dataclass(kw_only=True, slots=True)
 class OwnedShard:
-    """One shard that this entry host serves."""
+    """A shard that this entry host serves."""
 
     shard: KeyShard
     holder_sets: tuple[frozenset[HostId], ...]
-    """More than half of each must hold an intent; two while a change of holders is in doubt."""
+    """More than half of each must hold an intent; two while a change of holders is unconfirmed."""
     needs_flush: bool = False
     rounds: int = 0
 
@@ -81,7 +81,7 @@
         settings: Callable[[], RequestSettings],
         events: EventSink,
     ) -> None:
-        """`fold` follows the data centre's stream; `held` is what this process holds for others."""
+        """`fold` follows the data centre's stream; `held` stores intents for other owners."""
         self._stream = stream
         self._fold = fold
         self._held = held
@@ -100,7 +100,7 @@
         ownership.on_lost(self._on_lost)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Open shards as they are activated and write what the log lacks, until cancelled."""
+        """Open activated shards and write entries missing in the log, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for name, epoch in self._to_open:
@@ -113,11 +113,11 @@
 
     @property
     def serving(self) -> frozenset[str]:
-        """Names of the shards served."""
+        """Names of the served shards."""
         return frozenset(self._owned_by_name)
 
     async def reserve(self, *, runner: HostId, wanted: KeyReserve) -> Result[KeyAnswer, StepError]:
-        """Return the verdict; a GO only once the intent is durable."""
+        """Return the verdict; GO is returned only once the intent is durable."""
         owned = self._owned_by_name.get(shard_of(wanted.key))
         if owned is None or not self._may_act(owned.shard):
             return Failure(_error(Reason.NOT_OWNER, f"key shard {shard_of(wanted.key)}"))
@@ -137,10 +137,14 @@
         if await self._make_durable(owned, intent):
             return Success(answer)
         await self.end(_not_run(intent))
-        return Failure(_error(Reason.UNAVAILABLE, "the intent is neither in the log nor held"))
+        return Failure(
+            _error(
+                Reason.UNAVAILABLE, "the intent is neither in the log nor at a majority of holders"
+            )
+        )
 
     async def end(self, ended: KeyEnded) -> bool:
-        """Take in a request's end; False if its shard is not served here."""
+        """Record a request's end; return False if its shard is not served here."""
         owned = self._owned_by_name.get(ended.shard)
         if owned is None:
             return False
@@ -170,7 +174,7 @@
         return await self._hold(owned, (entry_of(intent),))
 
     async def _hold(self, owned: OwnedShard, entries: tuple[KeyEntry, ...]) -> bool:
-        """Have the entries held; return whether more than half of the holders do."""
+        """Store the entries at the holders; return whether more than half of them confirmed."""
         message = KeyHold(shard=owned.shard.name, epoch=owned.shard.epoch, entries=entries)
         holding: set[HostId] = set()
 
@@ -214,7 +218,7 @@
             self._owned_by_name.pop(name, None)
 
     async def _open(self, name: str, epoch: Epoch) -> None:
-        """Fence earlier owners in the log and at the holders, read back, then serve."""
+        """Fence earlier owners in the log and at the holders, read held entries, then serve."""
         opened = KeyShardOpened(shard=name, epoch=epoch, opened_at=self._clock.wall())
         if not await self._append_until_done(name, epoch, opened):
             return
@@ -241,7 +245,7 @@
         self._events.record("keys.serving", subjects=(_ownable(name),), cause=cause)
 
     async def _append_until_done(self, name: str, epoch: Epoch, record: Any) -> bool:
-        """Append while this entry host owns the shard; False once it does not."""
+        """Retry the append while this entry host owns the shard; return False once it does not."""
         while self._epochs_by_name.get(name) == epoch:
             appended = await self._appender.append(stream=self._stream, record=record)
             if isinstance(appended, Success):
@@ -252,7 +256,7 @@
     async def _read_back(
         self, name: str, epoch: Epoch, serving: KeyShardReady | None
     ) -> tuple[list[KeyEntry], frozenset[HostId], bool]:
-        """Return what is held, who holds from now on, and whether nothing can be missing."""
+        """Return the held entries, the new holders, and whether the entries are complete."""
         last_holders = frozenset(serving.holders) if serving else frozenset()
         asked = last_holders | self._ownership.roster()
         request = KeyRead(shard=name, epoch=epoch, serving=serving.epoch if serving else None)
@@ -302,7 +306,7 @@
         return read_back
 
     async def _maintain(self, owned: OwnedShard) -> None:
-        """Write what was held once the log is back, then follow changes of the roster."""
+        """Write held entries once the log is back, then follow changes of the roster."""
         if not self._appender.is_log_up or not self._may_act(owned.shard):
             return
         if owned.needs_flush and not await self._flush(owned):
@@ -322,7 +326,7 @@
         return False
 
     async def carry_forward(self, shard: KeyShard, entries: Iterable[KeyEntry]) -> bool:
-        """Write entries once more in chunks; False as soon as one is not known to be written."""
+        """Append entries again in chunks; return False as soon as an append is not confirmed."""
         pending = tuple(entries)
         for first in range(0, len(pending), CARRY_CHUNK):
             chunk = pending[first : first + CARRY_CHUNK]
@@ -349,7 +353,7 @@
             owned.holder_sets = (new,)
 
     async def announce(self, shard: KeyShard, holders: frozenset[HostId]) -> bool:
-        """Record who holds from now on; False if that is not known to be in the log."""
+        """Record the new holders; return False if the append is not confirmed."""
         state = self._fold.shard(shard.name)
         record = KeyShardReady(
             shard=shard.name,
@@ -362,7 +366,7 @@
         return isinstance(appended, Success)
 
     async def reopen(self, owned: OwnedShard) -> bool:
-        """Record the opening once more under the same epoch, before the log trims it."""
+        """Append the opening again under the same epoch, before the log trims it."""
         opened = KeyShardOpened(
             shard=owned.shard.name, epoch=owned.shard.epoch, opened_at=self._clock.wall()
         )
@@ -373,7 +377,7 @@
         return len(owned.holder_sets) == 1 and await self.announce(owned.shard, holders)
 
     def owned(self) -> tuple[OwnedShard, ...]:
-        """Return the shards served."""
+        """Return the served shards."""
         return tuple(self._owned_by_name.values())
 
 
--- a/src/galenastall/node/requests/key_service.py
+++ b/src/galenastall/node/requests/key_service.py
@@ -1,4 +1,4 @@
-"""Idempotency keys on one entry host: asks owners, holds for them, follows the log, compacts."""
+"""Idempotency keys on one entry host: calls owners, holds intents, keeps records in the log."""
 
 from collections import deque
 from collections.abc import Callable
@@ -53,13 +53,13 @@
 END_TRIES: Final = 60
 FETCH_TIMEOUT_S: Final = 1.0
 MAINTENANCE_PERIOD_S: Final = 30.0
-"""Period at which keys are forgotten and old records are written once more."""
+"""Period at which expired keys are dropped and old records are written again."""
 CARRY_AFTER_S: Final = 1_800.0
-"""Age in the log at which a key is written once more; well below what the log keeps."""
+"""Age at which a key's record is written again; well below the log's retention."""
 
 
 class KeyService:
-    """Both sides of idempotency keys on one entry host."""
+    """Client and owner side of idempotency keys on one entry host."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         events: EventSink,
         carry_after_s: float = CARRY_AFTER_S,
     ) -> None:
-        """Subscribe to `follower`, the data centre's stream, before it runs."""
+        """Subscribe to `follower`, which follows the data centre's stream and must not run yet."""
         self._data_centre = data_centre
         self._clock = clock
         self._peers = peers
@@ -101,7 +101,7 @@
             events=events,
         )
         self.lost_ends = 0
-        """Ends that no owner could be told of; their keys become `unknown`."""
+        """Ends that could not be reported to an owner; their keys become `unknown`."""
         follower.subscribe(self.fold)
         peers.handle(KeyReserve, self._on_reserve)
         peers.handle(KeyEnd, self._on_end)
@@ -120,7 +120,7 @@
                 await trio.sleep(MAINTENANCE_PERIOD_S)
 
     def check(self, key: str) -> Result[tuple[float, DataCentre], StepError]:
-        """Return a key's time and home, or why it is refused."""
+        """Return a key's creation time and data centre, or why it is refused."""
         settings = self._settings()
         made = check_age(key, wall=self._clock.wall(), rules=settings.keys)
         if isinstance(made, Failure):
@@ -140,7 +140,7 @@
         made_at: float,
         ends_at: float,
     ) -> Result[KeyAnswer, StepError]:
-        """Take the key for a request; a failure proves nothing about the key, and nothing left."""
+        """Reserve the key for a request; on failure, nothing was sent and its state is unknown."""
         wanted = KeyReserve(
             key=key,
             digest=digest_of(operation=operation, body=body),
@@ -155,14 +155,14 @@
             return await self.owner.reserve(runner=self._me, wanted=wanted)
         answer = await self._peers.call(peer=owner, message=wanted, timeout_s=RESERVE_TIMEOUT_S)
         if isinstance(answer, Failure):
-            # The owner may have recorded the intent though its answer was lost.
+            # The owner may have recorded the intent although its response was lost.
             self.ended(key=key, request_id=request_id, outcome=Outcome.NOT_RUN, status=0)
             return answer
         reserved: KeyReserved = answer.unwrap()
         return Success(reserved.answer)
 
     def ended(self, *, key: str, request_id: RequestId, outcome: Outcome, status: int) -> None:
-        """Tell the key's owner how the request ended, in the background."""
+        """Report the request's outcome to the key's owner in the background."""
         ended = KeyEnded(
             shard=shard_of(key), key=key, request_id=request_id, outcome=outcome, status=status
         )
@@ -172,7 +172,7 @@
             self.lost_ends += 1
 
     async def fetch(self, first: KeyEntry) -> CachedAnswer | None:
-        """Return the answer that a key's request got, if whoever ran it still keeps it."""
+        """Return the response to a key's request, if the entry host that ran it still caches it."""
         if first.runner == self._me:
             return self.answer_cache.get(first.request_id)
         message = KeyAnswerFetch(key=first.key, request_id=first.request_id)
@@ -246,7 +246,7 @@
             await self._carry_old(owned, horizon)
 
     def _horizon(self) -> Offset:
-        """Return the offset below which records are older than the carrying age."""
+        """Return the offset below which records are older than `carry_after_s`."""
         now = self._clock.now()
         self._offsets_by_time.append((now, self._follower.next_offset))
         horizon = Offset(0)
@@ -255,7 +255,7 @@
         return horizon
 
     async def _carry_old(self, owned: OwnedShard, horizon: Offset) -> None:
-        """Write a shard's old records once more, its opening included, before they are trimmed."""
+        """Write a shard's old records again, including its opening, before they are trimmed."""
         name = owned.shard.name
         if self.fold.shard(name).opened_offset < horizon:
             await self.owner.reopen(owned)
--- a/src/galenastall/node/requests/keyed_requests.py
+++ b/src/galenastall/node/requests/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: intent first, then the run, then its end."""
+"""Requests with an idempotency key: record the intent, run the request, record its end."""
 
 from galenastall.coordination.requests.keys import KeyAnswer, KeyVerdict
 from galenastall.node.requests.answer_cache import CachedAnswer
@@ -16,7 +16,7 @@
 
 
 class KeyedRequests:
-    """Runs a request at most once for each key, whichever entry host it comes to."""
+    """Runs a request at most once per key, whichever entry host receives it."""
 
     def __init__(
         self,
@@ -26,16 +26,16 @@
         keys: KeyService,
         requests: RequestService,
     ) -> None:
-        """Let `requests` run what a key's owner lets go."""
+        """Use `requests` to run the requests that a key's owner permits."""
         self._data_centre = data_centre
         self._clock = clock
         self._keys = keys
         self._requests = requests
 
     async def submit(self, call: RequestCall) -> RequestAnswer:
-        """Run the request, or answer with what its key's first request came to.
+        """Run the request, or answer with the outcome of its key's first request.
 
-        The body must be whole, since it is part of what a repeat is recognised by.
+        The body must be complete, since repeats are recognised by its digest.
         """
         if not call.key:
             return await self._requests.submit(call)
@@ -45,7 +45,7 @@
         return await self._run(call, reserved)
 
     async def _reserve(self, call: RequestCall) -> RequestAnswer | RequestId:
-        """Take the key; return the run's id once it may leave, else the final answer."""
+        """Reserve the key; return the run's id once it may be sent, else the final answer."""
         checked = self._keys.check(call.key)
         made = checked.value_or(None)
         if made is None:
@@ -96,7 +96,7 @@
         first = answer.first
         match answer.verdict:
             case KeyVerdict.MISMATCH:
-                detail = "this key came before with another operation or body"
+                detail = "this key was used before with another operation or body"
                 return _answer(call, Outcome.NOT_RUN, RequestReason.KEY_MISMATCH, detail=detail)
             case KeyVerdict.IN_PROGRESS:
                 return _answer(
--- a/src/galenastall/node/requests/load_guard.py
+++ b/src/galenastall/node/requests/load_guard.py
@@ -1,7 +1,7 @@
-"""Refuses new requests in front of everything else while the event loop is late.
+"""Refuses new requests before any other processing while the event loop is late.
 
-It runs before routes, settings and records are looked at, so a refusal costs little more than the
-bytes of its answer.
+It runs before routes, settings and records are consulted, so a refusal costs little more than the
+bytes of its response.
 """
 
 import math
@@ -25,13 +25,13 @@
 from galenastall.transport.http_messages import HttpResponse
 
 SAMPLE_S: Final = 0.01
-"""Time between two looks at how late the loop is."""
+"""Interval between two measurements of the loop's lateness."""
 IDLE_SAMPLE_S: Final = 0.1
-"""The same while no request came for QUIET_AFTER_S, so that an idle host costs little."""
+"""The same after IDLE_AFTER_S without requests, so that an idle host costs little."""
 IDLE_AFTER_S: Final = 1.0
 MIN_RETRY_S: Final = 0.2
 RETRY_SPAN_S: Final = 2.0
-"""Added to the least time to come back, times the share that is refused."""
+"""Added to MIN_RETRY_S, multiplied by the refused share."""
 
 _PATH: Final = b"/v1/requests/"
 _CLASS: Final = (b"galenastall-class", b"urgent")
@@ -39,12 +39,12 @@
 
 
 class LoadGuard:
-    """Measures the loop and answers for it when it has too much to do."""
+    """Measures the event loop's lateness and refuses requests when it is overloaded."""
 
     def __init__(
         self, *, clock: Clock, counters: RequestCounters, shedder: LoadShedder | None = None
     ) -> None:
-        """Refusals are counted in `counters` like those of the queue."""
+        """Count refusals in `counters`, like those of the queue."""
         self._clock = clock
         self._counters = counters
         self.shedder = shedder or LoadShedder()
@@ -64,7 +64,7 @@
             before = now
 
     def check(self, scope: Any, open_requests: int) -> HttpResponse | None:
-        """Return the refusal of a request that is not to be looked at any further."""
+        """Return the response if the request is refused, or None to process it."""
         if scope["method"] != "POST" or not scope["raw_path"].startswith(_PATH):
             return None
         self._last_request_at = self._clock.now()
--- a/src/galenastall/node/requests/permit_owner.py
+++ b/src/galenastall/node/requests/permit_owner.py
@@ -1,4 +1,4 @@
-"""Owner's side of permits: takes asks and returns, grants, and takes over from earlier owners."""
+"""Owner side of permits: handles asks and returns, grants, and takes over from earlier owners."""
 
 from collections import defaultdict
 from collections.abc import Callable, Mapping
@@ -30,13 +30,13 @@
 from galenastall.state.upstream_tenures import TenureHistory
 
 TAKEOVER_CALL_S: Final = 0.5
-"""Wait for one answer of an earlier owner or an entry host."""
+"""Time-out of one call to an earlier owner or an entry host."""
 TAKEOVER_RETRY_S: Final = 0.5
 
 
 @dataclass(slots=True)
 class _Pending:
-    """What the next message to an entry host carries."""
+    """Contents of the next message to an entry host."""
 
     permits: list[Permit]
     refused: list[int]
@@ -62,9 +62,9 @@
         report: Callable[[PermitReportCall, HostId], PermitReport],
         note_leaving: Callable[[HostId], None],
     ) -> None:
-        """`deliver` and `refuse` answer this entry host's own asks, `report` is what it holds.
+        """`deliver` and `refuse` answer this entry host's asks; `report` returns its permits.
 
-        `recent_clients` gives the entry hosts that may hold permits, with the seconds for which
+        `recent_clients` returns the entry hosts that may hold permits, with the seconds for which
         they may still do so if they never answer.
         """
         self.slots = OwnedSlots(limits=limits)
@@ -91,9 +91,9 @@
         self._takeovers: list[tuple[HostId, Epoch]] = []
         self._work = trio.Event()
         self.ask_received = trio.Event()
-        """Set by asks, here and from peers; ends a long pause between ticks."""
+        """Set by local and remote asks; ends a long pause between ticks."""
         self.expired = 0
-        """Permits that were never given back."""
+        """Permits that expired without being released."""
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
         peers.handle(PermitAsks, self._on_asks)
@@ -101,7 +101,7 @@
         peers.handle(PermitLedgerCall, self._on_ledger_call)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Send batches and carry out takeovers until cancelled."""
+        """Send batches and perform takeovers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_batches)
             task_status.started()
@@ -113,7 +113,7 @@
                     nursery.start_soon(self._take_over, upstream, epoch)
 
     def set_hosts(self, hosts_by_id: Mapping[HostId, ListedHost]) -> None:
-        """Take in the upstreams as listed; opens those that were activated before being listed."""
+        """Apply the listed upstreams; opens those that were activated before they were listed."""
         self._hosts_by_id = dict(hosts_by_id)
         self.slots.clients = max(1, len(self._ownership.roster()))
         for upstream, epoch in list(self._epochs_by_id.items()):
@@ -126,16 +126,16 @@
                 self._open(upstream, epoch)
 
     def tick(self) -> None:
-        """Free what expired, refresh who leaves, and grant."""
+        """Free expired slots, update which upstreams are leaving, and grant."""
         self.expired += self.slots.expire(now=self._clock.now())
         for upstream in self.slots.upstreams():
             self.slots.set_leaving(upstream, self._is_leaving(upstream))
         self.grant()
 
     def ask(self, *, client: HostId, asks: PermitAsks) -> None:
-        """Queue an entry host's asks, or refuse them if nothing here may be granted.
+        """Queue an entry host's asks, or refuse them if no slot may be granted here.
 
-        Call `grant` after.
+        Call `grant` afterwards.
         """
         self.ask_received.set()
         now = self._clock.now()
@@ -148,7 +148,7 @@
                 self._refuse_ask(client, ask.ask_id)
 
     def grant(self) -> None:
-        """Grant what is free; this entry host's own permits are delivered at once."""
+        """Grant free slots; this entry host's own permits are delivered at once."""
         now = self._clock.now()
         granted = self.slots.grant(now=now, may_act=self._may_act, allowed=self._allowance())
         for client, permit in granted:
@@ -159,7 +159,7 @@
             self._flush.set()
 
     def apply_return(self, returned: PermitReturn) -> bool:
-        """Free a slot and learn from it; False if the upstream is not open here."""
+        """Free a slot and update ejection; return False if the upstream is not open here."""
         upstream = returned.upstream
         if not self.slots.is_open(upstream):
             return False
@@ -172,7 +172,7 @@
         return True
 
     def load(self) -> tuple[int, int, int]:
-        """Return slots that may be granted, slots in use and asks waiting."""
+        """Return the grantable slots, the slots in use and the number of waiting asks."""
         slots, in_use = self.slots.totals(allowed=self._allowance())
         return slots, in_use, self.slots.waiting
 
@@ -196,7 +196,7 @@
         return self._ownership.may_act(self._ownables_by_id[upstream])
 
     def _allowance(self) -> AllowedSlots:
-        """Return how many slots of an upstream may be used now; no work while none is ejected."""
+        """Return the slot limits from ejection; costs nothing while no upstream is limited."""
         if not self.ejection.limits_any():
             return all_slots
         now = self._clock.now()
@@ -226,7 +226,7 @@
                 self._refuse_ask(client, ask_id)
 
     def _refuse_ask(self, client: HostId, ask_id: int) -> None:
-        """Tell the asker at once, so that it asks another owner instead of waiting."""
+        """Notify the entry host at once, so that it asks another owner instead of waiting."""
         if client == self._me:
             self._refuse(ask_id)
             return
@@ -252,7 +252,7 @@
             self._work.set()
 
     async def _take_over(self, upstream: HostId, epoch: Epoch) -> None:
-        """Learn what earlier owners granted: from the last one's ledger, else from everyone."""
+        """Collect earlier owners' grants, from the last owner's ledger or else all entry hosts."""
         if await self._request_ledger(upstream, epoch):
             self._events.record("permits.took_over", peer=upstream, cause="ledger")
             self.grant()
@@ -300,7 +300,10 @@
     def apply_report(
         self, upstream: HostId, epoch: Epoch, client: HostId, report: PermitReport
     ) -> None:
-        """Count what an entry host holds; a young process's earlier life stays waited for."""
+        """Count an entry host's permits; if it started recently, keep waiting for expiry.
+
+        Its previous incarnation may hold permits that the new process does not know of.
+        """
         if report.alive_s < self.slots.limits.takeover_s:
             return
         self.slots.report(
@@ -336,7 +339,7 @@
         return PermitLedgerAnswer(ledger=ledger)
 
     async def _send_batches(self) -> None:
-        """Send what gathered while the loop was busy: batches grow with load by themselves."""
+        """Send what accumulated while the event loop was busy, so batches grow with load."""
         while True:
             await self._flush.wait()
             self._flush = trio.Event()
--- a/src/galenastall/node/requests/permit_service.py
+++ b/src/galenastall/node/requests/permit_service.py
@@ -1,4 +1,4 @@
-"""Permits of one entry host: asks owners, keeps what it is granted, gives it back."""
+"""Permits of one entry host: asks owners for permits, holds granted ones and releases them."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -31,15 +31,15 @@
 from galenastall.state.work import Urgency
 
 TICK_S: Final = 0.025
-"""Period at which asks lapse, late requests are dropped and free slots are looked for."""
+"""Period at which asks expire, late requests are dropped and free slots are granted."""
 IDLE_TICK_S: Final = 0.25
-"""The same while nothing waits here nor for this owner; the first ask ends it."""
+"""The same while neither requests nor asks wait here; the first ask ends it."""
 LOAD_STALE_S: Final = 2.0
-"""Age after which an owner's figures say nothing any more."""
+"""Age after which an owner's reported load is ignored."""
 
 
 class PermitService:
-    """Both sides of permits on one entry host."""
+    """Client and owner side of permits on one entry host."""
 
     def __init__(
         self,
@@ -96,19 +96,19 @@
         self._returns_by_owner: defaultdict[HostId, list[PermitReturn]] = defaultdict(list)
         self._flush = trio.Event()
         self.unused = 0
-        """Permits given back unused."""
+        """Permits released unused."""
         peers.handle(PermitGrants, self._on_grants)
         peers.handle(PermitReportCall, self._on_report_call)
 
     def connect(
         self, *, take: Callable[[Permit], bool], demand: Callable[[], tuple[int, Urgency]]
     ) -> None:
-        """Set who takes permits, and who says how many requests wait and of which class."""
+        """Set who takes permits, and who returns how many requests wait and their highest class."""
         self._take = take
         self._demand = demand
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Ask, grant and give back until cancelled."""
+        """Ask for, grant and release permits until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
             nursery.start_soon(self._send_batches)
@@ -122,7 +122,7 @@
                 self.owner.ask_received = trio.Event()
 
     def set_hosts(self, listing: HostListing) -> None:
-        """Take in the platform's list; what is absent, leaving or gone gets nothing new."""
+        """Apply the platform's host list; absent, leaving or gone upstreams get no new requests."""
         now = self._clock.now()
         here = [h for h in listing.by_id.values() if h.data_centre == self._data_centre]
         self._upstreams_by_id = {h.host_id: h for h in here if h.kind is HostKind.UPSTREAM}
@@ -137,7 +137,7 @@
         self._refresh_owners()
 
     def is_leaving(self, upstream: HostId) -> bool:
-        """Return whether list, operators or the upstream itself say that it leaves."""
+        """Return whether the list, an operator or the upstream itself reports it as leaving."""
         listed = self._upstreams_by_id.get(upstream)
         if listed is None or listed.state is not HostState.LIVE:
             return True
@@ -150,14 +150,14 @@
         )
 
     def has_upstreams(self) -> bool:
-        """Return whether any upstream of this data centre may get work."""
+        """Return whether any upstream of this data centre accepts work."""
         return any(not self.is_leaving(upstream) for upstream in self._upstreams_by_id)
 
     def recent_clients(self) -> dict[HostId, float]:
         """Return the entry hosts that may hold permits, with the seconds for which they may.
 
-        A process younger than the longest permit cannot know who was there before: an unnamed
-        entry host stands for those.
+        A process younger than the longest permit cannot know which entry hosts existed before it
+        started: an entry with an empty id stands for them.
         """
         now = self._clock.now()
         recent = {
@@ -174,7 +174,7 @@
     def request_permits(self, *, avoid: tuple[HostId, ...] = ()) -> None:
         """Ask for as many permits as requests wait, within the window.
 
-        `avoid` names the upstreams that the request at hand has tried.
+        `avoid` lists the upstreams that the current request has already tried.
         """
         waiting, urgency = self._demand()
         window = self._settings().ask_window * (2 if urgency is Urgency.URGENT else 1)
@@ -191,21 +191,21 @@
             self.owner.grant()
 
     def may_begin(self, permit: Permit) -> bool:
-        """Return whether a request may leave under the permit; ask right before it does."""
+        """Return whether a request may be sent under the permit; call right before sending."""
         return self._holder.may_begin(
             permit_id=permit.permit_id, now=self._clock.now()
         ) and not self.is_leaving(permit.upstream)
 
     def ends_at(self, permit: Permit) -> float:
-        """Return the runtime time by which the request must be over."""
+        """Return the monotonic time by which the request must have ended."""
         return self._holder.ends_at(permit_id=permit.permit_id)
 
     def owner_of(self, permit: Permit) -> HostId | None:
-        """Return who granted a permit that is held."""
+        """Return the owner that granted a held permit."""
         return self._holder.owner_of(permit_id=permit.permit_id)
 
     def release(self, returned: PermitReturn) -> None:
-        """Give a permit back with what the request saw."""
+        """Release a permit and report the result of its request."""
         if returned.leaving:
             self._note_leaving(returned.upstream)
         owner = self._holder.drop(
@@ -216,7 +216,7 @@
         self._send_return(returned, owner)
 
     def release_unused(self, permit: Permit) -> None:
-        """Give a permit back that no request left under."""
+        """Release a permit under which no request was sent."""
         self.unused += 1
         self.release(PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream))
 
@@ -243,7 +243,7 @@
         return False
 
     def _choose(self, avoid: tuple[HostId, ...]) -> HostId:
-        """Return the owner to ask: this one while it has room, as that costs no message."""
+        """Return the owner to ask: this host while it has free slots, as that costs no message."""
         owners = self._owners_avoiding(avoid) if avoid else self._owners
         if self._me in owners:
             slots, in_use, waiting = self.owner.load()
--- a/src/galenastall/node/requests/permit_settings.py
+++ b/src/galenastall/node/requests/permit_settings.py
@@ -1,4 +1,4 @@
-"""Settings of permits and requests that operators change while the process runs."""
+"""Settings of permits and requests that operators can change while the process runs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 from galenastall.state.ids import HostId, TeamPath
 
 REFRESH_S: Final = 0.25
-"""Age at which settings are read from the shared tree again."""
+"""Age at which settings are read again from the shared tree."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -27,35 +27,35 @@
     ejection: EjectionLimits = field(default_factory=EjectionLimits)
     keys: KeyRules = field(default_factory=KeyRules)
     key_homes: tuple[KeyHomes, ...] = ()
-    """Data centres that share the keys; empty: each key is at home where it arrives."""
+    """Data centres that share the keys; if empty, each key is served where it arrives."""
     rates_by_team: dict[TeamPath, TeamRate] = field(default_factory=dict)
-    """Teams whose requests are limited in rate."""
+    """Rate limits by team."""
     teams: frozenset[TeamPath] = frozenset()
-    """Teams that may ask; empty: every team may."""
+    """Teams that may send requests; if empty, every team may."""
     weights_by_team: dict[TeamPath, float] = field(default_factory=dict)
     leaving: frozenset[HostId] = frozenset()
-    """Upstreams that get nothing new."""
+    """Upstreams that get no new requests."""
     choice_policy: str = "two_choices"
     default_deadline_s: float = 10.0
     longest_deadline_s: float = 300.0
     dispatch_margin_s: float = 0.02
-    """Time kept beyond the shortest run time measured, so that what leaves can be in time."""
+    """Added to the shortest measured run time, so that a sent request can meet its deadline."""
     ask_window: int = 64
-    """Asks for permits that may be out at once."""
+    """Asks for permits that may be outstanding at once."""
     whole_answer_bytes: int = 64 * 1024
-    """Answers up to this size are read whole before their head goes out."""
+    """Responses up to this size are read completely before their headers are sent."""
     replay_bytes: int = 64 * 1024
     """Request bodies up to this size are kept for a retry."""
     keyed_body_bytes: int = 4 * 1024 * 1024
     """Largest body of a request with an idempotency key."""
     overrun_s: float = 2.0
-    """Time for which an upstream may go on with a request that nobody waits for any more."""
+    """Time for which an upstream may continue with a request that was given up."""
     leaving_report_s: float = 60.0
-    """For how long an upstream's own word that it is leaving stands."""
+    """How long an upstream's own report that it is leaving stays valid."""
 
 
 class CachedSettings:
-    """Settings read anew a few times a second, since the request path asks for them often."""
+    """Settings rebuilt a few times a second, since the request path reads them often."""
 
     def __init__(self, *, make: Callable[[], RequestSettings], clock: Clock) -> None:
         """`make` builds them from the shared tree."""
--- a/src/galenastall/node/requests/request_attempt.py
+++ b/src/galenastall/node/requests/request_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one request: sends it under a permit and says exactly how it ended."""
+"""One attempt at one request: sends it under a permit and determines its exact outcome."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack
@@ -29,7 +29,7 @@
 from galenastall.state.outcomes import Outcome
 
 SERVER_FAULT = 500
-"""Lowest HTTP status that is the upstream's own fault."""
+"""Lowest HTTP status that indicates a fault of the upstream."""
 
 NOT_RUN_REASONS = {
     Reason.UNREACHABLE: RequestReason.UNREACHABLE,
@@ -37,7 +37,7 @@
     Reason.CONFLICT: RequestReason.REFUSED_BY_UPSTREAM,
     Reason.OVERLOADED: RequestReason.REFUSED_BY_UPSTREAM,
 }
-"""What proves that a call did not run; after anything else it may have run."""
+"""Errors that prove that a call did not run; after any other error it may have run."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -54,7 +54,7 @@
 
 
 class OutgoingBody:
-    """The request body of one attempt; knows whether a streamed one was begun."""
+    """The request body of one attempt; tracks whether a streamed body was begun."""
 
     def __init__(self, body: Body) -> None:
         self._body = body
@@ -62,7 +62,7 @@
 
     @property
     def is_replayable(self) -> bool:
-        """Whether a further attempt can send it whole."""
+        """Whether a further attempt can send the complete body."""
         return isinstance(self._body, bytes) or not self.is_begun
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -77,7 +77,7 @@
 
 
 class Attempts:
-    """Makes attempts; each gives its permit back exactly once."""
+    """Makes attempts; each releases its permit exactly once."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         counters: RequestCounters,
         on_run_time: Callable[[str, float], None],
     ) -> None:
-        """`note_time` takes the operation and run time of each request that is done."""
+        """`on_run_time` is called with the operation and run time of each successful request."""
         self._clock = clock
         self._upstreams = upstreams
         self._permits = permits
@@ -100,7 +100,7 @@
     async def make(
         self, *, call: RequestCall, permit: Permit, attempt_id: AttemptId
     ) -> AttemptResult:
-        """Send the request now; the caller has checked that the permit may begin."""
+        """Send the request now; the caller has checked `may_begin` of the permit."""
         now = self._clock.now()
         ends_at = min(call.deadline, self._permits.ends_at(permit))
         upstream_call = UpstreamCall(
@@ -139,7 +139,9 @@
         if answer.attempt_id != call.attempt_id:
             self._counters.foreign_answers += 1
             use.end(Outcome.UNKNOWN, is_fault=True)
-            return _unknown(RequestReason.FOREIGN_ANSWER, body, f"names {answer.attempt_id!r}")
+            return _unknown(
+                RequestReason.FOREIGN_ANSWER, body, f"response names attempt {answer.attempt_id!r}"
+            )
         if answer.outcome is Outcome.UNKNOWN:
             use.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
             return _unknown(RequestReason.NO_ANSWER, body, f"status {answer.status}")
@@ -173,7 +175,7 @@
     async def _read(
         self, answer: UpstreamAnswer, body: OutgoingBody, use: "_PermitUse", stack: AsyncExitStack
     ) -> AttemptResult:
-        """Read a small answer whole; hand a large one on as a stream."""
+        """Read a small response completely; return a large one as a stream."""
         limit = self._settings().whole_answer_bytes
         chunks: list[bytes] = []
         size = 0
@@ -206,25 +208,25 @@
         return _answered(answer, stream)
 
     def release(self, returned: PermitReturn) -> None:
-        """Give a permit back."""
+        """Release a permit."""
         self._permits.release(returned)
 
     def now(self) -> float:
-        """Return the runtime time."""
+        """Return the monotonic time."""
         return self._clock.now()
 
     def note_run_time(self, operation: str, seconds: float) -> None:
-        """Note the run time of a request that is done."""
+        """Report the run time of a successful request."""
         self._on_run_time(operation, seconds)
 
     @property
     def overrun_s(self) -> float:
-        """Time for which an upstream may go on with a request given up, in seconds."""
+        """Time for which an upstream may continue with an abandoned request, in seconds."""
         return self._settings().overrun_s
 
 
 class _PermitUse:
-    """One permit in use; ends once, whichever way comes first."""
+    """One permit in use; only the first of its end calls takes effect."""
 
     __slots__ = ("_attempts", "_is_over", "_operation", "_permit", "_started_at", "is_streaming")
 
@@ -239,7 +241,7 @@
         self.is_streaming = False
 
     def end_answered(self, answer: UpstreamAnswer) -> None:
-        """End with a whole answer."""
+        """End the use with a complete response."""
         done = answer.outcome is Outcome.DONE
         if done:
             self._attempts.note_run_time(self._operation, self._attempts.now() - self._started_at)
@@ -247,7 +249,7 @@
         self.end(answer.outcome, is_fault=fault, leaving=answer.leaving)
 
     def end(self, outcome: Outcome, *, is_fault: bool = False, leaving: bool = False) -> None:
-        """Give the permit back with what the attempt saw."""
+        """Release the permit and report the result of the attempt."""
         if self._is_over:
             return
         self._is_over = True
@@ -264,7 +266,7 @@
         )
 
     def end_abandoned(self) -> None:
-        """End an attempt that was left by an exception; it may have run."""
+        """End the use after an exception, as the attempt may have run; streams end themselves."""
         if not self.is_streaming:
             self.end(Outcome.UNKNOWN)
 
--- a/src/galenastall/node/requests/request_service.py
+++ b/src/galenastall/node/requests/request_service.py
@@ -31,16 +31,16 @@
 from galenastall.state.work import Urgency
 
 MAX_SWAPS: Final = 2
-"""Permits of an upstream tried before that a retry gives back in the hope of another."""
+"""Permits of already tried upstreams that a retry releases to get one of another upstream."""
 OVERTAKEN_CHECK_PERIOD_S: Final = 0.25
-"""Time between two looks for requests that wait in vain."""
+"""Interval between two checks for overtaken requests."""
 DRAIN_RETRY_S: Final = 1.0
 NO_UPSTREAM_RETRY_S: Final = 2.0
 
 
 @dataclass(slots=True)
 class _Waiter:
-    """A request in the queue and what it gets: a permit, or a reason why not."""
+    """A queued request and its result: a permit, or the reason why it gets none."""
 
     woken: trio.Event = field(default_factory=trio.Event)
     permit: Permit | None = None
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class _Run:
-    """A request from submit to its answer."""
+    """State of a request from `submit` to its answer."""
 
     call: RequestCall
     ticket: RequestId
@@ -58,7 +58,7 @@
     attempts: int = 0
     swaps: int = 0
     maybe_ran: AttemptResult | None = None
-    """The last attempt that may have run: from then on nothing can be called `not run`."""
+    """The last attempt that may have run; once set, the request must not end as `not run`."""
 
 
 class RequestService:
@@ -74,7 +74,7 @@
         settings: Callable[[], RequestSettings],
         events: EventSink,
     ) -> None:
-        """`incarnation` must differ for each life of the process: ids of attempts rest on it."""
+        """`incarnation` must be unique per start of the process, as attempt ids contain it."""
         self.counters = RequestCounters()
         self.request_table = RequestTable()
         self._clock = clock
@@ -93,7 +93,7 @@
         self._is_draining = False
         self._drained = trio.Event()
         self._busy = trio.Event()
-        """Set by a request that waits; ends a long pause between ticks."""
+        """Set by a waiting request; ends a long pause between ticks."""
         self._attempts = Attempts(
             clock=clock,
             upstreams=upstreams,
@@ -115,7 +115,7 @@
         return self._in_progress
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Drop what can no longer be in time, until cancelled."""
+        """Drop requests that can no longer meet their deadline, until cancelled."""
         task_status.started()
         while True:
             self._tick()
@@ -131,16 +131,16 @@
         self._busy.set()
 
     async def drain(self) -> None:
-        """Refuse new requests; return once all accepted ones are answered, streams included."""
+        """Refuse new requests; return once all accepted ones are answered, including streams."""
         self.begin_drain()
         await self._drained.wait()
 
     def next_ticket(self) -> RequestId:
-        """Return an id that no other request of any entry host has."""
+        """Return an id that is unique over all requests of all entry hosts."""
         return next(self._tickets)
 
     def record_answer(self, call: RequestCall, answer: RequestAnswer) -> RequestAnswer:
-        """Count and record an answer given before the request came to `submit`; return it."""
+        """Count and record an answer given before `submit` was called; return it."""
         run = _Run(call=call, ticket=RequestId(""), status=self.request_table.open(call.request_id))
         self._end(run, answer)
         return answer
@@ -152,7 +152,7 @@
         if not self._permits.has_upstreams():
             return not_run_answer(call.request_id, RequestReason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
         if not self._waiters_by_ticket:
-            self._apply_settings()  # The last tick may lie a long pause back.
+            self._apply_settings()  # The last tick may be a long pause ago.
         refused = self._admission.check(
             request=self._waiting_of(call, call.request_id), now=self._clock.now()
         )
@@ -161,7 +161,7 @@
         return not_run_answer(call.request_id, RequestReason(refused.reason), refused.retry_after_s)
 
     async def submit(self, call: RequestCall) -> RequestAnswer:
-        """Run a request; returns its final answer, exactly one of the four outcomes."""
+        """Run a request; return its final answer with exactly one of the four outcomes."""
         run = _Run(
             call=call, ticket=next(self._tickets), status=self.request_table.open(call.request_id)
         )
@@ -186,7 +186,7 @@
                 return permit
             if not self._permits.may_begin(permit):
                 self.counters.void_permits += 1
-                self._trace.passed_over(run.call, permit, "it came too late to begin under it")
+                self._trace.passed_over(run.call, permit, "the permit arrived too late to be used")
                 self._permits.release_unused(permit)
                 continue
             result = await self._attempt(run, permit)
@@ -227,7 +227,7 @@
         return False
 
     async def _permit_for(self, run: _Run) -> Permit | RequestAnswer:
-        """Wait for a permit, of an upstream not tried before if there is one."""
+        """Wait for a permit, preferably of an upstream that was not tried before."""
         swaps_before = run.swaps
         while True:
             waiter = _Waiter()
@@ -254,11 +254,11 @@
             if waiter.permit.upstream not in run.tried or run.swaps >= MAX_SWAPS:
                 return waiter.permit
             run.swaps += 1
-            self._trace.passed_over(run.call, waiter.permit, "it was tried there before")
+            self._trace.passed_over(run.call, waiter.permit, "this upstream was already tried")
             self._permits.release_unused(waiter.permit)
 
     async def _wait(self, run: _Run, waiter: _Waiter) -> None:
-        """Wait for a permit or a reason; a request whose caller goes away leaves the queue."""
+        """Wait for a permit or a reason; withdraw the request if its caller disconnects."""
         gone = run.call.caller_gone
         if gone is None:
             await waiter.woken.wait()
@@ -299,7 +299,7 @@
         )
 
     def _take_permit(self, permit: Permit) -> bool:
-        """Give a permit to the request that goes first now; False if none waits."""
+        """Assign a permit to the first request in the queue; return False if none waits."""
         now = self._clock.now()
         self._drop_late(now)
         waiting = self._admission.take(now=now)
@@ -351,7 +351,7 @@
         self._shortest.note(operation=operation, seconds=seconds)
 
     def _answer_without_permit(self, run: _Run, reason: RequestReason) -> RequestAnswer:
-        """Answer a request that gets no further permit; one that may have run is unknown."""
+        """Answer a request that gets no further permit; `unknown` if an attempt may have run."""
         if run.maybe_ran is not None:
             return self._final(run, run.maybe_ran)
         retry_after_s = self._admission.retry_after_s(run.call.urgency)
@@ -378,13 +378,13 @@
         )
 
     def record_refusal(self, answer: RequestAnswer) -> RequestAnswer:
-        """Count and record an answer that was given without a run, and return it."""
+        """Count and record the refusal of a request that was not submitted; return it."""
         self._trace.refused(answer)
         self.counters.ended(answer)
         return answer
 
     def _abandoned(self, run: _Run) -> RequestAnswer:
-        """Return what is recorded of a request whose caller or process broke off."""
+        """Return the recorded answer of a request cancelled by its caller or the process."""
         return RequestAnswer(
             request_id=run.call.request_id,
             outcome=Outcome.UNKNOWN if run.attempts else Outcome.NOT_RUN,
--- a/src/galenastall/node/requests/request_side.py
+++ b/src/galenastall/node/requests/request_side.py
@@ -1,4 +1,4 @@
-"""The request side of an entry host: permits, keys, attempts and the callers' routes."""
+"""The request services of an entry host: permits, keys, attempts and the callers' routes."""
 
 import random
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class RequestSide:
-    """Everything of an entry host that requests to upstreams need."""
+    """All services of an entry host that requests to upstreams need."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         rng: random.Random,
         events: EventSink,
     ) -> None:
-        """Build the services; `follower` is the data centre's stream and must not run yet."""
+        """Build the services; `follower` follows the data centre's stream and must not run yet."""
         settings = CachedSettings(make=settings, clock=clock)
         tenures = TenureHistory()
         follower.subscribe(tenures)
@@ -83,7 +83,7 @@
         )
 
     def set_hosts(self, listing: HostListing, fetched_at: float) -> None:
-        """Take the platform's list."""
+        """Apply the platform's host list."""
         self.permits.set_hosts(listing)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -95,5 +95,5 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Refuse new requests; return once all accepted ones have their answer."""
+        """Refuse new requests; return once all accepted ones are answered."""
         await self.requests.drain()
--- a/src/galenastall/node/requests/request_table.py
+++ b/src/galenastall/node/requests/request_table.py
@@ -1,4 +1,4 @@
-"""What became of the last requests of this entry host, by the caller's id."""
+"""Status of the most recent requests of this entry host, by the caller's id."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from galenastall.state.outcomes import Outcome
 
 MAX_REQUESTS: Final = 10_000
-"""Requests remembered; the oldest go first."""
+"""Requests kept; the oldest are evicted first."""
 
 
 @dataclass(slots=True)
 class RequestStatus:
-    """Where a request stands; `outcome` is None while it is in progress."""
+    """Status of a request; `outcome` is None while it is in progress."""
 
     request_id: RequestId
     state: str = "waiting"
@@ -26,7 +26,7 @@
 
 
 class RequestTable:
-    """Bounded memory of requests, for the status page."""
+    """Bounded table of requests, for the status route."""
 
     def __init__(self, *, max_requests: int = MAX_REQUESTS) -> None:
         """Start empty."""
@@ -34,7 +34,7 @@
         self._statuses_by_id: OrderedDict[RequestId, RequestStatus] = OrderedDict()
 
     def open(self, request_id: RequestId) -> RequestStatus:
-        """Begin a request; a later one of the same id replaces it."""
+        """Add a request; it replaces an earlier one with the same id."""
         status = RequestStatus(request_id)
         self._statuses_by_id[request_id] = status
         if len(self._statuses_by_id) > self._max_requests:
@@ -42,12 +42,12 @@
         return status
 
     def close(self, status: RequestStatus, answer: RequestAnswer) -> None:
-        """Note the final answer."""
+        """Record the final answer."""
         status.state = "ended"
         status.outcome = answer.outcome
         status.reason = answer.reason
         status.attempts = answer.attempts
 
     def get(self, request_id: RequestId) -> RequestStatus | None:
-        """Return where a request stands, or None if it is not known here."""
+        """Return the status of a request, or None if it is not known here."""
         return self._statuses_by_id.get(request_id)
--- a/src/galenastall/node/requests/request_trace.py
+++ b/src/galenastall/node/requests/request_trace.py
@@ -1,4 +1,4 @@
-"""What the time line is told of a request; steps of one request are details, kept for a share."""
+"""Timeline events of requests; the steps of a request are details, kept only for a share."""
 
 from galenastall.coordination.requests.permit_types import Permit
 from galenastall.node.requests.request_types import RequestAnswer, RequestCall
@@ -7,18 +7,18 @@
 from galenastall.state.outcomes import Outcome
 
 ALWAYS_RECORDED: frozenset[Outcome] = frozenset({Outcome.UNKNOWN, Outcome.FAILED})
-"""Ends that are kept for every request, whatever the share of details."""
+"""Outcomes whose final event is recorded for every request, whatever the share of details."""
 
 
 class RequestTrace:
-    """Records the steps of requests."""
+    """Records the steps of requests as timeline events."""
 
     def __init__(self, *, events: EventSink) -> None:
-        """Record into `events`."""
+        """Record events into `events`."""
         self._events = events
 
     def queued(self, call: RequestCall, *, ahead: int) -> None:
-        """Record that a request waits for a permit, with `ahead` requests in the queue."""
+        """Record that a request waits for a permit behind `ahead` queued requests."""
         self._events.detail(
             "request.queued",
             call.request_id,
@@ -31,7 +31,7 @@
         )
 
     def sent(self, call: RequestCall, permit: Permit, *, owner: HostId | None, number: int) -> None:
-        """Record that attempt `number` leaves, and whose permit it has."""
+        """Record that attempt `number` is sent, with its permit and the permit's owner."""
         self._events.detail(
             "request.sent",
             call.request_id,
@@ -45,7 +45,7 @@
         )
 
     def answered(self, call: RequestCall, permit: Permit, outcome: Outcome, why: str) -> None:
-        """Record how an attempt ended; `done` is told by the request's end, which is next."""
+        """Record how an attempt ended; `done` is covered by the request's end, which follows."""
         if outcome is Outcome.DONE:
             return
         self._events.detail(
@@ -61,11 +61,11 @@
         self._events.detail("request.retried", call.request_id, peer=upstream, cause=why)
 
     def passed_over(self, call: RequestCall, permit: Permit, why: str) -> None:
-        """Record that a permit is given back unused."""
+        """Record that a permit is released unused."""
         self._events.detail("request.passed_over", call.request_id, peer=permit.upstream, cause=why)
 
     def ended(self, call: RequestCall, answer: RequestAnswer, *, attempts: int) -> None:
-        """Record the final answer; one that is unknown or failed is recorded for every request."""
+        """Record the final answer; unknown and failed ones are recorded for every request."""
         fields = {"outcome": answer.outcome.value, "attempts": str(attempts), "team": call.team}
         if answer.retry_after_s is not None:
             fields["retry_after_s"] = f"{answer.retry_after_s:.2f}"
@@ -87,7 +87,7 @@
         self._events.detail(step, call.request_id, peer=answer.upstream, cause=cause, fields=fields)
 
     def refused(self, answer: RequestAnswer) -> None:
-        """Record a refusal from before the request was read whole."""
+        """Record a refusal made before the request was read completely."""
         fields = {"outcome": answer.outcome.value}
         if answer.retry_after_s is not None:
             fields["retry_after_s"] = f"{answer.retry_after_s:.2f}"
@@ -95,7 +95,7 @@
         self._events.detail("request.refused", answer.request_id, cause=cause, fields=fields)
 
     def withdrawn(self, call: RequestCall, answer: RequestAnswer) -> None:
-        """Record that the caller, or this process, broke off before an answer."""
+        """Record that the caller disconnected or this process was stopped before an answer."""
         self._events.record(
             "request.withdrawn",
             peer=answer.upstream,
--- a/src/galenastall/node/requests/request_types.py
+++ b/src/galenastall/node/requests/request_types.py
@@ -1,4 +1,4 @@
-"""What the request path takes and gives: typed requests, answers, and why."""
+"""Types of the request path: requests, answers and their reasons."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
@@ -10,56 +10,56 @@
 
 
 class RequestReason(StrEnum):
-    """Why a request ended as it did; empty for a plain `done`."""
+    """Why a request ended with its outcome; empty for a plain `done`."""
 
     NONE = ""
     QUEUE_FULL = "queue_full"
     UNKNOWN_TEAM = "unknown_team"
-    """The shared settings name teams, and not this one."""
+    """The shared settings list teams, but not this one."""
     TEAM_RATE = "team_rate"
-    """The team, or one above it, asks more often than its settings allow."""
+    """The team, or a parent team, exceeds the rate in its settings."""
     TEAM_QUEUE_FULL = "team_queue_full"
     DEADLINE_TOO_NEAR = "deadline_too_near"
     WOULD_MISS_DEADLINE = "would_miss_deadline"
     DEADLINE_PASSED = "deadline_passed"
-    """It waited until it could no longer be in time, and was dropped before it left."""
+    """It waited until it could no longer meet its deadline, and was dropped before it was sent."""
     OVERTAKEN = "overtaken"
-    """While it waited, more urgent ones left no room for it before its deadline."""
+    """More urgent requests left no capacity for it before its deadline."""
     DISPLACED = "displaced"
-    """It made room for a more urgent one."""
+    """It was removed from a full queue in favour of a more urgent one."""
     DRAINING = "draining"
     NO_UPSTREAM = "no_upstream"
-    """No upstream of this data centre may get work."""
+    """No upstream of this data centre accepts work."""
     UNREACHABLE = "unreachable"
     REFUSED_BY_UPSTREAM = "refused_by_upstream"
     FAILED_BY_UPSTREAM = "failed_by_upstream"
     NO_ANSWER = "no_answer"
-    """It left, and no answer came in time."""
+    """It was sent, and no response arrived in time."""
     ANSWER_CUT = "answer_cut"
     FOREIGN_ANSWER = "foreign_answer"
-    """The answer named another attempt and was dropped."""
+    """The response named another attempt and was discarded."""
     REPEAT = "repeat"
-    """The key came before: this is the first one's outcome."""
+    """The key was used before: this is the outcome of the first request."""
     ANSWER_NOT_KEPT = "answer_not_kept"
-    """The key's request was done, but its answer is no longer kept."""
+    """The key's request succeeded, but its response is no longer cached."""
     IN_PROGRESS = "in_progress"
     """The key's first request has not ended."""
     KEY_MISMATCH = "key_mismatch"
-    """The key came before with another operation or body."""
+    """The key was used before with another operation or body."""
     KEY_REFUSED = "key_refused"
-    """The key is malformed, older than memory, or from the future."""
+    """The key is malformed, older than the retention period, or from the future."""
     KEY_HOME_ELSEWHERE = "key_home_elsewhere"
     """Another data centre serves this key."""
     KEY_NOT_DURABLE = "key_not_durable"
-    """The intent could not be recorded, so the request was not let out."""
+    """The intent could not be recorded, so the request was not sent."""
     OVERLOADED = "overloaded"
-    """The entry host itself has more to do than it can; nothing of the request was looked at."""
+    """The entry host is overloaded; the request was refused without being parsed."""
     BODY_TOO_LARGE = "body_too_large"
     ABANDONED = "abandoned"
-    """Its caller broke off inside the body or while it waited, or this process was stopped; nobody
-    is answered."""
+    """Its caller disconnected during the body or the wait, or this process was stopped; no response
+    is sent."""
     INVALID = "invalid"
-    """A header is missing or makes no sense."""
+    """A header is missing or invalid."""
 
 
 Body = bytes | AsyncIterator[bytes]
@@ -70,38 +70,38 @@
     """One request of a caller."""
 
     request_id: RequestId
-    """The caller's own name for it; need not be unique."""
+    """The id given by the caller; need not be unique."""
     team: TeamPath
     urgency: Urgency = Urgency.NORMAL
     operation: str
     deadline: float
-    """Runtime time in seconds."""
+    """Monotonic time in seconds."""
     idempotent: bool = False
     key: str = ""
     """Idempotency key; makes a non-idempotent request safe to repeat."""
     content_type: str = "application/octet-stream"
     content_length: int | None = None
     body: Body = b""
-    """Whole if it was small enough, so that it can be sent again."""
+    """Bytes if it is small enough to be buffered for a retry, otherwise a stream."""
     caller_gone: Callable[[], Awaitable[None]] | None = None
-    """Returns once nobody waits for the answer any more; None if that can't be told."""
+    """Returns once the caller has disconnected; None if that can't be detected."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestAnswer:
-    """The final word on a request."""
+    """The final answer to a request."""
 
     request_id: RequestId
     outcome: Outcome
     reason: RequestReason = RequestReason.NONE
     status: int = 0
-    """The upstream's HTTP status; 0 if there is no answer of one."""
+    """The upstream's HTTP status; 0 without a response."""
     content_type: str = ""
     body: Body = b""
-    """A streamed one raises if it breaks off, and must be closed with `aclose`."""
+    """A stream raises if it is cut short, and must be closed with `aclose`."""
     retry_after_s: float | None = None
     home: DataCentre = DataCentre("")
-    """Where the key is at home, if elsewhere."""
+    """The data centre that serves the key, if not this one."""
     upstream: HostId = HostId("")
     attempts: int = 0
     detail: str = ""
@@ -110,7 +110,7 @@
 def not_run_answer(
     request_id: RequestId, reason: RequestReason, retry_after_s: float
 ) -> RequestAnswer:
-    """Return the answer to a request that has not run, with when to come back in seconds."""
+    """Return the answer to a request that has not run, with the seconds until a retry."""
     return RequestAnswer(
         request_id=request_id,
         outcome=Outcome.NOT_RUN,
@@ -127,13 +127,13 @@
     refused_by_reason: dict[RequestReason, int] = field(default_factory=dict)
     retries: int = 0
     retries_denied: int = 0
-    """Retries that the budget did not pay for."""
+    """Retries denied by the retry budget."""
     foreign_answers: int = 0
     cut_answers: int = 0
     broken_streams: int = 0
-    """Answers that broke off after they had begun towards the caller."""
+    """Responses cut short after their first bytes were sent to the caller."""
     void_permits: int = 0
-    """Permits found too old right before the request was to leave."""
+    """Permits found too old right before the request was to be sent."""
 
     def ended(self, answer: RequestAnswer) -> None:
         """Count a final answer."""
--- a/src/galenastall/node/requests/team_gate.py
+++ b/src/galenastall/node/requests/team_gate.py
@@ -1,4 +1,4 @@
-"""Refuse requests of unknown teams, and of teams that ask too often, before anything is done."""
+"""Refuse requests of unknown teams and of teams over their rate before any other processing."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class TeamGate:
-    """What the shared settings say of the teams that ask, at this entry host."""
+    """Enforces the shared settings' list of teams and rate limits on this entry host."""
 
     def __init__(self, *, clock: Clock, settings: Callable[[], RequestSettings]) -> None:
         """Start with full buckets."""
@@ -20,7 +20,7 @@
         self._rates = TeamRates()
 
     def check(self, *, team: TeamPath, request_id: RequestId) -> RequestAnswer | None:
-        """Count a request; return the refusal if it must not run."""
+        """Count a request; return the refusal if it must not run, else None."""
         settings = self._settings()
         if settings.teams and team not in settings.teams:
             detail = f"team {team!r} is not in the shared settings"
@@ -32,7 +32,7 @@
         )
         if wait_s <= 0.0:
             return None
-        detail = f"team {team!r} asks more often than its settings allow"
+        detail = f"team {team!r} exceeds the request rate in its settings"
         return _not_run(request_id, RequestReason.TEAM_RATE, detail, retry_after_s=wait_s)
 
 
--- a/tests/request_rig.py
+++ b/tests/request_rig.py
@@ -1,4 +1,7 @@
-"""Entry hosts of one data centre on one loop: real request path, fake links, owners and log."""
+"""Harness: entry hosts of one data centre in one event loop, with the real request path.
+
+Links, ownership and the log are fakes.
+"""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -51,7 +54,7 @@
 
 
 class Network:
-    """Delivers typed messages through the codec; hosts can be cut off."""
+    """Delivers typed messages through the codec; hosts can be isolated."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery = nursery
@@ -115,7 +118,7 @@
 
 
 class Ownership:
-    """OwnershipView whose owners the test sets."""
+    """OwnershipView whose owners are set by the test."""
 
     def __init__(self, harness: "Harness", me: HostId) -> None:
         self._harness = harness
@@ -146,7 +149,7 @@
 
 @dataclass
 class EntryHost:
-    """One entry host's request path."""
+    """The request path of one entry host."""
 
     ownership: Ownership
     permits: PermitService
@@ -158,7 +161,7 @@
 
 
 class Harness:
-    """All of it."""
+    """Entry hosts, upstreams, network, log and ownership of one data centre."""
 
     def __init__(self, *, nursery: trio.Nursery, executors: int, slots: int) -> None:
         self.clock = TrioClock(wall_at_start=WALL)
@@ -183,7 +186,7 @@
         self.hosts: dict[HostId, EntryHost] = {}
         self.incarnations = 0
         self.ring = TimelineRing()
-        """What happened to requests on all hosts."""
+        """Timeline events of requests on all hosts."""
 
     def set_faults(self, faults: ExecutorFaults, *names: HostId) -> None:
         for name in names or self.upstreams:
@@ -270,12 +273,12 @@
                 task_status.started()
 
     def kill(self, name: str) -> None:
-        """End a host's process at once; what it owned stays its own until taken over."""
+        """Kill a host's process; it stays the owner of its ownables until they are reassigned."""
         self.hosts.pop(HostId(name)).scope.cancel()
         del self.network.handlers[HostId(name)]
 
     async def assign(self, ownable: OwnableId, name: str, *, notify: bool = True) -> None:
-        """Make a host the owner through the log, as ownership does."""
+        """Make a host the owner through log records, as the ownership service does."""
         host_id = HostId(name)
         host = self.hosts[host_id]
         member = Member(host=host_id, incarnation=Incarnation(name))
@@ -297,7 +300,7 @@
             activated_callback(ownable, epoch)
 
     async def assign_all(self) -> None:
-        """Give upstreams and one key shard out, turn by turn."""
+        """Assign the upstreams to the hosts round robin."""
         names = sorted(self.hosts)
         for number, upstream in enumerate(self.upstreams):
             ownable = make_ownable_id(OwnableKind.UPSTREAM, upstream)
@@ -347,7 +350,7 @@
 
 
 async def gather(*works: Callable[[], Any]) -> list[Any]:
-    """Run all at once; results in order."""
+    """Run all concurrently; return the results in order."""
     results: list[Any] = [None] * len(works)
 
     async def run(index: int) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The queue of an entry host: bounds, order, shares and drops."""
+"""The admission queue of an entry host: bounds, order, team shares and drops."""
 
 from collections import Counter
 
@@ -179,7 +179,7 @@
 
 class TestOvertaken:
     def overtaken(self, *, urgent_every: int, deadline: float = 30.0) -> Admission:
-        """Return a queue that hands out 10/s, in which urgent ones overtake ten of backfill."""
+        """Return a queue that dispatches 10/s, in which urgent ones overtake ten of backfill."""
         queue = Admission(limits=AdmissionLimits(wait_share=1.0, lower_class_every=1_000))
         for number in range(10):
             request = waiting(f"b{number}", urgency=Urgency.BACKFILL, deadline=deadline)
--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -1,4 +1,4 @@
-"""The HTTP face of the request path: headers, statuses, whole or broken answers."""
+"""HTTP routes of the request path: headers, statuses, complete or broken responses."""
 
 import pytest
 from trio.testing import MockClock
@@ -127,7 +127,7 @@
 
 
 class Caller:
-    """A route without headers to set, for the raw client."""
+    """A route that needs no headers, for the raw client."""
 
     def __init__(self, harness: Harness) -> None:
         self._harness = harness
--- a/tests/test_key_service.py
+++ b/tests/test_key_service.py
@@ -1,4 +1,4 @@
-"""Keys over entry hosts: races, dead owners, lost answers and log outages, never a second run."""
+"""Keys across entry hosts: one run despite races, dead owners, lost responses and log outages."""
 
 from functools import partial
 
@@ -117,7 +117,7 @@
 
 class TestOwnerChange:
     async def test_owner_killed_between_intent_and_end(self, autojump_clock: MockClock) -> None:
-        """It owned the shard and ran the request itself: nobody can say how it ended."""
+        """The owner also ran the request itself, so its outcome stays unknown."""
         async with open_harness(hosts=3, executors=3) as harness:
             await serve_keys(harness, "e1")
             harness.set_faults(ExecutorFaults(service=ServiceTime(mean_s=3.0)))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: at most one run over races, lost answers, new owners and log outages."""
+"""Idempotency keys: at most one run despite races, lost responses, new owners and log outages."""
 
 import pytest
 from hypothesis import settings
@@ -39,7 +39,7 @@
 
 
 class Log:
-    """A stream in memory whose records pass through the codec."""
+    """An in-memory stream whose records pass through the codec."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
@@ -224,7 +224,7 @@
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """One key, owners that replace each other, a log that goes down, holders that die."""
+    """One key with changing owners, log outages and holders that restart or drop entries."""
 
     @initialize()
     def start(self) -> None:
@@ -241,7 +241,7 @@
 
     @rule(reached=st.lists(st.booleans(), min_size=3, max_size=3))
     def take_over(self, reached: list[bool]) -> None:
-        """The claim and the opening need the log; the reads need holders."""
+        """Open the shard under a new owner; that needs the log, and its reads need holders."""
         if not self.log_up:
             return
         self.epoch += 1
@@ -270,7 +270,7 @@
 
     @rule(index=st.integers(0, 3), reached=st.lists(st.booleans(), min_size=3, max_size=3))
     def request(self, index: int, reached: list[bool]) -> None:
-        """Any owner past or present is asked; it believes that it still is one."""
+        """Send a request to any owner, past or present; a past owner still believes to be one."""
         shard = self.shards[-1 - index % len(self.shards)]
         if verdict(shard) is not KeyVerdict.GO:
             return
@@ -294,7 +294,7 @@
 
     @rule(index=st.integers(0, 3), outcome=st.sampled_from([Outcome.DONE, Outcome.NOT_RUN]))
     def end(self, index: int, outcome: Outcome) -> None:
-        """The running request ends; a `not_run` means that it was proved never to have left."""
+        """End the running request; `not_run` means that it was proved never to have been sent."""
         if len(self.runs) != 1 or self.ended:
             return
         (run,) = self.runs
@@ -320,7 +320,7 @@
 
     @rule()
     def flush(self) -> None:
-        """Every owner, replaced or not, writes what it held."""
+        """Let every owner, replaced or not, write its unlogged entries."""
         if not self.log_up:
             return
         for shard in self.shards:
@@ -333,7 +333,7 @@
 
     @rule(index=st.integers(0, 2))
     def holder_is_replaced(self, index: int) -> None:
-        """A new process under the old name knows nothing of what was held."""
+        """Restart a holder: the new process has lost the held entries."""
         self.held[index] = HeldIntents()
 
     @invariant()
--- a/tests/test_load_shed.py
+++ b/tests/test_load_shed.py
@@ -1,4 +1,4 @@
-"""Refusals for the event loop's sake: when they begin, whom they spare, and when they end."""
+"""Load shedding by event loop lateness: when it begins, which requests it spares, when it ends."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def shedder_after(*, late_s: float, seconds: float) -> LoadShedder:
-    """Return a shedder that saw one lateness for some seconds."""
+    """Return a shedder that measured a constant lateness for some seconds."""
     shedder = LoadShedder()
     for _ in range(round(seconds / 0.01)):
         shedder.note(late_s=late_s, span_s=0.01)
@@ -20,7 +20,7 @@
 
 
 def refused_of(shedder: LoadShedder, *, urgent: bool, count: int = 1_000) -> int:
-    """Return how many of some requests are refused."""
+    """Return how many of `count` requests are refused."""
     return sum(shedder.refuses(urgent=urgent, open_requests=1) for _ in range(count))
 
 
@@ -56,13 +56,13 @@
 
 
 def scope_of(path: bytes, headers: list[tuple[bytes, bytes]]) -> dict[str, Any]:
-    """Return an ASGI scope as far as the guard looks at it."""
+    """Return the part of an ASGI scope that the guard reads."""
     return {"method": "POST", "raw_path": path, "headers": headers}
 
 
 class TestLoadGuard:
     def guard(self) -> tuple[LoadGuard, RequestCounters]:
-        """Return a guard that refuses whatever it may."""
+        """Return a guard that refuses every request it may, as no open request is allowed."""
         counters = RequestCounters()
         shedder = LoadShedder(limits=ShedLimits(open_requests=0))
         return LoadGuard(clock=TrioClock(), counters=counters, shedder=shedder), counters
--- a/tests/test_request_chaos.py
+++ b/tests/test_request_chaos.py
@@ -1,4 +1,4 @@
-"""The whole request path under random faults, together and twice: nothing runs twice, no lies."""
+"""The whole request path under random, overlapping faults: no second run, no false outcome."""
 
 import random
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 
 class Chaos:
-    """Harms a rig at random, from one seed."""
+    """Injects random faults into a harness, from one seed."""
 
     def __init__(self, harness: Harness, rng: random.Random) -> None:
         self._harness = harness
@@ -54,7 +54,7 @@
                 nursery.start_soon(work)
 
     async def _kill(self) -> None:
-        """Kill a host; a new process under its name joins, others take over what it had."""
+        """Kill a host; a new process with its name joins, and its ownables are reassigned."""
         async with self._lock:
             if self._harness.log.is_down:
                 return
--- a/tests/test_request_service.py
+++ b/tests/test_request_service.py
@@ -1,4 +1,4 @@
-"""The request path: each fault comes to its exact outcome, and slots hold."""
+"""The request path: each fault leads to its exact outcome, and slots are never exceeded."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -74,7 +74,7 @@
     async def test_what_may_have_run_is_never_reported_not_run(
         self, autojump_clock: MockClock
     ) -> None:
-        """The first attempt loses its answer; the second is refused by every upstream."""
+        """The first attempt loses its response; the second is refused by every upstream."""
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
             harness.set_faults(ExecutorFaults(unreachable=True), HostId("x1"))
@@ -100,7 +100,7 @@
     async def test_a_request_whose_caller_goes_away_leaves_the_queue(
         self, autojump_clock: MockClock
     ) -> None:
-        """The first two hold both slots; of the two that wait, one is withdrawn at once."""
+        """The first two requests hold both slots; one of the two waiting ones is withdrawn."""
         async with open_harness(hosts=1, executors=1, slots=2) as harness:
             harness.set_faults(SLOW)
             gone = trio.Event()
@@ -147,7 +147,7 @@
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(answer_bytes=300_000))
             answer = await harness.ask("e1", harness.call())
-            await answer.body.aclose()  # type: ignore[union-attr]  # a stream by its size
+            await answer.body.aclose()  # type: ignore[union-attr]  # streamed because of its size
             assert harness.hosts[HostId("e1")].permits.held == 0
 
 
@@ -199,7 +199,7 @@
     async def test_slots_hold_over_a_takeover_with_the_old_owner_dead(
         self, autojump_clock: MockClock
     ) -> None:
-        """The dead owner's own requests still run; its successor waits for them."""
+        """The dead owner's own requests still run; its successor must wait for them."""
         async with open_harness(hosts=3, executors=1, slots=2) as harness:
             harness.set_faults(
                 ExecutorFaults(service=ServiceTime(mean_s=20.0), beyond_slots=BeyondSlots.REFUSE)
@@ -297,7 +297,7 @@
 
 class TestOverload:
     async def test_goodput_holds_at_twice_the_capacity(self, autojump_clock: MockClock) -> None:
-        """Capacity is 40/s; 80/s come for 20 s with a deadline of 2 s, a fifth of them urgent."""
+        """Capacity is 40/s; 80/s arrive for 20 s with a deadline of 2 s, a fifth of them urgent."""
         async with open_harness(hosts=2, executors=2, slots=2) as harness:
             harness.set_faults(ExecutorFaults(service=ServiceTime(mean_s=0.1)))
             counts: Counter[tuple[Urgency, Outcome]] = Counter()
--- a/tests/test_retries_and_ejection.py
+++ b/tests/test_retries_and_ejection.py
@@ -1,4 +1,4 @@
-"""What may be tried again, and which upstreams are taken out."""
+"""Which requests may be retried, and which upstreams are ejected."""
 
 import pytest
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Permits: never more at an upstream than its slots, whatever happens to owners and askers."""
+"""Permits: an upstream's slots are never exceeded, whatever happens to owners and entry hosts."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -178,7 +178,7 @@
 
 
 class PermitMachine(RuleBasedStateMachine):
-    """Three askers, one upstream whose owner changes, and a network that holds messages back."""
+    """Three entry hosts, one upstream with changing owners, and a network that delays messages."""
 
     @initialize()
     def start(self) -> None:
@@ -242,7 +242,7 @@
 
     @rule(client=st.sampled_from(CLIENTS))
     def ask_and_begin(self, client: HostId) -> None:
-        """One request whose messages all arrive at once."""
+        """Run one request whose messages are delivered at once."""
         self.ask(client)
         self.deliver_ask(len(self.asks) - 1, lost=False)
         before = len(self.flying)
