--- a/src/galenastall/coordination/requests/ejection.py
+++ b/src/galenastall/coordination/requests/ejection.py
@@ -33,7 +33,7 @@
 
 
 class _Record:
-    __slots__ = ("ejected_until", "ejections", "failures", "latency_s", "reentry", "samples")
+    __slots__ = ("ejected_until", "ejections", "failures", "latency_s", "reentry_slots", "samples")
 
     def __init__(self) -> None:
         self.failures = 0
@@ -41,7 +41,7 @@
         self.latency_s = 0.0
         self.ejections = 0
         self.ejected_until = 0.0
-        self.reentry: int | None = None
+        self.reentry_slots: int | None = None
 
 
 class Ejection:
@@ -74,7 +74,7 @@
             return slots
         if record.ejected_until > now:
             return 0
-        return slots if record.reentry is None else min(slots, record.reentry)
+        return slots if record.reentry_slots is None else min(slots, record.reentry_slots)
 
     def limits_any(self) -> bool:
         """Return whether any upstream is ejected or only partly readmitted."""
@@ -104,17 +104,17 @@
         if record is None:
             return False
         record.failures += 1
-        limit = 1 if record.reentry is not None else self.limits.consecutive_failures
+        limit = 1 if record.reentry_slots is not None else self.limits.consecutive_failures
         return record.failures >= limit and self._eject(upstream, record, now)
 
     def _raise_allowance(self, record: _Record, slots: int) -> bool:
         """Double the allowed requests; return whether that readmits the upstream fully."""
-        if record.reentry is None:
+        if record.reentry_slots is None:
             return False
-        record.reentry *= 2
-        if record.reentry < slots:
+        record.reentry_slots *= 2
+        if record.reentry_slots < slots:
             return False
-        record.reentry = None
+        record.reentry_slots = None
         record.ejections = max(0, record.ejections - 1)
         return True
 
@@ -139,7 +139,7 @@
         record.ejected_until = now + span
         self._limited.add(upstream)
         record.ejections += 1
-        record.reentry = 1
+        record.reentry_slots = 1
         record.failures = 0
         record.samples = 0
         record.latency_s = 0.0
--- a/src/galenastall/coordination/requests/load_shed.py
+++ b/src/galenastall/coordination/requests/load_shed.py
@@ -11,7 +11,7 @@
 
 SAMPLES: Final = 5
 """Samples over which the minimum lateness is taken."""
-RISE_LIMIT: Final = 4.0
+MAX_EXCESS: Final = 4.0
 """Upper bound on the excess lateness, in multiples of the target, that one sample integrates."""
 
 
@@ -52,7 +52,7 @@
         """Record how late a timer fired and the time since the previous sample."""
         self._late_s.append(late_s)
         limits = self.limits
-        excess = min(self.sustained_late_s / limits.target_late_s - 1.0, RISE_LIMIT)
+        excess = min(self.sustained_late_s / limits.target_late_s - 1.0, MAX_EXCESS)
         moved = self.share + excess * limits.gain_per_s * span_s
         self.share = min(max(moved, 0.0), limits.max_refused_share)
 
--- a/src/galenastall/node/requests/key_owner.py
+++ b/src/galenastall/node/requests/key_owner.py
@@ -116,23 +116,28 @@
         """Names of the served shards."""
         return frozenset(self._owned_by_name)
 
-    async def reserve(self, *, runner: HostId, wanted: KeyReserve) -> Result[KeyAnswer, StepError]:
+    async def reserve(
+        self, *, runner: HostId, reservation: KeyReserve
+    ) -> Result[KeyAnswer, StepError]:
         """Return the verdict; GO is returned only once the intent is durable."""
-        owned = self._owned_by_name.get(shard_of(wanted.key))
+        owned = self._owned_by_name.get(shard_of(reservation.key))
         if owned is None or not self._may_act(owned.shard):
-            return Failure(_error(Reason.NOT_OWNER, f"key shard {shard_of(wanted.key)}"))
+            return Failure(_error(Reason.NOT_OWNER, f"key shard {shard_of(reservation.key)}"))
         answer = owned.shard.check(
-            key=wanted.key, digest=wanted.digest, made_at=wanted.made_at, wall=self._clock.wall()
+            key=reservation.key,
+            digest=reservation.digest,
+            made_at=reservation.made_at,
+            wall=self._clock.wall(),
         )
         if answer.verdict is not KeyVerdict.GO:
             return Success(answer)
         intent = owned.shard.begin(
-            key=wanted.key,
-            digest=wanted.digest,
-            made_at=wanted.made_at,
-            request_id=wanted.request_id,
+            key=reservation.key,
+            digest=reservation.digest,
+            made_at=reservation.made_at,
+            request_id=reservation.request_id,
             runner=runner,
-            ends_at=wanted.ends_at,
+            ends_at=reservation.ends_at,
         )
         if await self._make_durable(owned, intent):
             return Success(answer)
@@ -178,13 +183,13 @@
         message = KeyHold(shard=owned.shard.name, epoch=owned.shard.epoch, entries=entries)
         holding: set[HostId] = set()
 
-        async def ask(holder: HostId) -> None:
+        async def store_at(holder: HostId) -> None:
             if await self._is_held(holder, message):
                 holding.add(holder)
 
         async with trio.open_nursery() as nursery:
             for holder in frozenset().union(*owned.holder_sets):
-                nursery.start_soon(ask, holder)
+                nursery.start_soon(store_at, holder)
         return all(
             is_majority(count=len(holders & holding), of=len(holders))
             for holders in owned.holder_sets
@@ -258,11 +263,11 @@
     ) -> tuple[list[KeyEntry], frozenset[HostId], bool]:
         """Return the held entries, the new holders, and whether the entries are complete."""
         last_holders = frozenset(serving.holders) if serving else frozenset()
-        asked = last_holders | self._ownership.roster()
+        targets = last_holders | self._ownership.roster()
         request = KeyRead(shard=name, epoch=epoch, serving=serving.epoch if serving else None)
         reads_by_host: dict[HostId, KeyReadAnswer] = {}
 
-        async def ask(host: HostId) -> None:
+        async def read_from(host: HostId) -> None:
             read = await self._read_one(host, request)
             if read is not None:
                 reads_by_host[host] = read
@@ -270,8 +275,8 @@
         complete = False
         for tried in range(READ_TRIES):
             async with trio.open_nursery() as nursery:
-                for host in asked - reads_by_host.keys():
-                    nursery.start_soon(ask, host)
+                for host in targets - reads_by_host.keys():
+                    nursery.start_soon(read_from, host)
             answered = [
                 h for h in last_holders if h in reads_by_host and reads_by_host[h].was_holder
             ]
--- a/src/galenastall/node/requests/key_service.py
+++ b/src/galenastall/node/requests/key_service.py
@@ -141,7 +141,7 @@
         ends_at: float,
     ) -> Result[KeyAnswer, StepError]:
         """Reserve the key for a request; on failure, nothing was sent and its state is unknown."""
-        wanted = KeyReserve(
+        reservation = KeyReserve(
             key=key,
             digest=digest_of(operation=operation, body=body),
             request_id=request_id,
@@ -152,8 +152,10 @@
         if owner is None:
             return Failure(_error(Reason.UNAVAILABLE, "the key's shard has no owner now"))
         if owner == self._me:
-            return await self.owner.reserve(runner=self._me, wanted=wanted)
-        answer = await self._peers.call(peer=owner, message=wanted, timeout_s=RESERVE_TIMEOUT_S)
+            return await self.owner.reserve(runner=self._me, reservation=reservation)
+        answer = await self._peers.call(
+            peer=owner, message=reservation, timeout_s=RESERVE_TIMEOUT_S
+        )
         if isinstance(answer, Failure):
             # The owner may have recorded the intent although its response was lost.
             self.ended(key=key, request_id=request_id, outcome=Outcome.NOT_RUN, status=0)
@@ -210,8 +212,8 @@
     def _owner_of(self, shard: str) -> HostId | None:
         return self._ownership.owner_of(make_ownable_id(OwnableKind.KEYS, shard))
 
-    async def _on_reserve(self, sender: HostId, wanted: KeyReserve) -> Any:
-        reserved = await self.owner.reserve(runner=sender, wanted=wanted)
+    async def _on_reserve(self, sender: HostId, reservation: KeyReserve) -> Any:
+        reserved = await self.owner.reserve(runner=sender, reservation=reservation)
         if isinstance(reserved, Failure):
             return reserved.failure()
         return KeyReserved(answer=reserved.unwrap())
--- a/src/galenastall/node/requests/load_guard.py
+++ b/src/galenastall/node/requests/load_guard.py
@@ -33,8 +33,8 @@
 RETRY_SPAN_S: Final = 2.0
 """Added to MIN_RETRY_S, multiplied by the refused share."""
 
-_PATH: Final = b"/v1/requests/"
-_CLASS: Final = (b"galenastall-class", b"urgent")
+_PATH_PREFIX: Final = b"/v1/requests/"
+_URGENT_HEADER: Final = (b"galenastall-class", b"urgent")
 _REQUEST_ID: Final = REQUEST_ID.encode()
 
 
@@ -65,10 +65,10 @@
 
     def check(self, scope: Any, open_requests: int) -> HttpResponse | None:
         """Return the response if the request is refused, or None to process it."""
-        if scope["method"] != "POST" or not scope["raw_path"].startswith(_PATH):
+        if scope["method"] != "POST" or not scope["raw_path"].startswith(_PATH_PREFIX):
             return None
         self._last_request_at = self._clock.now()
-        urgent = _CLASS in scope["headers"]
+        urgent = _URGENT_HEADER in scope["headers"]
         if not self.shedder.refuses(urgent=urgent, open_requests=open_requests):
             return None
         return self._refusal(scope["headers"])
--- a/src/galenastall/node/requests/permit_owner.py
+++ b/src/galenastall/node/requests/permit_owner.py
@@ -89,7 +89,7 @@
         )
         self._flush = trio.Event()
         self._takeovers: list[tuple[HostId, Epoch]] = []
-        self._work = trio.Event()
+        self._takeover_queued = trio.Event()
         self.ask_received = trio.Event()
         """Set by local and remote asks; ends a long pause between ticks."""
         self.expired = 0
@@ -106,8 +106,8 @@
             nursery.start_soon(self._send_batches)
             task_status.started()
             while True:
-                await self._work.wait()
-                self._work = trio.Event()
+                await self._takeover_queued.wait()
+                self._takeover_queued = trio.Event()
                 takeovers, self._takeovers = self._takeovers, []
                 for upstream, epoch in takeovers:
                     nursery.start_soon(self._take_over, upstream, epoch)
@@ -249,7 +249,7 @@
         self.ejection.add(upstream)
         if not is_first:
             self._takeovers.append((upstream, epoch))
-            self._work.set()
+            self._takeover_queued.set()
 
     async def _take_over(self, upstream: HostId, epoch: Epoch) -> None:
         """Collect earlier owners' grants, from the last owner's ledger or else all entry hosts."""
--- a/src/galenastall/node/requests/request_service.py
+++ b/src/galenastall/node/requests/request_service.py
@@ -264,11 +264,11 @@
             await waiter.woken.wait()
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._withdraw_if_gone, run, waiter, gone)
+            nursery.start_soon(self._withdraw_when_gone, run, waiter, gone)
             await waiter.woken.wait()
             nursery.cancel_scope.cancel()
 
-    async def _withdraw_if_gone(
+    async def _withdraw_when_gone(
         self, run: _Run, waiter: _Waiter, gone: Callable[[], Awaitable[None]]
     ) -> None:
         await gone()
--- a/src/galenastall/node/requests/request_trace.py
+++ b/src/galenastall/node/requests/request_trace.py
@@ -44,7 +44,7 @@
             },
         )
 
-    def answered(self, call: RequestCall, permit: Permit, outcome: Outcome, why: str) -> None:
+    def answered(self, call: RequestCall, permit: Permit, outcome: Outcome, cause: str) -> None:
         """Record how an attempt ended; `done` is covered by the request's end, which follows."""
         if outcome is Outcome.DONE:
             return
@@ -52,17 +52,19 @@
             "request.answered",
             call.request_id,
             peer=permit.upstream,
-            cause=why,
+            cause=cause,
             fields={"outcome": outcome.value},
         )
 
-    def retried(self, call: RequestCall, upstream: HostId, why: str) -> None:
+    def retried(self, call: RequestCall, upstream: HostId, cause: str) -> None:
         """Record that another attempt follows."""
-        self._events.detail("request.retried", call.request_id, peer=upstream, cause=why)
+        self._events.detail("request.retried", call.request_id, peer=upstream, cause=cause)
 
-    def passed_over(self, call: RequestCall, permit: Permit, why: str) -> None:
+    def passed_over(self, call: RequestCall, permit: Permit, cause: str) -> None:
         """Record that a permit is released unused."""
-        self._events.detail("request.passed_over", call.request_id, peer=permit.upstream, cause=why)
+        self._events.detail(
+            "request.passed_over", call.request_id, peer=permit.upstream, cause=cause
+        )
 
     def ended(self, call: RequestCall, answer: RequestAnswer, *, attempts: int) -> None:
         """Record the final answer; unknown and failed ones are recorded for every request."""
--- a/tests/request_rig.py
+++ b/tests/request_rig.py
@@ -328,7 +328,7 @@
             body=body,
         )
 
-    async def ask(self, name: str, call: RequestCall) -> RequestAnswer:
+    async def submit(self, name: str, call: RequestCall) -> RequestAnswer:
         return await self.hosts[HostId(name)].keyed.submit(call)
 
     @property
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -126,7 +126,7 @@
 
 
 class TestDrop:
-    def test_what_cannot_be_in_time_is_dropped_before_its_deadline(self) -> None:
+    def test_requests_that_cannot_meet_their_deadline_are_dropped_before_it(self) -> None:
         queue = Admission(limits=AdmissionLimits())
         queue.offer(request=waiting("slow", deadline=10.0, service_s=4.0), now=0.0)
         queue.offer(request=waiting("quick", deadline=10.0), now=0.0)
@@ -203,7 +203,7 @@
         assert self.overtaken(urgent_every=1).waiting_of(Urgency.BACKFILL) == 10
         assert self.overtaken(urgent_every=1, deadline=1e9).drop_overtaken(now=10.0) == []
 
-    def test_a_new_one_that_would_be_overtaken_is_refused(self) -> None:
+    def test_a_new_request_that_would_be_overtaken_is_refused(self) -> None:
         queue = self.overtaken(urgent_every=1)
         late = waiting("new", urgency=Urgency.BACKFILL, deadline=30.0)
         refused = queue.offer(request=late, now=10.0).refusal
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -34,7 +34,7 @@
     async def test_a_retried_request(self, autojump_clock: Any) -> None:
         async with open_harness() as rig:
             rig.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
-            await rig.ask("e1", rig.call("r1", idempotent=True))
+            await rig.submit("e1", rig.call("r1", idempotent=True))
             text = told(rig.ring, "r1")
         lines = text.splitlines()
         assert "e1 queued the request for" in lines[0]
@@ -50,7 +50,7 @@
     ) -> None:
         async with open_harness() as rig:
             rig.hosts[HostId("e1")].requests.begin_drain()
-            answer = await rig.ask("e1", rig.call("r1"))
+            answer = await rig.submit("e1", rig.call("r1"))
             assert answer.outcome is Outcome.NOT_RUN
             text = told(rig.ring, "r1")
         assert "e1 refused the request because of draining, and it was not run;" in text
--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -134,7 +134,7 @@
 
     @route("GET", "/ask")
     async def ask(self, _request: HttpRequest) -> HttpResponse:
-        return respond(await self._harness.ask("e1", self._harness.call(idempotent=True)))
+        return respond(await self._harness.submit("e1", self._harness.call(idempotent=True)))
 
 
 class TestOverSockets:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -97,7 +97,7 @@
     @pytest.mark.parametrize(
         "key", ["", "pack", "-pack", "12", "12-", "1\n-a", "x" * 201, "é-1", "1700000000"]
     )
-    def test_others_are_refused_naming_the_header(self, key: str) -> None:
+    def test_malformed_keys_are_refused_naming_the_header(self, key: str) -> None:
         assert "Galenastall-Idempotency-Key" in str(key_time(key).failure())
 
     @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
         log.append(begin(log.open(1), "r1"))
         assert verdict(log.open(2), wall=115.0) is KeyVerdict.UNKNOWN
 
-    def test_a_request_that_was_not_run_may_come_again(self) -> None:
+    def test_a_request_that_was_not_run_may_be_sent_again(self) -> None:
         log = Log()
         shard = log.open(1)
         log.append(begin(shard, "r1"))
@@ -187,7 +187,7 @@
 
 class TestHeldIntents:
     @pytest.mark.parametrize("size", range(1, 9))
-    def test_each_read_meets_each_majority(self, size: int) -> None:
+    def test_each_read_intersects_each_majority(self, size: int) -> None:
         for held in range(size + 1):
             for read in range(size + 1):
                 enough = is_majority(count=held, of=size) and intersects_every_majority(
--- a/tests/test_load_shed.py
+++ b/tests/test_load_shed.py
@@ -35,11 +35,11 @@
             shedder.note(late_s=20.0, span_s=20.0)
         assert refused_of(shedder, urgent=False) == 0
 
-    def test_a_standing_queue_is_refused_up_to_the_bound_and_evenly(self) -> None:
+    def test_sustained_lateness_is_refused_evenly_up_to_the_bound(self) -> None:
         shedder = shedder_after(late_s=0.05, seconds=10)
         assert refused_of(shedder, urgent=False) == pytest.approx(950, abs=1)
 
-    def test_urgent_ones_are_spared_until_nothing_else_helps(self) -> None:
+    def test_urgent_requests_are_spared_until_the_share_is_high(self) -> None:
         assert refused_of(shedder_after(late_s=0.05, seconds=0.3), urgent=True) == 0
         assert 400 < refused_of(shedder_after(late_s=0.05, seconds=10), urgent=True) < 500
 
@@ -67,7 +67,7 @@
         shedder = LoadShedder(limits=ShedLimits(open_requests=0))
         return LoadGuard(clock=TrioClock(), counters=counters, shedder=shedder), counters
 
-    async def test_a_refusal_says_not_run_and_when_to_come_back(self) -> None:
+    async def test_a_refusal_returns_not_run_and_a_retry_time(self) -> None:
         guard, counters = self.guard()
         scope = scope_of(b"/v1/requests/find", [(b"galenastall-request-id", b"r7")])
         refusal = guard.check(scope, 1)
--- a/tests/test_request_chaos.py
+++ b/tests/test_request_chaos.py
@@ -116,14 +116,14 @@
 
 
 async def load(harness: Harness, rng: random.Random, issued: list[IssuedRequest]) -> None:
-    async def ask(name: str, body: bytes, idempotent: bool, key: str) -> None:
+    async def submit(name: str, body: bytes, idempotent: bool, key: str) -> None:
         host = rng.choice(sorted(harness.hosts))
         scope = harness.hosts[HostId(host)].scope
         answer = None
         call = harness.call(name, idempotent=idempotent, key=key, body=body, timeout_s=4.0)
         with trio.CancelScope() as own:
             watched.append((scope, own))
-            answer = await harness.ask(host, call)
+            answer = await harness.submit(host, call)
         issued.append(IssuedRequest(name, body, idempotent, key, answer))
 
     watched: list[tuple[trio.CancelScope, trio.CancelScope]] = []
@@ -137,13 +137,15 @@
 
     async with trio.open_nursery() as outer:
         outer.start_soon(cancel_requests_of_killed_hosts)
-        async with trio.open_nursery() as asks:
+        async with trio.open_nursery() as request_nursery:
             for number in range(SECONDS * REQUESTS_PER_S):
                 kind = rng.choice(["idempotent", "once", "keyed", "keyed"])
                 shared = rng.randrange(number // 3 + 1)
                 key = f"{WALL + shared // 10:.0f}-{shared}" if kind == "keyed" else ""
                 body = f"k{shared}" if key else f"b{number}"
-                asks.start_soon(ask, f"r{number}", body.encode(), kind == "idempotent", key)
+                request_nursery.start_soon(
+                    submit, f"r{number}", body.encode(), kind == "idempotent", key
+                )
                 await trio.sleep(1 / REQUESTS_PER_S)
         outer.cancel_scope.cancel()
 
--- a/tests/test_request_service.py
+++ b/tests/test_request_service.py
@@ -30,7 +30,7 @@
     async def test_done_on_every_entry_host(self, autojump_clock: MockClock) -> None:
         async with open_harness(hosts=3, executors=3) as harness:
             calls = [
-                partial(harness.ask, f"e{n % 3 + 1}", harness.call(f"r{n}")) for n in range(30)
+                partial(harness.submit, f"e{n % 3 + 1}", harness.call(f"r{n}")) for n in range(30)
             ]
             answers = await gather(*calls)
             assert set(outcomes(answers)) == {Outcome.DONE}
@@ -60,7 +60,7 @@
     ) -> None:
         async with open_harness() as harness:
             harness.set_faults(faults)
-            answer = await harness.ask("e1", harness.call(idempotent=idempotent))
+            answer = await harness.submit("e1", harness.call(idempotent=idempotent))
             assert f"{answer.outcome} {answer.reason} {harness.runs}" == expected
 
     async def test_a_lost_answer_of_an_idempotent_request_is_retried_elsewhere(
@@ -68,7 +68,7 @@
     ) -> None:
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
-            answer = await harness.ask("e1", harness.call(idempotent=True))
+            answer = await harness.submit("e1", harness.call(idempotent=True))
             assert (answer.outcome, answer.attempts, answer.upstream) == (Outcome.DONE, 2, "x1")
 
     async def test_what_may_have_run_is_never_reported_not_run(
@@ -78,7 +78,7 @@
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
             harness.set_faults(ExecutorFaults(unreachable=True), HostId("x1"))
-            answer = await harness.ask("e1", harness.call(idempotent=True))
+            answer = await harness.submit("e1", harness.call(idempotent=True))
             assert answer.outcome is Outcome.UNKNOWN
 
     async def test_the_deadline_ends_a_wait_as_not_run(self, autojump_clock: MockClock) -> None:
@@ -87,9 +87,9 @@
 
             async def short() -> RequestAnswer:
                 await trio.sleep(0.1)
-                return await harness.ask("e1", harness.call("short", timeout_s=1.0))
+                return await harness.submit("e1", harness.call("short", timeout_s=1.0))
 
-            answers = await gather(partial(harness.ask, "e1", harness.call("long")), short)
+            answers = await gather(partial(harness.submit, "e1", harness.call("long")), short)
             assert outcomes(answers) == [Outcome.DONE, Outcome.NOT_RUN]
             assert answers[1].reason is RequestReason.DEADLINE_PASSED
             assert answers[1].retry_after_s is not None
@@ -106,16 +106,16 @@
             gone = trio.Event()
             ended: dict[str, tuple[RequestAnswer, float]] = {}
 
-            async def ask(name: str, *, leaves: bool = False) -> None:
+            async def submit(name: str, *, leaves: bool = False) -> None:
                 call = replace(harness.call(name), caller_gone=gone.wait if leaves else None)
-                answer = await harness.ask("e1", call)
+                answer = await harness.submit("e1", call)
                 ended[name] = (answer, trio.current_time())
 
             async with trio.open_nursery() as nursery:
                 for name in ("r0", "r1", "r2"):
-                    nursery.start_soon(ask, name)
+                    nursery.start_soon(submit, name)
                 await trio.sleep(0.1)
-                nursery.start_soon(partial(ask, "leaver", leaves=True))
+                nursery.start_soon(partial(submit, "leaver", leaves=True))
                 await trio.sleep(0.1)
                 left_at = trio.current_time()
                 gone.set()
@@ -128,7 +128,7 @@
     async def test_a_large_answer_is_streamed_whole(self, autojump_clock: MockClock) -> None:
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(answer_bytes=300_000))
-            answer = await harness.ask("e1", harness.call())
+            answer = await harness.submit("e1", harness.call())
             assert not isinstance(answer.body, bytes)
             assert sum([len(chunk) async for chunk in answer.body]) == 300_000
             assert harness.hosts[HostId("e1")].permits.held == 0
@@ -136,7 +136,7 @@
     async def test_a_large_answer_that_breaks_raises(self, autojump_clock: MockClock) -> None:
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(answer_bytes=3_000_000, cut=1.0))
-            answer = await harness.ask("e1", harness.call(idempotent=True))
+            answer = await harness.submit("e1", harness.call(idempotent=True))
             assert not isinstance(answer.body, bytes)
             with pytest.raises(UpstreamCutError):
                 async for _ in answer.body:
@@ -146,7 +146,7 @@
     async def test_an_unread_stream_releases_its_permit(self, autojump_clock: MockClock) -> None:
         async with open_harness() as harness:
             harness.set_faults(ExecutorFaults(answer_bytes=300_000))
-            answer = await harness.ask("e1", harness.call())
+            answer = await harness.submit("e1", harness.call())
             await answer.body.aclose()  # type: ignore[union-attr]  # streamed because of its size
             assert harness.hosts[HostId("e1")].permits.held == 0
 
@@ -169,7 +169,7 @@
         async with open_harness(hosts=1) as harness:
             host = harness.hosts[HostId("e1")]
             with pytest.raises(RequestCutError):
-                await harness.ask("e1", harness.call(body=broken()))
+                await harness.submit("e1", harness.call(body=broken()))
             status = host.requests.request_table.get(RequestId("r"))
             assert status is not None
             assert (status.outcome, status.reason) == (Outcome.UNKNOWN, RequestReason.ABANDONED)
@@ -186,7 +186,7 @@
                 )
             )
             calls = [
-                partial(harness.ask, f"e{n % 3 + 1}", harness.call(f"r{n}", timeout_s=30.0))
+                partial(harness.submit, f"e{n % 3 + 1}", harness.call(f"r{n}", timeout_s=30.0))
                 for n in range(300)
             ]
             answers = await gather(*calls)
@@ -205,13 +205,13 @@
                 ExecutorFaults(service=ServiceTime(mean_s=20.0), beyond_slots=BeyondSlots.REFUSE)
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(harness.ask, "e1", harness.call("dead", timeout_s=25.0))
-                nursery.start_soon(harness.ask, "e2", harness.call("alive", timeout_s=25.0))
+                nursery.start_soon(harness.submit, "e1", harness.call("dead", timeout_s=25.0))
+                nursery.start_soon(harness.submit, "e2", harness.call("alive", timeout_s=25.0))
                 await trio.sleep(1.0)
                 nursery.cancel_scope.cancel()
             harness.kill("e1")
             await harness.assign(make_ownable_id(OwnableKind.UPSTREAM, "x0"), "e2")
-            answer = await harness.ask("e2", harness.call("next", timeout_s=60.0))
+            answer = await harness.submit("e2", harness.call("next", timeout_s=60.0))
             executor = harness.platform.executors.by_address["x0"]
             assert executor.counters.refused_full == 0
             assert answer.outcome is Outcome.DONE
@@ -221,7 +221,7 @@
             await trio.sleep(1.0)
             await harness.assign(make_ownable_id(OwnableKind.UPSTREAM, "x0"), "e2")
             started = harness.clock.now()
-            answer = await harness.ask("e1", harness.call("next"))
+            answer = await harness.submit("e1", harness.call("next"))
             assert answer.outcome is Outcome.DONE
             assert harness.clock.now() - started < 0.5
 
@@ -231,7 +231,7 @@
         async with open_harness(hosts=2, executors=1) as harness:
             ownable = make_ownable_id(OwnableKind.UPSTREAM, "x0")
             harness.hosts[HostId("e1")].ownership.may_not_act.add(ownable)
-            answer = await harness.ask("e2", harness.call(timeout_s=1.0))
+            answer = await harness.submit("e2", harness.call(timeout_s=1.0))
             assert (answer.outcome, harness.runs) == (Outcome.NOT_RUN, 0)
 
 
@@ -247,10 +247,10 @@
                 harness.settings = RequestSettings(leaving=frozenset({HostId("x0")}))
             if how == "word":
                 harness.set_faults(ExecutorFaults(leaving=True), HostId("x0"))
-                await harness.ask("e1", harness.call("hears of it"))
+                await harness.submit("e1", harness.call("hears of it"))
                 await trio.sleep(0.1)
             calls = [
-                partial(harness.ask, f"e{n % 2 + 1}", harness.call(f"r{n}")) for n in range(20)
+                partial(harness.submit, f"e{n % 2 + 1}", harness.call(f"r{n}")) for n in range(20)
             ]
             answers = await gather(*calls)
             assert {(answer.upstream, answer.reason) for answer in answers} == {("x1", "")}
@@ -261,7 +261,7 @@
         async with open_harness(executors=1) as harness:
             harness.list_state(HostId("x0"), HostState.LEAVING)
             started = harness.clock.now()
-            answer = await harness.ask("e1", harness.call())
+            answer = await harness.submit("e1", harness.call())
             assert (answer.outcome, answer.reason) == (Outcome.NOT_RUN, RequestReason.NO_UPSTREAM)
             assert harness.clock.now() == started
 
@@ -275,16 +275,16 @@
             host = harness.hosts[HostId("e1")]
             answers = {}
 
-            async def ask(name: str) -> None:
-                answers[name] = await harness.ask("e1", harness.call(name))
+            async def submit(name: str) -> None:
+                answers[name] = await harness.submit("e1", harness.call(name))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, "running")
-                nursery.start_soon(ask, "queued")
+                nursery.start_soon(submit, "running")
+                nursery.start_soon(submit, "queued")
                 await trio.sleep(0.1)
                 nursery.start_soon(host.requests.drain)
                 await trio.sleep(0.1)
-                await ask("new")
+                await submit("new")
             by_name = {name: answer.outcome for name, answer in answers.items()}
             assert by_name == {
                 "running": Outcome.DONE,
@@ -303,19 +303,19 @@
             counts: Counter[tuple[Urgency, Outcome]] = Counter()
             slowest_refusal = 0.0
 
-            async def ask(number: int) -> None:
+            async def submit(number: int) -> None:
                 nonlocal slowest_refusal
                 urgency = Urgency.URGENT if number % 5 == 0 else Urgency.NORMAL
                 call = harness.call(f"r{number}", timeout_s=2.0, urgency=urgency)
                 started = harness.clock.now()
-                answer = await harness.ask(f"e{number % 2 + 1}", call)
+                answer = await harness.submit(f"e{number % 2 + 1}", call)
                 counts[urgency, answer.outcome] += 1
                 if answer.reason is RequestReason.WOULD_MISS_DEADLINE:
                     slowest_refusal = max(slowest_refusal, harness.clock.now() - started)
 
             async with trio.open_nursery() as nursery:
                 for number in range(1_600):
-                    nursery.start_soon(ask, number)
+                    nursery.start_soon(submit, number)
                     await trio.sleep(1 / 80)
             done = counts[Urgency.URGENT, Outcome.DONE] + counts[Urgency.NORMAL, Outcome.DONE]
             assert done >= 0.9 * 40 * 20
@@ -328,7 +328,7 @@
             harness.set_faults(SLOW)
             harness.settings = RequestSettings(admission=AdmissionLimits(waiting=3))
             await trio.sleep(0.1)
-            calls = [partial(harness.ask, "e1", harness.call(f"r{n}")) for n in range(6)]
+            calls = [partial(harness.submit, "e1", harness.call(f"r{n}")) for n in range(6)]
             answers = await gather(*calls)
             assert Counter(outcomes(answers)) == {Outcome.DONE: 4, Outcome.NOT_RUN: 2}
             hints = [a.retry_after_s for a in answers if a.outcome is Outcome.NOT_RUN]
--- a/tests/test_retries_and_ejection.py
+++ b/tests/test_retries_and_ejection.py
@@ -94,7 +94,9 @@
             ),
         ],
     )
-    def test_only_what_never_left_or_is_idempotent(self, end: AttemptEnd, expected: bool) -> None:
+    def test_only_requests_not_run_or_idempotent_are_retried(
+        self, end: AttemptEnd, expected: bool
+    ) -> None:
         assert may_retry(end=end, limits=RetryLimits(), shortest_s=0.5) is expected
 
     def test_retries_stay_a_share_of_first_attempts(self) -> None:
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -80,7 +80,7 @@
         ask(owned, CLIENTS[0], 4)
         assert {permit.upstream for permit in grants(owned)} == {"staying"}
 
-    def test_connections_are_shared_out_over_entry_hosts(self) -> None:
+    def test_connections_are_divided_among_entry_hosts(self) -> None:
         owned = owner_of(upstream(slots=8, connections=6))
         ask(owned, CLIENTS[0], 4)
         assert len(grants(owned)) == 2
@@ -99,7 +99,7 @@
         owned.release(permit_id=held[2].permit_id, busy_for_s=0.0, now=0.0)
         assert len(grants(owned)) == 1
 
-    def test_one_after_the_other_they_spread_over_the_upstreams(self) -> None:
+    def test_sequential_grants_are_spread_over_the_upstreams(self) -> None:
         owned = owner_of(upstream("a"), upstream("b"), upstream("c"))
         used = []
         for _ in range(6):
@@ -109,7 +109,7 @@
             owned.release(permit_id=permit.permit_id, busy_for_s=0.0, now=0.0)
         assert sorted(used) == ["a", "a", "b", "b", "c", "c"]
 
-    def test_a_slot_that_may_still_be_busy_is_kept(self) -> None:
+    def test_a_slot_that_may_still_be_busy_stays_in_use(self) -> None:
         owned = owner_of(upstream(slots=1))
         ask(owned, CLIENTS[0], 2)
         permit = grants(owned)[0]
