--- a/src/galenastall/coordination/cell/election.py
+++ b/src/galenastall/coordination/cell/election.py
@@ -90,7 +90,7 @@
         """Whether a heartbeat arrived within `beat_silence_s`."""
         if self._heartbeat is None:
             return False
-        return now - self._heartbeat.received_at <= self._timings.beat_silence_s
+        return now - self._heartbeat.received_at <= self._timings.heartbeat_timeout_s
 
     def is_confirmed(self, now: float, longest_s: float) -> bool:
         """Whether heartbeats arrive and the store confirmed the leader within `longest_s`."""
@@ -104,7 +104,7 @@
             return False
         self._token = heartbeat.token
         self._heartbeat = heartbeat
-        if heartbeat.confirm_age_s < self._timings.confirm_doubt_s:
+        if heartbeat.confirm_age_s < self._timings.confirm_suspect_s:
             self._log_end = None
         return True
 
@@ -132,7 +132,7 @@
         After failed polls the stall is measured anew: a leader needs a moment to be confirmed after
         an outage of the store, and a claim at that moment costs it 0.7 s and all its tickets.
         """
-        if now - self._viewed_at > MAX_POLL_GAP_INTERVALS * self._timings.tip_every_s:
+        if now - self._viewed_at > MAX_POLL_GAP_INTERVALS * self._timings.log_end_poll_s:
             self._log_end = None
         self._viewed_at = now
         self._claimed_weight = claimed_weight
@@ -158,10 +158,12 @@
         if self._log_end is not None and self._is_leader_unresponsive(now):
             stalled_s = now - self._log_end_moved_at
             is_stalled = stalled_s >= self._required_stall_s
-            is_fresh = now - self._polled_at <= MAX_POLL_GAP_INTERVALS * self._timings.tip_every_s
+            is_fresh = (
+                now - self._polled_at <= MAX_POLL_GAP_INTERVALS * self._timings.log_end_poll_s
+            )
             if is_stalled and is_fresh and now >= self._not_before:
                 return ElectionAction.CLAIM
-        if now - self._polled_at >= self._timings.tip_every_s:
+        if now - self._polled_at >= self._timings.log_end_poll_s:
             self._polled_at = now
             return ElectionAction.POLL_STORE
         return ElectionAction.WAIT
@@ -172,21 +174,28 @@
         timings = self._timings
         # A host that has received no heartbeat yet cannot judge how long the leader has been
         # silent; with the shorter delay it would claim before all others.
-        silence_s = timings.tip_silence_s if self._heartbeat is not None else timings.beat_silence_s
+        silence_s = (
+            timings.log_end_stalled_s
+            if self._heartbeat is not None
+            else timings.heartbeat_timeout_s
+        )
         heaviest = self._heartbeat.heaviest if self._heartbeat is not None else self._claimed_weight
-        light_s = timings.light_delay_s if is_light(self._weight, heaviest) else 0.0
+        light_s = timings.light_host_delay_s if is_light(self._weight, heaviest) else 0.0
         return silence_s + self._jitter_s + light_s
 
     def _is_leader_suspected(self, now: float) -> bool:
         timings = self._timings
         if self._heartbeat is None:
             return True
-        if now - self._heartbeat.received_at > timings.beat_doubt_s:
+        if now - self._heartbeat.received_at > timings.heartbeat_suspect_s:
             return True
-        return self._heartbeat.confirm_age_at(now) > timings.confirm_doubt_s
+        return self._heartbeat.confirm_age_at(now) > timings.confirm_suspect_s
 
     def _is_leader_unresponsive(self, now: float) -> bool:
         timings = self._timings
-        if self._heartbeat is None or now - self._heartbeat.received_at > timings.beat_silence_s:
+        if (
+            self._heartbeat is None
+            or now - self._heartbeat.received_at > timings.heartbeat_timeout_s
+        ):
             return True
         return self._heartbeat.confirm_age_at(now) > timings.stale_confirm_s
--- a/src/galenastall/protocol/cell/executor_port.py
+++ b/src/galenastall/protocol/cell/executor_port.py
@@ -6,7 +6,7 @@
 
 from returns.result import Result
 
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.listings import Listing
 from galenastall.state.errors import StepError
 
@@ -67,7 +67,7 @@
         """Stop a run, and reject its start if that arrives later."""
 
     async def throttle(
-        self, *, address: str, order: PaceOrder, token: int, timeout_s: float
+        self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
         """Limit a run to a share of its full speed; idempotent."""
 
--- a/tests/test_entries_of_others.py
+++ b/tests/test_entries_of_others.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from returns.result import Failure, Success
 
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.platform.calls import PlatformCalls
 from galenastall.platform.config import TOPIC as OPERATOR_TOPIC
@@ -216,23 +216,23 @@
 class TestCore:
     def test_an_unusable_executor_keeps_its_runs_and_gets_no_others(self) -> None:
         info = make_info("e1")
-        harness = Rig(info)
+        harness = Harness(info)
         harness.submit(make_job(make_step(2, cores=3000)))
         orders = harness.step()
         assert len(orders) == 1
-        harness.run_all(orders)
-        harness.see(replace(info, is_usable=False))
+        harness.confirm_starts(orders)
+        harness.update_fleet(replace(info, is_usable=False))
         assert harness.runs_on("e1") == {orders[0].task}
         assert not harness.core.executors_by_id["e1"].is_open(
             now=harness.now, reach_s=10.0, delisted_grace_s=10.0
         )
 
     def test_executors_of_services_that_are_not_named_are_not_in_the_table(self) -> None:
-        harness = Rig()
+        harness = Harness()
         unnamed = replace(make_info("e2"), service="strange")
         harness.core.set_services(frozenset({"s"}))
-        harness.see(make_info("e1"), unnamed)
-        harness.see(make_info("e1"), unnamed)
+        harness.update_fleet(make_info("e1"), unnamed)
+        harness.update_fleet(make_info("e1"), unnamed)
         assert set(harness.core.executors_by_id) == {"e1"}
         notes = [n for n in harness.core.take_notes() if n.step == "executor.unnamed_service"]
         assert [note.subjects for note in notes] == [("e2",)]
