--- a/src/galenastall/node/requests/permit_owner.py
+++ b/src/galenastall/node/requests/permit_owner.py
@@ -1,4 +1,4 @@
-"""Owner's side of permits: takes asks and returns, grants, and takes over from earlier owners."""
+"""Owner side of permits: handles asks and returns, grants, and takes over from earlier owners."""
 
 from collections import defaultdict
 from collections.abc import Callable, Mapping
@@ -16,12 +16,12 @@
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.protocol.peers import PeerLink
 from galenastall.protocol.permit_messages import (
+    PermitAsks,
     PermitGrants,
     PermitLedgerAnswer,
     PermitLedgerCall,
     PermitReport,
     PermitReportCall,
-    PermitRequests,
     PermitReturn,
     PermitReturns,
 )
@@ -30,13 +30,13 @@
 from galenastall.state.upstream_tenures import TenureHistory
 
 TAKEOVER_CALL_S: Final = 0.5
-"""Wait for one answer of an earlier owner or an entry host."""
+"""Time-out of one call to an earlier owner or an entry host."""
 TAKEOVER_RETRY_S: Final = 0.5
 
 
 @dataclass(slots=True)
 class _Pending:
-    """What the next message to an entry host carries."""
+    """Contents of the next message to an entry host."""
 
     permits: list[Permit]
     refused: list[int]
@@ -60,11 +60,11 @@
         deliver: Callable[[Permit], None],
         refuse: Callable[[int], None],
         report: Callable[[PermitReportCall, HostId], PermitReport],
-        heard_leaving: Callable[[HostId], None],
+        note_leaving: Callable[[HostId], None],
     ) -> None:
-        """`deliver` and `refuse` answer this entry host's own asks, `report` is what it holds.
+        """`deliver` and `refuse` answer this entry host's asks; `report` returns its permits.
 
-        `recent_clients` gives the entry hosts that may hold permits, with the seconds for which
+        `recent_clients` returns the entry hosts that may hold permits, with the seconds for which
         they may still do so if they never answer.
         """
         self.slots = OwnedSlots(limits=limits)
@@ -80,7 +80,7 @@
         self._deliver = deliver
         self._refuse = refuse
         self._report = report
-        self._heard_leaving = heard_leaving
+        self._note_leaving = note_leaving
         self._hosts_by_id: dict[HostId, ListedHost] = {}
         self._epochs_by_id: dict[HostId, Epoch] = {}
         self._ownables_by_id: dict[HostId, OwnableId] = {}
@@ -89,31 +89,31 @@
         )
         self._flush = trio.Event()
         self._takeovers: list[tuple[HostId, Epoch]] = []
-        self._work = trio.Event()
-        self.asked = trio.Event()
-        """Set by asks, here and from peers; ends a long pause between ticks."""
+        self._takeover_queued = trio.Event()
+        self.ask_received = trio.Event()
+        """Set by local and remote asks; ends a long pause between ticks."""
         self.expired = 0
-        """Permits that were never given back."""
+        """Permits that expired without being released."""
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
-        peers.handle(PermitRequests, self._on_asks)
+        peers.handle(PermitAsks, self._on_asks)
         peers.handle(PermitReturns, self._on_returns)
         peers.handle(PermitLedgerCall, self._on_ledger_call)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Send batches and carry out takeovers until cancelled."""
+        """Send batches and perform takeovers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_batches)
             task_status.started()
             while True:
-                await self._work.wait()
-                self._work = trio.Event()
+                await self._takeover_queued.wait()
+                self._takeover_queued = trio.Event()
                 takeovers, self._takeovers = self._takeovers, []
                 for upstream, epoch in takeovers:
                     nursery.start_soon(self._take_over, upstream, epoch)
 
     def set_hosts(self, hosts_by_id: Mapping[HostId, ListedHost]) -> None:
-        """Take in the upstreams as listed; opens those that were activated before being listed."""
+        """Apply the listed upstreams; opens those that were activated before they were listed."""
         self._hosts_by_id = dict(hosts_by_id)
         self.slots.clients = max(1, len(self._ownership.roster()))
         for upstream, epoch in list(self._epochs_by_id.items()):
@@ -126,18 +126,18 @@
                 self._open(upstream, epoch)
 
     def tick(self) -> None:
-        """Free what expired, refresh who leaves, and grant."""
+        """Free expired slots, update which upstreams are leaving, and grant."""
         self.expired += self.slots.expire(now=self._clock.now())
         for upstream in self.slots.upstreams():
             self.slots.set_leaving(upstream, self._is_leaving(upstream))
         self.grant()
 
-    def ask(self, *, client: HostId, asks: PermitRequests) -> None:
-        """Queue an entry host's asks, or refuse them if nothing here may be granted.
+    def ask(self, *, client: HostId, asks: PermitAsks) -> None:
+        """Queue an entry host's asks, or refuse them if no slot may be granted here.
 
-        Call `grant` after.
+        Call `grant` afterwards.
         """
-        self.asked.set()
+        self.ask_received.set()
         now = self._clock.now()
         can_grant = self.load()[0] > 0
         for ask in asks.asks:
@@ -148,7 +148,7 @@
                 self._refuse_ask(client, ask.ask_id)
 
     def grant(self) -> None:
-        """Grant what is free; this entry host's own permits are delivered at once."""
+        """Grant free slots; this entry host's own permits are delivered at once."""
         now = self._clock.now()
         granted = self.slots.grant(now=now, may_act=self._may_act, allowed=self._allowance())
         for client, permit in granted:
@@ -158,25 +158,25 @@
             self._pending_by_client[client].permits.append(permit)
             self._flush.set()
 
-    def take_return(self, returned: PermitReturn) -> bool:
-        """Free a slot and learn from it; False if the upstream is not open here."""
+    def apply_return(self, returned: PermitReturn) -> bool:
+        """Free a slot and update ejection; return False if the upstream is not open here."""
         upstream = returned.upstream
         if not self.slots.is_open(upstream):
             return False
         now = self._clock.now()
-        self.slots.give_back(permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now)
+        self.slots.release(permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now)
         if returned.leaving:
-            self._heard_leaving(upstream)
+            self._note_leaving(upstream)
             self.slots.set_leaving(upstream, True)
-        self._judge(returned, now)
+        self._update_ejection(returned, now)
         return True
 
     def load(self) -> tuple[int, int, int]:
-        """Return slots that may be granted, slots in use and asks waiting."""
+        """Return the grantable slots, the slots in use and the number of waiting asks."""
         slots, in_use = self.slots.totals(allowed=self._allowance())
         return slots, in_use, self.slots.waiting
 
-    def _judge(self, returned: PermitReturn, now: float) -> None:
+    def _update_ejection(self, returned: PermitReturn, now: float) -> None:
         if returned.outcome is None:
             return
         if returned.is_fault:
@@ -196,7 +196,7 @@
         return self._ownership.may_act(self._ownables_by_id[upstream])
 
     def _allowance(self) -> AllowedSlots:
-        """Return how many slots of an upstream may be used now; no work while none is ejected."""
+        """Return the slot limits from ejection; costs nothing while no upstream is limited."""
         if not self.ejection.limits_any():
             return all_slots
         now = self._clock.now()
@@ -226,7 +226,7 @@
                 self._refuse_ask(client, ask_id)
 
     def _refuse_ask(self, client: HostId, ask_id: int) -> None:
-        """Tell the asker at once, so that it asks another owner instead of waiting."""
+        """Notify the entry host at once, so that it asks another owner instead of waiting."""
         if client == self._me:
             self._refuse(ask_id)
             return
@@ -242,36 +242,36 @@
         self.slots.open(
             upstream=_owned_upstream(listed),
             epoch=epoch,
-            silent=() if is_first else (self._me,),
+            unreported=() if is_first else (self._me,),
             now=self._clock.now(),
         )
         self.slots.set_leaving(upstream, self._is_leaving(upstream))
         self.ejection.add(upstream)
         if not is_first:
             self._takeovers.append((upstream, epoch))
-            self._work.set()
+            self._takeover_queued.set()
 
     async def _take_over(self, upstream: HostId, epoch: Epoch) -> None:
-        """Learn what earlier owners granted: from the last one's ledger, else from everyone."""
-        if await self._take_ledger(upstream, epoch):
+        """Collect earlier owners' grants, from the last owner's ledger or else all entry hosts."""
+        if await self._request_ledger(upstream, epoch):
             self._events.record("permits.took_over", peer=upstream, cause="ledger")
             self.grant()
             return
-        silent = dict(self._recent_clients())
+        unreported = dict(self._recent_clients())
         now = self._clock.now()
-        self.slots.expect(upstream=upstream, epoch=epoch, silent=silent, now=now)
+        self.slots.expect_reports(upstream=upstream, epoch=epoch, unreported=unreported, now=now)
         self._events.record("permits.took_over", peer=upstream, cause="reports")
         while self._epochs_by_id.get(upstream) == epoch:
-            waiting = self.slots.silent(upstream)
+            waiting = self.slots.unreported(upstream)
             if not waiting:
                 break
             async with trio.open_nursery() as nursery:
                 for client in waiting:
-                    nursery.start_soon(self._take_report, upstream, epoch, client)
+                    nursery.start_soon(self._request_report, upstream, epoch, client)
             self.grant()
             await trio.sleep(TAKEOVER_RETRY_S)
 
-    async def _take_ledger(self, upstream: HostId, epoch: Epoch) -> bool:
+    async def _request_ledger(self, upstream: HostId, epoch: Epoch) -> bool:
         ownable = self._ownables_by_id[upstream]
         last = self._tenures.previous_owner(ownable=ownable, epoch=epoch)
         if last is None:
@@ -288,19 +288,22 @@
         self.slots.take_over(upstream=upstream, epoch=epoch, ledger=ledger, now=now)
         return True
 
-    async def _take_report(self, upstream: HostId, epoch: Epoch, client: HostId) -> None:
+    async def _request_report(self, upstream: HostId, epoch: Epoch, client: HostId) -> None:
         call = PermitReportCall(upstream=upstream, epoch=epoch)
         if client == self._me:
-            self.take_report(upstream, epoch, client, self._report(call, client))
+            self.apply_report(upstream, epoch, client, self._report(call, client))
             return
         answer = await self._peers.call(peer=client, message=call, timeout_s=TAKEOVER_CALL_S)
         if isinstance(answer, Success):
-            self.take_report(upstream, epoch, client, answer.unwrap())
+            self.apply_report(upstream, epoch, client, answer.unwrap())
 
-    def take_report(
+    def apply_report(
         self, upstream: HostId, epoch: Epoch, client: HostId, report: PermitReport
     ) -> None:
-        """Count what an entry host holds; a young process's earlier life stays waited for."""
+        """Count an entry host's permits; if it started recently, keep waiting for expiry.
+
+        Its previous incarnation may hold permits that the new process does not know of.
+        """
         if report.alive_s < self.slots.limits.takeover_s:
             return
         self.slots.report(
@@ -311,15 +314,15 @@
             now=self._clock.now(),
         )
 
-    async def _on_asks(self, sender: HostId, asks: PermitRequests) -> None:
+    async def _on_asks(self, sender: HostId, asks: PermitAsks) -> None:
         self.ask(client=sender, asks=asks)
         self.grant()
 
     async def _on_returns(self, sender: HostId, message: PermitReturns) -> None:
-        elsewhere = [one for one in message.returns if not self.take_return(one)]
+        not_open = [one for one in message.returns if not self.apply_return(one)]
         now = self._clock.now()
-        for returned in elsewhere:
-            self.slots.give_back(
+        for returned in not_open:
+            self.slots.release(
                 permit_id=returned.permit_id, busy_for_s=returned.busy_for_s, now=now
             )
             owner = self._ownership.owner_of(
@@ -336,7 +339,7 @@
         return PermitLedgerAnswer(ledger=ledger)
 
     async def _send_batches(self) -> None:
-        """Send what gathered while the loop was busy: batches grow with load by themselves."""
+        """Send what accumulated while the event loop was busy, so batches grow with load."""
         while True:
             await self._flush.wait()
             self._flush = trio.Event()
--- a/src/galenastall/protocol/permit_messages.py
+++ b/src/galenastall/protocol/permit_messages.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PermitRequest:
+class PermitAsk:
     """One permit wanted, of any upstream of the owner."""
 
     ask_id: int
@@ -25,10 +25,10 @@
 
 @PEER_MESSAGES.register("permit_asks")
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PermitRequests:
+class PermitAsks:
     """Many asks at once."""
 
-    asks: tuple[PermitRequest, ...]
+    asks: tuple[PermitAsk, ...]
 
 
 @PEER_MESSAGES.register("permit_grants")
--- a/tests/test_load_shed.py
+++ b/tests/test_load_shed.py
@@ -1,4 +1,4 @@
-"""Refusals for the event loop's sake: when they begin, whom they spare, and when they end."""
+"""Load shedding by event loop lateness: when it begins, which requests it spares, when it ends."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def shedder_after(*, late_s: float, seconds: float) -> LoadShedder:
-    """Return a shedder that saw one lateness for some seconds."""
+    """Return a shedder that measured a constant lateness for some seconds."""
     shedder = LoadShedder()
     for _ in range(round(seconds / 0.01)):
         shedder.note(late_s=late_s, span_s=0.01)
@@ -20,7 +20,7 @@
 
 
 def refused_of(shedder: LoadShedder, *, urgent: bool, count: int = 1_000) -> int:
-    """Return how many of some requests are refused."""
+    """Return how many of `count` requests are refused."""
     return sum(shedder.refuses(urgent=urgent, open_requests=1) for _ in range(count))
 
 
@@ -35,15 +35,15 @@
             shedder.note(late_s=20.0, span_s=20.0)
         assert refused_of(shedder, urgent=False) == 0
 
-    def test_a_standing_queue_is_refused_up_to_the_bound_and_evenly(self) -> None:
+    def test_sustained_lateness_is_refused_evenly_up_to_the_bound(self) -> None:
         shedder = shedder_after(late_s=0.05, seconds=10)
         assert refused_of(shedder, urgent=False) == pytest.approx(950, abs=1)
 
-    def test_urgent_ones_are_spared_until_nothing_else_helps(self) -> None:
+    def test_urgent_requests_are_spared_until_the_share_is_high(self) -> None:
         assert refused_of(shedder_after(late_s=0.05, seconds=0.3), urgent=True) == 0
         assert 400 < refused_of(shedder_after(late_s=0.05, seconds=10), urgent=True) < 500
 
-    def test_all_is_taken_again_once_the_loop_keeps_up(self) -> None:
+    def test_all_requests_are_accepted_again_once_the_loop_keeps_up(self) -> None:
         shedder = shedder_after(late_s=0.05, seconds=10)
         for _ in range(300):
             shedder.note(late_s=0.0, span_s=0.01)
@@ -56,18 +56,18 @@
 
 
 def scope_of(path: bytes, headers: list[tuple[bytes, bytes]]) -> dict[str, Any]:
-    """Return an ASGI scope as far as the guard looks at it."""
+    """Return the part of an ASGI scope that the guard reads."""
     return {"method": "POST", "raw_path": path, "headers": headers}
 
 
 class TestLoadGuard:
     def guard(self) -> tuple[LoadGuard, RequestCounters]:
-        """Return a guard that refuses whatever it may."""
+        """Return a guard that refuses every request it may, as no open request is allowed."""
         counters = RequestCounters()
         shedder = LoadShedder(limits=ShedLimits(open_requests=0))
         return LoadGuard(clock=TrioClock(), counters=counters, shedder=shedder), counters
 
-    async def test_a_refusal_says_not_run_and_when_to_come_back(self) -> None:
+    async def test_a_refusal_returns_not_run_and_a_retry_time(self) -> None:
         guard, counters = self.guard()
         scope = scope_of(b"/v1/requests/find", [(b"galenastall-request-id", b"r7")])
         refusal = guard.check(scope, 1)
