--- a/src/galenastall/protocol/addresses.py
+++ b/src/galenastall/protocol/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses as settings give them: IP number and port, never a host name.
+"""Addresses in settings: IP address and port, never a host name.
 
-Host names would make the start of a process depend on a resolver that may be cut off.
+With host names, the start of a process would depend on a resolver that may be unreachable.
 """
 
 import ipaddress
@@ -21,11 +21,11 @@
     try:
         return str(ipaddress.IPv4Address(ip)), int(port)
     except ValueError:
-        raise ValueError(f"must start with an IP number, not a host name: {ip!r}") from None
+        raise ValueError(f"must start with an IP address, not a host name: {ip!r}") from None
 
 
 def is_wildcard(address: str) -> bool:
-    """Return whether the address stands for all interfaces."""
+    """Return whether the address covers all interfaces."""
     return ipaddress.ip_address(split_address(address)[0]).is_unspecified
 
 
@@ -37,11 +37,11 @@
 def _check_reachable(address: str) -> str:
     _, port = split_address(address)
     if port == 0 or is_wildcard(address):
-        raise ValueError("must be one address that others can connect to, with a port above 0")
+        raise ValueError("must be a single address that others can connect to, with a port above 0")
     return address
 
 
 BindAddress = Annotated[str, AfterValidator(_check_bind)]
-"""`IP:port` to listen on; port 0 lets the system choose."""
+"""`IP:port` to listen on; with port 0 the operating system chooses one."""
 ReachableAddress = Annotated[str, AfterValidator(_check_reachable)]
 """`IP:port` that another process can connect to."""
--- a/src/galenastall/protocol/amount_rows.py
+++ b/src/galenastall/protocol/amount_rows.py
@@ -1,4 +1,4 @@
-"""Amounts and summaries as rows on the wire, without field names, since beats carry many."""
+"""Amounts and summaries as wire rows without field names, since heartbeats carry many."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 class LargestAmountRow(msgspec.Struct, frozen=True, array_like=True):
-    """One hole: the resource in which it is the largest, and the room."""
+    """The largest free amount by one resource: that resource, and the amount."""
 
     by: str
     free: AmountRow
@@ -35,7 +35,7 @@
 
 
 def pack_amount(amount: Resources) -> AmountRow:
-    """Return the amount as a row."""
+    """Return an amount as a row."""
     return AmountRow(amount.cores_milli, amount.memory_mb, amount.accelerators)
 
 
@@ -47,7 +47,7 @@
 
 
 def pack_summary(summary: CapacitySummary) -> SummaryRow:
-    """Return the summary as a row."""
+    """Return a summary as a row."""
     return SummaryRow(
         summary.workers,
         pack_amount(summary.capacity),
--- a/src/galenastall/protocol/codec.py
+++ b/src/galenastall/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Codec of peer messages (msgpack) and log records (JSON), both by msgspec."""
+"""Codec of peer messages (msgpack) and log records (JSON), both based on msgspec."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -37,7 +37,7 @@
 
 
 def decode_message(name: str, body: bytes, *, peer: str) -> Result[Any, StepError]:
-    """Return the typed message, or INVALID naming the peer and the field at fault."""
+    """Return the typed message, or an INVALID error that names the peer and the invalid field."""
     if name not in PEER_MESSAGES:
         return Failure(_invalid("codec.decode_message", peer, f"unknown message {name!r}"))
     try:
@@ -56,7 +56,7 @@
 def decode_record(
     text: str, *, stream: StreamName, offset: Offset
 ) -> Result[LoggedRecord, StepError]:
-    """Return the typed record; a type that this version lacks becomes UnknownRecord."""
+    """Return the typed record; a type unknown to this version becomes UnknownRecord."""
     peer = f"{stream}@{offset}"
     try:
         envelope = msgspec.json.decode(text, type=_RecordEnvelope)
--- a/src/galenastall/protocol/event_sink.py
+++ b/src/galenastall/protocol/event_sink.py
@@ -1,14 +1,14 @@
-"""Where components report events of the time line; the process's ring implements it."""
+"""Interface to which components report time line events; the process's ring implements it."""
 
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
 
 class EventSink(Protocol):
-    """Takes events; stamps them with process and hybrid time.
+    """Accepts events and stamps them with process and hybrid time.
 
-    The methods do nothing of themselves, for a sink that keeps nothing; they return in so many
-    words, as a type checker takes an empty method of an interface for one to be overridden.
+    By default the methods do nothing, for a sink that drops events. They return explicitly, because
+    a type checker treats an empty method of a protocol as abstract.
     """
 
     def record(
@@ -32,9 +32,9 @@
         cause: str = "",
         fields: dict[str, str] | None = None,
     ) -> None:
-        """Keep one step of a single request, if its details are kept; `fields` is not copied."""
+        """Keep one step of a single request, if its details are sampled; `fields` is not copied."""
         return
 
 
 class NullEventSink(EventSink):
-    """Drops all events, for tools and tests that do not look at them."""
+    """Drops all events, for tools and tests that do not need them."""
--- a/src/galenastall/protocol/job_messages.py
+++ b/src/galenastall/protocol/job_messages.py
@@ -1,4 +1,4 @@
-"""Peer messages of jobs: between shard owners, worker owners and the hosts that callers reach."""
+"""Peer messages of jobs between shard owners, worker owners and the hosts that take calls."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardEpoch:
-    """A shard that the sender owns, and under which epoch."""
+    """A shard that the sender owns, with its epoch."""
 
     shard: int
     epoch: Epoch
@@ -22,10 +22,10 @@
 @PEER_MESSAGES.register("job_beat")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobHeartbeat:
-    """One-way, to every entry host of the data centre at each beat.
+    """One-way, sent to every entry host of the data centre at each heartbeat.
 
-    Keeps assignments valid, tells the capacity of the sender's workers, and which workers of others
-    it renews leases on.
+    Keeps assignments valid, reports the capacity of the sender's workers, and lists the workers of
+    other owners whose leases it renews.
     """
 
     incarnation: str
@@ -35,13 +35,13 @@
     summary: SummaryRow
     renewing: tuple[HostId, ...] = ()
     reserved_by_team: dict[TeamPath, AmountRow] = field(default_factory=dict)
-    """Some of the teams, in turn."""
+    """Some of the teams, in rotation."""
 
 
 @PEER_MESSAGES.register("task_assign")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskAssign:
-    """Queue these tasks; sent again until answered, and taken once."""
+    """Queue these tasks; resent until answered, and accepted only once."""
 
     shard: int
     epoch: Epoch
@@ -52,7 +52,7 @@
 @PEER_MESSAGES.register("task_stop")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskStop:
-    """Unqueue, release or stop these attempts; what became of them follows in reports."""
+    """Dequeue, release or stop these attempts; their outcomes follow in reports."""
 
     shard: int
     epoch: Epoch
@@ -62,7 +62,7 @@
 @PEER_MESSAGES.register("task_recall")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskRecall:
-    """Give back these tasks if they are still queued."""
+    """Return these tasks to the shard owner if they are still queued."""
 
     shard: int
     epoch: Epoch
@@ -72,29 +72,29 @@
 @PEER_MESSAGES.register("job_word")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobReply:
-    """Answer: whether the message was accepted, and if not why."""
+    """Reply that tells whether the message was accepted, and if not, why."""
 
     ok: bool
     detail: str = ""
     refused: tuple[TaskId, ...] = ()
-    """Of an assignment: tasks that were not taken although the rest was."""
+    """Of an assignment: tasks that were rejected while the rest was accepted."""
 
 
 @PEER_MESSAGES.register("task_events")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskEvents:
-    """The latest word on tasks of one shard."""
+    """The latest status reports on tasks of one shard."""
 
     shard: int
     reports: tuple[ReportRow, ...]
     summary: SummaryRow
-    """Fresh with each batch, so that freed room is used before the next beat."""
+    """Current with each batch, so that freed capacity is used before the next heartbeat."""
 
 
 @PEER_MESSAGES.register("task_events_answer")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskEventsAnswer:
-    """Positions in the batch of the reports that need not be kept or repeated."""
+    """Positions in the batch of reports that need not be kept or resent."""
 
     settled: tuple[int, ...]
 
@@ -102,7 +102,7 @@
 @PEER_MESSAGES.register("tasks_settled")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TasksSettled:
-    """One-way: the ends of these attempts are durable; workers may forget them."""
+    """One-way: the ends of these attempts are durable; workers may discard them."""
 
     shard: int
     tasks: tuple[TaskAttempt, ...]
@@ -111,9 +111,9 @@
 @PEER_MESSAGES.register("shard_recover")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardRecover:
-    """Say all that you have of this shard; answered by ShardCensus.
+    """Requests all that the receiver has of this shard; answered by ShardCensus.
 
-    Under a higher epoch than before, queued tasks of the shard are dropped first.
+    If the epoch is higher than before, queued tasks of the shard are dropped first.
     """
 
     shard: int
@@ -130,13 +130,13 @@
     """False if a later epoch of the shard is known; the rest is empty then."""
     reports: tuple[ReportRow, ...] = ()
     workers: tuple[HostId, ...] = ()
-    """Owned workers that were listed, or whose leases provably lapsed, since they are owned."""
+    """Owned workers that were listed, or whose leases provably expired, since they are owned."""
 
 
 @PEER_MESSAGES.register("gang_hold")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GangHold:
-    """Hold capacity for all of these tasks until a time, or for none."""
+    """Hold capacity for all of these tasks until `until`, or for none of them."""
 
     shard: int
     epoch: Epoch
@@ -148,7 +148,7 @@
 @PEER_MESSAGES.register("gang_start")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GangStart:
-    """Start what is held under this key; sent again until answered, and taken once."""
+    """Start the tasks held under this key; resent until answered, and accepted only once."""
 
     shard: int
     epoch: Epoch
@@ -158,7 +158,7 @@
 @PEER_MESSAGES.register("gang_release")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GangRelease:
-    """One-way: free what is held under this key, if it was not started."""
+    """One-way: release the capacity held under this key, unless its tasks were started."""
 
     shard: int
     key: str
@@ -167,7 +167,7 @@
 @PEER_MESSAGES.register("job_hold")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobHold:
-    """Keep a job that the log can't take now, and log it when the log is back."""
+    """Hold a job that can't be logged now, and log it when the log is available again."""
 
     spec: JobSpec
 
@@ -175,7 +175,7 @@
 @PEER_MESSAGES.register("job_cancel")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobCancel:
-    """Cancel a job of a shard that you own; answered by JobCancelAnswer."""
+    """Cancel a job of a shard that the receiver owns; answered by JobCancelAnswer."""
 
     job_id: JobId
 
@@ -183,7 +183,7 @@
 @PEER_MESSAGES.register("job_cancel_answer")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobCancelAnswer:
-    """What a cancellation found; None if the job is not live there."""
+    """Result of a cancellation; None if the job is not live there."""
 
     counts: CancelCounts | None
 
@@ -191,17 +191,17 @@
 @PEER_MESSAGES.register("job_ask")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobQuery:
-    """How does a job of a shard that you own stand? Answered by JobView."""
+    """Requests the state of a job of a shard that the receiver owns; answered by JobView."""
 
     job_id: JobId
     first: int = 0
     count: int = 0
-    """How many tasks to tell of, from `first` on."""
+    """Number of tasks to return, from `first` on."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskView:
-    """Where one task stands."""
+    """State of one task."""
 
     task_id: TaskId
     phase: TaskPhase
@@ -214,7 +214,7 @@
 @PEER_MESSAGES.register("job_view")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobView:
-    """Where a job stands; `is_known` is False if the shard's owner doesn't have it."""
+    """State of a job; `is_known` is False if the shard's owner doesn't know it."""
 
     is_known: bool
     counts: dict[str, int]
@@ -227,7 +227,7 @@
 @PEER_MESSAGES.register("task_explain")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskExplain:
-    """Say in sentences where a task of yours is or why it waits; answered by TaskExplained."""
+    """Requests an explanation of where a task is or why it waits; answered by TaskExplained."""
 
     task_id: TaskId
 
@@ -243,17 +243,17 @@
 @PEER_MESSAGES.register("starts_left_call")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PendingStartsQuery:
-    """A worker's new owner asks the last one; answered by PendingStarts."""
+    """Query of a worker's new owner to the previous one; answered by PendingStarts."""
 
     worker_id: HostId
     epoch: Epoch
-    """Of the last owner."""
+    """Of the previous owner."""
 
 
 @PEER_MESSAGES.register("starts_left")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PendingStarts:
-    """For how long starts sent up to that epoch may still take effect."""
+    """How long starts sent up to that epoch may still take effect."""
 
     left_s: float | None
-    """None if this process can't tell."""
+    """In seconds; None if this process doesn't know."""
--- a/src/galenastall/protocol/key_messages.py
+++ b/src/galenastall/protocol/key_messages.py
@@ -1,4 +1,4 @@
-"""Peer messages about idempotency keys: reserving, ending, holding in an outage, reading back."""
+"""Peer messages of idempotency keys: reserve, end, hold in a log outage, read back."""
 
 from dataclasses import dataclass
 
@@ -11,15 +11,15 @@
 @PEER_MESSAGES.register("key_reserve")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyReserve:
-    """Take a key for a request; answered once the intent is durable."""
+    """Reserve a key for a request; answered once the intent is durable."""
 
     key: str
     digest: str
     request_id: RequestId
     made_at: float
-    """Wall time in seconds that the key carries."""
+    """Wall time in seconds at which the key was made, as encoded in it."""
     ends_at: float
-    """Wall time in seconds by which the request is over."""
+    """Wall time in seconds by which the request ends."""
 
 
 @PEER_MESSAGES.register("key_reserved")
@@ -41,13 +41,13 @@
 @PEER_MESSAGES.register("key_noted")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyEndAck:
-    """The owner took in a request's end."""
+    """The owner recorded the end of a request."""
 
 
 @PEER_MESSAGES.register("key_hold")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyHold:
-    """The owner of a shard asks to hold entries while the log is down."""
+    """The owner of a shard requests that entries be held while the log is down."""
 
     shard: str
     epoch: Epoch
@@ -65,30 +65,30 @@
 @PEER_MESSAGES.register("key_read")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyRead:
-    """A new owner reads back what is held; earlier owners are refused from then on."""
+    """A new owner reads back the held entries; earlier owners are rejected from then on."""
 
     shard: str
     epoch: Epoch
     serving: Epoch | None
-    """Of the owner that served last; None if none did."""
+    """Epoch of the owner that served last; None if there was none."""
 
 
 @PEER_MESSAGES.register("key_read_answer")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyReadAnswer:
-    """What is held."""
+    """The held entries."""
 
     is_holder: bool
-    """Whether this process holds for the new owner from now on."""
+    """Whether this process holds entries for the new owner from now on."""
     was_holder: bool
-    """Whether it held for the owner that served last, all the time since."""
+    """Whether it has held entries for the last serving owner without interruption."""
     entries: tuple[KeyEntry, ...]
 
 
 @PEER_MESSAGES.register("key_answer_fetch")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyAnswerFetch:
-    """Ask the entry host that ran a key's request for its answer."""
+    """Requests the response from the entry host that ran a key's request."""
 
     key: str
     request_id: RequestId
@@ -97,7 +97,7 @@
 @PEER_MESSAGES.register("key_answer_kept")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyAnswerKept:
-    """The answer, if it is still kept."""
+    """The response, if it is still cached."""
 
     found: bool
     content_type: str = ""
--- a/src/galenastall/protocol/listing_changes.py
+++ b/src/galenastall/protocol/listing_changes.py
@@ -1,7 +1,7 @@
-"""What changed between two listings of one worker, and a listing put together from that.
+"""Incremental worker listings: computes the changes between two listings and applies them.
 
-A listing repeats the specification of every task, some 400 bytes each; an owner that polls needs
-only what is new. The core goes on to see whole listings.
+A listing repeats the specification of every task, some 400 bytes each, while an owner that polls
+needs only the changes. The core still receives complete listings.
 """
 
 from dataclasses import replace
@@ -13,9 +13,9 @@
 
 
 def changes_since(base: WorkerListing, listing: WorkerListing) -> WorkerListing:
-    """Return an answer that says what makes `listing` of `base`; all of it if that is not exact.
+    """Return the changes from `base` to `listing`, or all of `listing` if they would be ambiguous.
 
-    Rows are told apart by task: a worker that runs one task twice lists everything.
+    Rows are identified by task, so a worker that runs a task twice lists everything.
     """
     known, running = _by_task(base), _by_task(listing)
     if known is None or running is None:
@@ -40,7 +40,7 @@
 
 
 def apply_changes(base: WorkerListing, answer: WorkerListing) -> WorkerListing | None:
-    """Return the whole listing that an answer stands for; None if it does not build on `base`."""
+    """Return the complete listing of an answer; None if it is not based on `base`."""
     if not answer.base:
         return answer
     known = _by_task(base)
@@ -67,7 +67,7 @@
 
 
 def _with_measurements(row: RunningTask, lease_until: float, used: Resources) -> RunningTask:
-    """Return the row with other measures; `replace` takes several times as long."""
+    """Return the row with other measurements; `replace` takes several times as long."""
     return RunningTask(
         task=row.task,
         reserved=row.reserved,
--- a/src/galenastall/protocol/log_access.py
+++ b/src/galenastall/protocol/log_access.py
@@ -1,4 +1,4 @@
-"""What drivers may ask of the log's local side: append with group commit, follow with folds."""
+"""Local interface to the log for drivers: append with group commit, follow with folds."""
 
 from typing import Any, Protocol
 
@@ -10,15 +10,15 @@
 
 
 class LogAppender(Protocol):
-    """Group commit of records under the fleet's append budget."""
+    """Group commit of records within the fleet's append budget."""
 
     async def append(
         self, *, stream: StreamName, record: Any, record_id: RecordId | None = None
     ) -> Result[Offset, StepError]:
-        """Return the record's offset once it was read back.
+        """Return the record's offset once the record was read back.
 
-        A lost answer is resolved by record id from the followed stream. UNAVAILABLE: the log is
-        down and the record was not appended. TIMEOUT: it may have been appended.
+        After a lost answer, the record id is looked up in the followed stream. UNAVAILABLE: the
+        log is down and the record was not appended. TIMEOUT: it may have been appended.
         """
 
     @property
@@ -27,11 +27,11 @@
 
 
 class StreamFollower(Protocol):
-    """One stream of the log, followed by long poll and fed to folds in offset order."""
+    """One stream of the log, followed by long polling and fed to folds in offset order."""
 
     @property
     def stream(self) -> StreamName:
-        """The stream followed."""
+        """The stream that is followed."""
 
     @property
     def next_offset(self) -> Offset:
@@ -39,7 +39,7 @@
 
     @property
     def log_end_read_at(self) -> float | None:
-        """Runtime time at which the last read that reached the tip was SENT; None if never."""
+        """Runtime time at which the last read that reached the log end was SENT; None if never."""
 
     def subscribe(self, fold: RecordFold) -> None:
         """Feed every further record to `fold`; subscribe before `run`."""
@@ -48,4 +48,4 @@
         """Return once the record at `offset` has been folded."""
 
     async def catch_up(self) -> Result[None, StepError]:
-        """Return once everything is folded that the log holds now, or why that is not known."""
+        """Return once all records now in the log are folded, or an error if that is not known."""
--- a/src/galenastall/protocol/ownership_messages.py
+++ b/src/galenastall/protocol/ownership_messages.py
@@ -1,4 +1,4 @@
-"""Files the messages of ownership under their wire names."""
+"""Registers the ownership messages under their wire names."""
 
 from galenastall.coordination.ownership.ownership_messages import (
     Fence,
--- a/src/galenastall/protocol/ownership_view.py
+++ b/src/galenastall/protocol/ownership_view.py
@@ -1,4 +1,4 @@
-"""What drivers may ask about ownership."""
+"""Read interface of ownership for drivers."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -12,20 +12,20 @@
     def may_act(self, ownable: OwnableId) -> Epoch | None:
         """Return the epoch under which this entry host may act on `ownable` now, else None.
 
-        Ask at the last moment, after any await, right before the bytes leave.
+        Call it after any await, immediately before the bytes are sent.
         """
 
     def owner_of(self, ownable: OwnableId) -> HostId | None:
-        """Return the owner according to the log as far as it was read."""
+        """Return the owner according to the part of the log read so far."""
 
     def owned(self) -> frozenset[OwnableId]:
-        """Return what this entry host has activated and not lost."""
+        """Return the ownables that this entry host has activated and not lost."""
 
     def roster(self) -> frozenset[HostId]:
         """Return the live members of this data centre's roster, this one included."""
 
     def on_activated(self, callback: Callable[[OwnableId, Epoch], None]) -> None:
-        """Call back, on the loop, whenever this entry host becomes the owner of something."""
+        """Call `callback` on the event loop whenever this entry host becomes an owner."""
 
     def on_lost(self, callback: Callable[[OwnableId], None]) -> None:
-        """Call back, on the loop, whenever this entry host stops being an owner."""
+        """Call `callback` on the event loop whenever this entry host stops being an owner."""
--- a/src/galenastall/protocol/permit_messages.py
+++ b/src/galenastall/protocol/permit_messages.py
@@ -1,7 +1,7 @@
-"""Peer messages by which entry hosts ask for permits, grant them and give them back.
+"""Peer messages by which entry hosts ask for permits, grant them and return them.
 
-Asks, grants and returns are one-way and batched: a lost one costs a wait that ends by itself, never
-a slot used twice.
+Asks, grants and returns are one-way and batched. A lost one only causes a wait that ends by
+time-out, never a slot used twice.
 """
 
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitAsk:
-    """One permit wanted, of any upstream of the owner."""
+    """Asks for one permit of any of the owner's upstreams."""
 
     ask_id: int
     urgency: Urgency
     avoid: tuple[HostId, ...] = ()
-    """Upstreams tried before."""
+    """Upstreams that were tried before."""
 
 
 @PEER_MESSAGES.register("permit_asks")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitAsks:
-    """Many asks at once."""
+    """A batch of asks."""
 
     asks: tuple[PermitAsk, ...]
 
@@ -34,7 +34,7 @@
 @PEER_MESSAGES.register("permit_grants")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitGrants:
-    """Permits, asks not taken, and the owner's load, which saves a message of its own."""
+    """Permits, refused asks and the owner's load, which needs no separate message this way."""
 
     permits: tuple[Permit, ...] = ()
     refused: tuple[int, ...] = ()
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitReturn:
-    """A permit given back with what the request saw of the upstream."""
+    """A returned permit with the request's observations of the upstream."""
 
     permit_id: str
     upstream: HostId
@@ -55,25 +55,25 @@
     busy_for_s: float = 0.0
     """Seconds for which the upstream may still be busy with the request."""
     is_fault: bool = False
-    """The upstream could not be reached, failed by itself, or gave no whole answer."""
+    """The upstream was unreachable, failed on its own, or sent no complete response."""
     leaving: bool = False
-    """The upstream said that it is leaving."""
+    """The upstream reported that it is leaving."""
 
 
 @PEER_MESSAGES.register("permit_returns")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitReturns:
-    """Many returns at once."""
+    """A batch of returns."""
 
     returns: tuple[PermitReturn, ...]
     forwarded: bool = False
-    """Sent on by a former owner; not to be sent on again."""
+    """Forwarded by a former owner; must not be forwarded again."""
 
 
 @PEER_MESSAGES.register("permit_ledger_call")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitLedgerCall:
-    """A new owner asks the last one what is out."""
+    """A new owner queries the previous one for its outstanding permits."""
 
     upstream: HostId
     epoch: Epoch
@@ -83,7 +83,7 @@
 @PEER_MESSAGES.register("permit_ledger_answer")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitLedgerAnswer:
-    """The last owner's ledger; None if this process has none."""
+    """The previous owner's ledger; None if this process has none."""
 
     ledger: PermitLedger | None
 
@@ -91,7 +91,7 @@
 @PEER_MESSAGES.register("permit_report_call")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitReportCall:
-    """A new owner asks an entry host what it holds; earlier owners' grants are void from then."""
+    """A new owner queries the permits of an entry host; earlier owners' grants are void then."""
 
     upstream: HostId
     epoch: Epoch
@@ -100,8 +100,8 @@
 @PEER_MESSAGES.register("permit_report")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitReport:
-    """What an entry host holds of an upstream."""
+    """The permits that an entry host holds of an upstream."""
 
     held: tuple[HeldPermit, ...]
     alive_s: float
-    """Age of the process: an earlier life of the same host may hold more."""
+    """Age of the process in seconds: an earlier incarnation of the host may hold more."""
--- a/src/galenastall/protocol/platform.py
+++ b/src/galenastall/protocol/platform.py
@@ -1,7 +1,7 @@
-"""What the system asks of the platform: one narrow interface for each thing that it gives.
+"""Interfaces to the platform: one narrow interface for each of its services.
 
-Wire formats stay behind these; adapters are filed in `PLATFORM_ADAPTERS` by the name that a
-process's settings give.
+Adapters hide the wire formats and are registered in `PLATFORM_ADAPTERS` under the name that the
+process settings use.
 """
 
 from collections.abc import AsyncIterator, Sequence
@@ -45,9 +45,9 @@
 
     entries: tuple[LogEntry, ...]
     start: Offset
-    """Oldest offset that the stream still keeps."""
+    """Oldest offset still kept in the stream."""
     end: Offset
-    """Offset that the next append will get."""
+    """Offset of the next append."""
 
 
 class LogService(Protocol):
@@ -66,12 +66,12 @@
     ) -> Result[LogPage, StepError]:
         """Return entries from `start`, waiting up to `wait_s` for the first one.
 
-        TRIMMED if `start` is older than what the log keeps; detail then carries the start.
+        TRIMMED if `start` is older than the oldest entry; `detail` then holds that offset.
         """
 
 
 class HostListService(Protocol):
-    """The platform's lagging list of hosts."""
+    """The platform's list of hosts, which lags."""
 
     async def fetch(
         self,
@@ -80,10 +80,10 @@
         kind: HostKind | None = None,
         known_version: str | None = None,
     ) -> Result[HostListing, StepError]:
-        """Return the list as the platform now shows it, cut to a data centre and a kind of host.
+        """Return the current list, filtered by data centre and kind of host.
 
-        An answer may be unchanged, without rows, if `known_version` is what the same cut had. A
-        platform that knows no versions or no cuts answers with more rows than asked for.
+        An answer may be "unchanged", without rows, if `known_version` is still the version for the
+        same filter. A platform without versions or filters returns more rows than requested.
         """
 
 
@@ -104,13 +104,13 @@
     owner: HostId
     epoch: Epoch
     not_after: float
-    """Wall time after which a worker that can compare refuses the batch."""
+    """Wall time in seconds after which a worker that supports it rejects the batch."""
     starts: tuple[StartRequest, ...]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskAnswer:
-    """A worker's word on one task of a batched call."""
+    """A worker's answer for one task of a batched call."""
 
     task_id: TaskId
     ok: bool
@@ -118,27 +118,27 @@
 
 
 TaskChange = tuple[TaskId, float, Resources]
-"""A listed task whose lease (wall seconds) or usage changed; a tuple, since bytes count."""
+"""A listed task whose lease (wall seconds) or usage changed; a tuple, to keep messages small."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerListing:
-    """What a worker runs and what it finished but has not had acknowledged."""
+    """The tasks that a worker runs, and finished ones that are not acknowledged yet."""
 
     running: tuple[RunningTask, ...]
     finished: tuple[FinishedTask, ...]
     used: Resources = field(default_factory=Resources)
     """Measured usage of the whole worker; lags."""
     highest_epoch: Epoch = Epoch(0)
-    """Highest epoch in any command; 0 from workers that can't compare epochs."""
+    """Highest epoch of any command; 0 from workers without epoch checks."""
     cursor: str = ""
-    """Names what runs and what ended as listed here; empty from workers that keep none."""
+    """Identifies the state listed here; empty from workers without cursors."""
     base: str = ""
-    """The cursor on whose listing this one builds; empty if `running` is all that runs."""
+    """Cursor of the listing that this one is based on; empty if `running` is complete."""
     changed: tuple[TaskChange, ...] = ()
-    """With a base: tasks listed there whose lease or usage is another now."""
+    """With a base: tasks listed there whose lease or usage has changed."""
     gone: tuple[TaskId, ...] = ()
-    """With a base: tasks listed there that don't run any more."""
+    """With a base: tasks listed there that no longer run."""
 
 
 class WorkerService(Protocol):
@@ -147,7 +147,7 @@
     async def start(
         self, *, address: str, batch: StartBatch
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Start tasks. A worker starts what it is given, whether it fits or not."""
+        """Start tasks. A worker starts all of them, even beyond its capacity."""
 
     async def renew(
         self, *, address: str, tasks: Sequence[TaskId], lease_until: float
@@ -157,39 +157,39 @@
     async def checkpoint(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Save the tasks' state and stop them; they can go on elsewhere."""
+        """Save the tasks' state and stop them; they can resume on another worker."""
 
     async def throttle(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch, share: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Limit the tasks to `share` (0 to 1) of what they were reserved."""
+        """Limit the tasks to `share` (0 to 1) of their reservation."""
 
     async def stop(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Stop the tasks for good."""
+        """Stop the tasks permanently."""
 
     async def acknowledge(
         self, *, address: str, tasks: Sequence[TaskId]
     ) -> Result[None, StepError]:
-        """Let the worker forget finished tasks whose end is durable."""
+        """Let the worker discard finished tasks whose end is durable."""
 
     async def listing(self, *, address: str, since: str = "") -> Result[WorkerListing, StepError]:
-        """Return what runs and what finished, or what changed since the cursor `since`.
+        """Return running and finished tasks, or the changes since the cursor `since`.
 
-        A worker that does not know the cursor any more, or knows none, answers whole.
+        A worker that no longer knows the cursor, or has none, returns the complete listing.
         """
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamCall:
-    """One attempt at one request."""
+    """One attempt of a request."""
 
     request_id: RequestId
     attempt_id: AttemptId
     epoch: Epoch
     not_after: float
-    """Wall time in seconds by which the executor should have answered."""
+    """Wall time in seconds by which the executor should respond."""
     content_type: str = "application/octet-stream"
     operation: str = ""
     """Path of the operation on the executor, without the leading slash."""
@@ -198,30 +198,30 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamAnswer:
-    """Head of an executor's answer; the body follows as a stream."""
+    """Head of an executor's response; the body follows as a stream."""
 
     outcome: Outcome
     attempt_id: AttemptId
-    """As the executor echoed it; must equal the call's."""
+    """As echoed by the executor; must equal that of the call."""
     status: int
     content_type: str
     body: AsyncIterator[bytes]
-    """Raises UpstreamCutError if the answer breaks off before its end."""
+    """Raises UpstreamCutError if the response is cut off before its end."""
     leaving: bool = False
-    """The executor said that it is leaving."""
+    """The executor reported that it is leaving."""
 
 
 class UpstreamCutError(Exception):
-    """An executor's answer broke off: it is not whole."""
+    """An executor's response was cut off and is incomplete."""
 
 
 class UpstreamService(Protocol):
-    """The one call of an executor."""
+    """The call interface of executors."""
 
     def call(
         self, *, address: str, call: UpstreamCall, body: AsyncIterator[bytes]
     ) -> AbstractAsyncContextManager[Result[UpstreamAnswer, StepError]]:
-        """Send the request and stream its answer.
+        """Send the request and stream its response.
 
         UNREACHABLE, REFUSED: it did not run. TIMEOUT, CUT: it may have run.
         """
--- a/src/galenastall/protocol/process_settings.py
+++ b/src/galenastall/protocol/process_settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process: who it is, where it listens, whom it may trust.
+"""Settings file of one process: its identity, addresses and trusted peers.
 
-Everything that operators change while it runs is in the shared tree instead.
+Everything that operators change at run time is in the shared tree instead.
 """
 
 from pathlib import Path
@@ -20,17 +20,17 @@
 
 
 class TlsSettings(SettingsModel):
-    """Files of the HTTP side's TLS, in PEM."""
+    """PEM files for TLS of the HTTP API."""
 
     cert_file: Path
     """Certificate chain shown to callers."""
     key_file: Path
     ca_file: Path | None = None
-    """Authority that must have signed callers' certificates; None lets callers come without."""
+    """CA that must have signed callers' certificates; None accepts callers without one."""
 
 
 class CurveSettings(SettingsModel):
-    """CURVE keys of the zmq side; an entry host with any other key gets in nowhere."""
+    """CURVE keys of the zmq socket; entry hosts with any other key can't connect."""
 
     public_key: CurveKey
     secret_key: CurveKey
@@ -39,13 +39,13 @@
 
 
 class PlatformAccess(SettingsModel):
-    """How the platform is reached."""
+    """Access to the platform."""
 
     adapter: Name
-    """A name filed in PLATFORM_ADAPTERS."""
+    """A name registered in PLATFORM_ADAPTERS."""
     address: ReachableAddress
     timeout_seconds: float = Field(default=5.0, gt=0, le=120)
-    """Longest wait for an answer, on top of a long poll's own wait."""
+    """Longest wait for an answer, in addition to the wait of a long poll."""
 
 
 class MemoryLimits(SettingsModel):
@@ -55,7 +55,7 @@
     """Readiness is lost above this resident size, in mebibytes."""
     waiting_requests: int = Field(default=1000, ge=1)
     body_buffer_kb: int = Field(default=64, ge=4)
-    """Most of a request's body that is held at a time, in kibibytes."""
+    """Maximum of a request's body that is buffered at a time, in kibibytes."""
     log_queue_records: int = Field(default=10_000, ge=1)
     """Records waiting for group commit before new ones are refused."""
 
@@ -68,23 +68,23 @@
     rack: str = ""
     http_bind: BindAddress
     http_address: ReachableAddress | None = None
-    """Where others reach the HTTP side; needed if `http_bind` covers all interfaces."""
+    """Where others reach the HTTP API; required if `http_bind` covers all interfaces."""
     peer_bind: BindAddress
     peer_address: ReachableAddress | None = None
-    """Where peers reach the zmq side; needed if `peer_bind` covers all interfaces."""
+    """Where peers reach the zmq socket; required if `peer_bind` covers all interfaces."""
     platform: PlatformAccess
     seeds: dict[Name, ReachableAddress] = Field(default_factory=dict)
-    """Peer addresses by host id, for a start while the platform's list can't be read."""
+    """Peer addresses by host id, for a start without access to the platform's list."""
     tls: TlsSettings | None = None
     curve: CurveSettings | None = None
     drain_timeout_seconds: float = Field(default=30.0, ge=0, le=3600)
     """Longest wait for callers' requests in progress at a planned stop."""
     log_level: Literal["debug", "info", "warning", "error"] = "info"
     clock_skew_bound_ms: int = Field(default=500, ge=0, le=60_000)
-    """Assumed bound on how far wall clocks of two hosts differ."""
+    """Assumed bound on the difference between the wall clocks of two hosts."""
     timeline_ring_events: int = Field(default=20_000, ge=100, le=1_000_000)
     timeline_detail_share: float = Field(default=1.0, ge=0, le=1)
-    """Share of request ids whose single steps are kept; the same ids on all entry hosts."""
+    """Share of request ids whose individual steps are kept; the same ids on all entry hosts."""
     memory: MemoryLimits = Field(default_factory=MemoryLimits)
 
     @model_validator(mode="after")
@@ -101,5 +101,5 @@
 
 
 def load_process_settings(path: Path) -> Result[ProcessSettings, SettingsProblems]:
-    """Return the checked settings of a process's file, or everything that is wrong in it."""
+    """Return the validated settings of a process's file, or all problems in it."""
     return load_yaml(path).bind(lambda tree: check_tree(ProcessSettings, tree, source=str(path)))
--- a/src/galenastall/protocol/settings_messages.py
+++ b/src/galenastall/protocol/settings_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry hosts keep each other's shared tree up to date."""
+"""Peer messages by which entry hosts synchronise the shared tree."""
 
 from dataclasses import dataclass
 
@@ -10,24 +10,24 @@
 @PEER_MESSAGES.register("settings_position")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsPosition:
-    """How far the sender's tree has come; a few dozen bytes, sent with the pace of heartbeats."""
+    """Position of the sender's tree; a few dozen bytes, sent at the rate of heartbeats."""
 
     next_offset: Offset
     digest: str
-    """Empty while it can't be compared."""
+    """Empty while the state is incomparable."""
     is_ready: bool
 
 
 @PEER_MESSAGES.register("settings_position_ask")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsPositionQuery:
-    """Asks for a position."""
+    """Requests the receiver's position."""
 
 
 @PEER_MESSAGES.register("settings_fetch")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsFetch:
-    """Asks for what the sender lacks."""
+    """Requests the changes that the sender lacks."""
 
     have: Offset
     """Offset of the next record that the sender would fold."""
@@ -44,7 +44,7 @@
 @PEER_MESSAGES.register("settings_fetched")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsFetched:
-    """The changes from `have` on, or the whole state if the answerer no longer has them all."""
+    """The changes from `have` on, or a snapshot if the sender no longer has them all."""
 
     next_offset: Offset
     changes: tuple[FetchedChange, ...] = ()
--- a/src/galenastall/protocol/task_rows.py
+++ b/src/galenastall/protocol/task_rows.py
@@ -1,4 +1,4 @@
-"""Tasks and reports as rows on the wire: the tasks of one job share all but index and attempt."""
+"""Tasks and reports as wire rows; the tasks of a job share all but index and attempt."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
@@ -14,7 +14,7 @@
     """Tasks of one job."""
 
     template: TaskSpec
-    """With the first task's id and attempt."""
+    """The first task, with its id and attempt."""
     indices: tuple[int, ...]
     attempts: tuple[int, ...]
 
@@ -32,7 +32,7 @@
 
 
 def pack_tasks(tasks: Sequence[TaskSpec]) -> tuple[TaskGroup, ...]:
-    """Return the tasks in groups; within a job the order is kept."""
+    """Return the tasks grouped by job; the order within a job is kept."""
     by_job: dict[JobId, list[TaskSpec]] = {}
     for task in tasks:
         by_job.setdefault(task.job_id, []).append(task)
--- a/src/galenastall/protocol/timeline_messages.py
+++ b/src/galenastall/protocol/timeline_messages.py
@@ -1,4 +1,4 @@
-"""Peer messages that ask other processes for their part of the time line."""
+"""Peer messages that query other processes for their time line events."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 @PEER_MESSAGES.register("timeline_query")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TimelineQuery:
-    """Asks for events about an id; an empty id asks for the latest about anything."""
+    """Requests the events about an id; with an empty id, the latest events of all ids."""
 
     subject: str
     limit: int
     with_parts: bool = False
-    """Whether events about a part of the subject count too: a job's tasks."""
+    """Whether events about parts of the subject, such as a job's tasks, are included."""
 
 
 @PEER_MESSAGES.register("timeline_events")
@@ -24,4 +24,4 @@
 
     events: tuple[TimelineEvent, ...]
     is_forgetful: bool
-    """Whether the ring has let go of older events."""
+    """Whether the ring has evicted older events."""
--- a/src/galenastall/protocol/yaml_files.py
+++ b/src/galenastall/protocol/yaml_files.py
@@ -1,8 +1,8 @@
-"""Read settings files: plain YAML, in which a key may stand only once in a mapping.
+"""Settings files: plain YAML, in which a mapping may not contain a key twice.
 
-The library lets the last of two equal keys win silently; here that is an error, since one of the
-two values would not be in force although it stands in the file. Infinite numbers are refused too:
-JSON, in which settings travel, has none.
+PyYAML silently uses the last of two equal keys; here that is an error, since one of the two values
+in the file would have no effect. Infinite numbers are rejected too, because settings are sent as
+JSON, which has none.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """Safe loader that refuses duplicate keys."""
+    """Safe loader that rejects duplicate keys."""
 
 
 def _construct_mapping(loader: _UniqueKeyLoader, node: yaml.MappingNode) -> dict[Any, Any]:
@@ -29,7 +29,7 @@
             )
         if key in seen:
             raise yaml.constructor.ConstructorError(
-                None, None, f"key {key!r} stands twice", key_node.start_mark
+                None, None, f"duplicate key {key!r}", key_node.start_mark
             )
         seen.add(key)
     return loader.construct_mapping(node, deep=True)
--- a/src/galenastall/state/errors.py
+++ b/src/galenastall/state/errors.py
@@ -1,38 +1,38 @@
-"""Errors shared by all layers: each carries the step and the peer at which it arose."""
+"""Errors shared by all layers; each carries the step and the peer at which it occurred."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Reason(StrEnum):
-    """Why a step did not succeed; the caller's next move depends on it."""
+    """Why a step did not succeed; determines how the caller proceeds."""
 
     REFUSED = "refused"
-    """The peer said no and did nothing."""
+    """The peer rejected the step, which had no effect."""
     UNREACHABLE = "unreachable"
-    """Nothing left this process: the step had no effect."""
+    """Nothing was sent: the step had no effect."""
     TIMEOUT = "timeout"
-    """Sent, no answer in time: the step may have taken effect."""
+    """Sent, but not answered in time: the step may have taken effect."""
     CUT = "cut"
-    """The answer broke off: the step may have taken effect."""
+    """The answer was cut off: the step may have taken effect."""
     INVALID = "invalid"
-    """The input or the answer did not make sense."""
+    """The input or the answer was malformed."""
     CONFLICT = "conflict"
-    """A newer revision, epoch or claim stands against it."""
+    """Superseded by a newer revision, epoch or claim."""
     OVERLOADED = "overloaded"
-    """No room now; retry later."""
+    """No capacity now; retry later."""
     NOT_OWNER = "not_owner"
-    """The peer does not own what the step is about."""
+    """The peer does not own the subject of the step."""
     NOT_FOUND = "not_found"
-    """No such thing is known."""
+    """The subject does not exist."""
     TRIMMED = "trimmed"
-    """The log no longer keeps the offset asked for."""
+    """The log no longer has the requested offset."""
     UNAVAILABLE = "unavailable"
-    """The peer is up and can't do it now, for example in a log outage."""
+    """The peer is up but can't do it now, for example in a log outage."""
 
 
 MAY_HAVE_TAKEN_EFFECT = frozenset({Reason.TIMEOUT, Reason.CUT})
-"""Reasons after which nobody can say that the step had no effect."""
+"""Reasons that don't rule out that the step had its effect."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -40,17 +40,17 @@
     """An expected failure, carried as the Err side of a Result."""
 
     step: str
-    """What was being done, as layer.verb, for example `log.append`."""
+    """The operation, as layer.verb, for example `log.append`."""
     peer: str
     """The host, process or file on the other side; empty for this process."""
     reason: Reason
     detail: str = ""
     retry_after_s: float | None = None
-    """When trying again makes sense, in seconds; None if unknown."""
+    """Seconds after which a retry makes sense; None if unknown."""
 
     @property
     def may_have_taken_effect(self) -> bool:
-        """Whether the step may have had its effect in spite of the error."""
+        """Whether the step may have taken effect despite the error."""
         return self.reason in MAY_HAVE_TAKEN_EFFECT
 
     def __str__(self) -> str:
--- a/src/galenastall/state/hosts.py
+++ b/src/galenastall/state/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as the platform's lagging list shows them."""
+"""Hosts according to the platform's list, which lags."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class HostKind(StrEnum):
-    """What a host is for."""
+    """The role of a host."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -16,7 +16,7 @@
 
 
 class HostState(StrEnum):
-    """What the platform's list says of a host."""
+    """State of a host in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -32,9 +32,9 @@
     data_centre: DataCentre
     state: HostState = HostState.LIVE
     address: str = ""
-    """`IP:port` of its HTTP side (workers, upstreams, entry hosts)."""
+    """`IP:port` of its HTTP API (workers, upstreams, entry hosts)."""
     peer_address: str = ""
-    """`IP:port` of an entry host's zmq side."""
+    """`IP:port` of an entry host's zmq socket."""
     rack: str = ""
     capacity: Resources = field(default_factory=Resources)
     slots: int = 0
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostListing:
-    """The platform's list at one moment; it lags."""
+    """The platform's list at one time; it lags."""
 
     as_of: float
     """Wall time in seconds that the list describes."""
     by_id: dict[HostId, ListedHost]
     version: str = ""
-    """Names the rows asked for; empty if the platform gives no versions."""
+    """Version of the requested rows; empty if the platform has no versions."""
     is_unchanged: bool = False
-    """The rows are still those of the version that the asker named; `by_id` is then empty."""
+    """The rows are still those of the version in the request; `by_id` is then empty."""
--- a/src/galenastall/state/ids.py
+++ b/src/galenastall/state/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers; each is a plain string or number with a type of its own."""
+"""Identifiers: plain strings and numbers, each with a distinct type."""
 
 from enum import StrEnum
 from typing import NewType
@@ -6,7 +6,7 @@
 HostId = NewType("HostId", str)
 """An entry host, worker or upstream, as the platform's list names it."""
 Incarnation = NewType("Incarnation", str)
-"""One life of an entry host's process; a restarted process has a new one."""
+"""Identifies one run of an entry host's process; a restarted process has a new one."""
 DataCentre = NewType("DataCentre", str)
 TeamPath = NewType("TeamPath", str)
 """A team, as a slash-separated path in the shared tree, for example `board/packs`."""
@@ -18,7 +18,7 @@
 """`<request id>#<attempt>`, unique for each attempt."""
 ChangeId = NewType("ChangeId", str)
 RecordId = NewType("RecordId", str)
-"""Chosen by the writer; makes a repeated append recognisable."""
+"""Chosen by the writer, so that a repeated append can be detected."""
 StreamName = NewType("StreamName", str)
 """A stream of the platform's log."""
 Offset = NewType("Offset", int)
@@ -29,11 +29,11 @@
 """`<kind>/<name>` of something that has at most one owner at a time."""
 
 SETTINGS_STREAM = StreamName("settings")
-"""The stream that every entry host follows: the shared tree."""
+"""Stream of the shared settings tree, followed by every entry host."""
 
 
 class OwnableKind(StrEnum):
-    """The kinds of things that have an owner."""
+    """Kinds of ownables."""
 
     WORKER = "worker"
     UPSTREAM = "upstream"
@@ -65,7 +65,7 @@
 
 
 def job_of_task(subject: str) -> JobId | None:
-    """Return the job of a task's id, or None if the id has not the form of one."""
+    """Return the job of a task's id, or None if `subject` is not a task id."""
     job, _, index = subject.rpartition("/")
     return JobId(job) if job and index.isdecimal() else None
 
--- a/src/galenastall/state/job_fold.py
+++ b/src/galenastall/state/job_fold.py
@@ -1,8 +1,8 @@
 """Fold of the jobs of one data centre's stream.
 
-Ends merge by precedence, so the fold of a compacted record and the tail equals that of the full
-history whatever was trimmed between them: an end that comes before its job's compacted record
-waits for it, and an ended job is not revived by a compacted record that was on its way.
+Task ends merge by precedence, so folding a compacted record and the tail gives the same state as
+the full history, whatever was trimmed between them: an end that precedes its job's compacted record
+is kept until that record, and an ended job is not revived by a compacted record appended late.
 """
 
 from collections import OrderedDict
@@ -34,12 +34,12 @@
     TaskPhase.FAILED: 3,
     TaskPhase.DONE: 4,
 }
-"""A higher code wins: a task thought unknown that turns out done is done."""
+"""A higher code wins: a task recorded as unknown and later as done is done."""
 PHASES_BY_CODE: Final = {code: phase for phase, code in CODES_BY_PHASE.items()}
 MAX_ENDED_JOBS: Final = 20_000
-"""Ended jobs kept for callers' questions, a day and a half at 12,000 jobs a day."""
+"""Ended jobs kept for callers' queries: a day and a half at 12,000 jobs a day."""
 MAX_ORPHANS: Final = 20_000
-"""Jobs whose ends came before their compacted record; older ones belong to ended jobs."""
+"""Jobs with ends that precede their compacted record; older ones belong to ended jobs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -52,7 +52,7 @@
 
 
 class JobState:
-    """One job as the log tells it: a byte a task."""
+    """State of one job according to the log, one byte per task."""
 
     __slots__ = (
         "accepted_at",
@@ -82,10 +82,10 @@
         is_service = spec.workload is Workload.SERVICE
         self.codes = bytearray(0 if is_service else spec.tasks)
         self.given = bytearray(0 if is_service or spec.idempotent else spec.tasks)
-        """For tasks that must not run twice: 1 if one may have been given out, by index."""
+        """For tasks that must not run twice, by index: 1 if the task may have been assigned."""
 
     def copy(self) -> "JobState":
-        """Return a copy to write to what the log doesn't hold yet."""
+        """Return a copy to which changes not yet in the log can be applied."""
         other = JobState(spec=self.spec, accepted_at=self.accepted_at, was_held=self.was_held)
         other.cancelled = self.cancelled
         other.codes[:] = self.codes
@@ -93,20 +93,20 @@
         return other
 
     def merge(self, phase: TaskPhase, ranges: tuple[IndexRange, ...]) -> None:
-        """Mark tasks ended; a higher code wins, indices out of range are passed over."""
+        """Mark tasks ended; a higher code wins, indices out of range are ignored."""
         code = CODES_BY_PHASE[phase]
         for each in ranges:
             for index in range(max(each.start, 0), min(each.stop, len(self.codes))):
                 self.codes[index] = max(self.codes[index], code)
 
     def mark_assigned(self, ranges: tuple[IndexRange, ...]) -> None:
-        """Mark tasks as given out; of no meaning for tasks that may run twice."""
+        """Mark tasks as assigned; has no effect for tasks that may run twice."""
         for each in ranges:
             for index in range(max(each.start, 0), min(each.stop, len(self.given))):
                 self.given[index] = 1
 
     def may_have_run(self, index: int) -> bool:
-        """Return whether a task may ever have been given out, as far as the log tells."""
+        """Return whether a task may ever have been assigned, according to the log."""
         return not self.given or self.given[index] == 1
 
     def phase_of(self, index: int) -> TaskPhase | None:
@@ -116,7 +116,7 @@
         return PHASES_BY_CODE.get(self.codes[index])
 
     def open_indices(self) -> Iterator[int]:
-        """Yield the tasks that have not ended for good; all replicas of a service."""
+        """Yield the tasks without a final end; for a service, all replicas."""
         if self.spec.workload is Workload.SERVICE:
             yield from range(self.spec.tasks)
             return
@@ -126,7 +126,7 @@
             index = self.codes.find(OPEN, index + 1)
 
     def count(self, phase: TaskPhase) -> int:
-        """Return how many tasks ended so."""
+        """Return how many tasks ended in this phase."""
         return self.codes.count(CODES_BY_PHASE[phase])
 
     def ends(self) -> tuple[EndedRanges, ...]:
@@ -148,31 +148,31 @@
         )
 
     def compacted(self, *, at: float) -> JobCompacted:
-        """Return the record that stands for all records of this live job, at this wall time."""
+        """Return the record that replaces all earlier ones of this live job; `at` is wall time."""
         return JobCompacted(spec=self.spec, at=at, cancelled=self.cancelled, ends=self.ends())
 
 
 class JobListener:
-    """What a fold tells its listener; override what matters."""
+    """Callbacks of a fold; subclasses override those they need."""
 
     def on_job(self, job: JobState) -> None:
-        """Take note of a job that the log now holds."""
+        """Handle a job that the log now holds."""
 
     def on_tasks_ended(self, end: EndedRanges) -> None:
-        """Take note of ends of a live job's tasks that the log now holds."""
+        """Handle ends of a live job's tasks that the log now holds."""
 
     def on_cancelled(self, job: JobState) -> None:
-        """Take note of a cancellation."""
+        """Handle a cancellation."""
 
     def on_ended(self, job: JobState) -> None:
-        """Take note of a job's end."""
+        """Handle a job's end."""
 
 
 class JobFold:
     """All live jobs of a data centre and the latest ended ones."""
 
     def __init__(self, *, max_ended: int = MAX_ENDED_JOBS) -> None:
-        """Start empty; `ended_kept` bounds how many ended jobs are remembered."""
+        """Start empty; `max_ended` bounds how many ended jobs are kept."""
         self.live_by_id: dict[JobId, JobState] = {}
         self.ended_by_id: OrderedDict[JobId, JobState] = OrderedDict()
         self.renewed_at_by_id: dict[JobId, Offset] = {}
@@ -180,7 +180,7 @@
         self._max_ended = max_ended
         self._ended_ids: OrderedDict[JobId, JobEnded] = OrderedDict()
         self.gone_at_by_worker: dict[HostId, float | None] = {}
-        """Workers that were ever listed; wall time at which one was gone, or None."""
+        """Every worker ever listed, with the wall time at which it was gone, or None."""
         self._orphans: OrderedDict[JobId, list[EndedRanges | AssignedRanges]] = OrderedDict()
         self._orphan_cancels: OrderedDict[JobId, None] = OrderedDict()
         self._listeners: list[JobListener] = []
@@ -195,7 +195,7 @@
         }
 
     def listen(self, listener: JobListener) -> None:
-        """Tell `listener` of every further change."""
+        """Notify `listener` of every further change."""
         self._listeners.append(listener)
 
     def is_ended(self, job_id: JobId) -> bool:
@@ -207,13 +207,13 @@
         return self.live_by_id.get(job_id) or self.ended_by_id.get(job_id)
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; types of others are passed over."""
+        """Apply the next record; unrelated record types are ignored."""
         handler = self._apply_by_type.get(type(logged.record))
         if handler is not None:
             handler(logged.record, logged.offset)
 
     def due_for_compaction(self, *, before: Offset) -> list[JobState]:
-        """Return live jobs whose newest spec record lies before `before`, oldest first."""
+        """Return live jobs whose newest spec record is older than `before`, oldest first."""
         due = [(at, job) for job, at in self.renewed_at_by_id.items() if at < before]
         return [self.live_by_id[job] for _, job in sorted(due)]
 
--- a/src/galenastall/state/job_records.py
+++ b/src/galenastall/state/job_records.py
@@ -1,7 +1,7 @@
 """Log records of jobs, in their data centre's stream.
 
-Starts are not logged: what runs is learnt from the workers. What can't be learnt from them is:
-that a job was accepted or cancelled, and which tasks ended for good.
+Starts are not logged, since the workers report what runs. Logged is what they can't report: that a
+job was accepted or cancelled, and the final ends of tasks.
 """
 
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
     """How a job ended."""
 
     DONE = "done"
-    """Every task ran to its end."""
+    """Every task ran to completion."""
     FAILED = "failed"
-    """Some task failed for good, or the job was stopped for its failures."""
+    """Some task failed permanently, or the job was stopped because of its failures."""
     CANCELLED = "cancelled"
     REFUSED = "refused"
-    """It can never run; nothing of it ran."""
+    """It can never run; none of its tasks ran."""
     UNKNOWN = "unknown"
-    """Some task may have run, and nobody can say."""
+    """Some task may have run, which can't be determined."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndedRanges:
-    """Tasks of one job that ended alike."""
+    """Tasks of one job that ended in the same phase."""
 
     job_id: JobId
     phase: TaskPhase
@@ -46,17 +46,17 @@
 @RECORDS.register("job.accepted")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobAccepted:
-    """A caller was, or is about to be, told that the job is accepted."""
+    """A job is accepted: its caller has been or is about to be notified."""
 
     spec: JobSpec
     was_held: bool = False
-    """It was first kept by entry hosts alone, in a log outage, so tasks of it may have started."""
+    """It was first held by entry hosts only, in a log outage, so its tasks may have started."""
 
 
 @RECORDS.register("job.cancelled")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobCancelled:
-    """Nothing more of the job may start."""
+    """No further task of the job may start."""
 
     job_id: JobId
     cause: str = ""
@@ -65,7 +65,7 @@
 @RECORDS.register("job.tasks_ended")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TasksEnded:
-    """All final ends that a shard's owner learnt in one window."""
+    """All final ends reported to a shard's owner in one window."""
 
     shard: int
     ends: tuple[EndedRanges, ...]
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AssignedRanges:
-    """Tasks of one job that may be given to worker owners from now on."""
+    """Tasks of one job that may be assigned to worker owners from now on."""
 
     job_id: JobId
     ranges: tuple[IndexRange, ...]
@@ -82,9 +82,9 @@
 @RECORDS.register("job.tasks_given")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TasksAssigned:
-    """Written before tasks that must not run twice are given out for the first time.
+    """Written before tasks that must not run twice are assigned for the first time.
 
-    Whatever is not in such a record has provably never run, whoever owned the shard.
+    Such a task without this record has provably never run, whoever owned the shard.
     """
 
     shard: int
@@ -94,7 +94,7 @@
 @RECORDS.register("job.workers")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkersChanged:
-    """Workers that the platform's list showed for the first time, or no longer shows."""
+    """Workers that are new in the platform's list, or no longer in it."""
 
     seen: tuple[HostId, ...]
     gone: tuple[HostId, ...]
@@ -130,13 +130,13 @@
 @RECORDS.register("job.barrier")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardBarrier:
-    """Says nothing of jobs: whoever reads it back has read all ends that were logged before."""
+    """A read barrier: a reader that reaches it has read all ends that were logged before."""
 
     shard: int
 
 
 def ranges_of(indices: list[int]) -> tuple[IndexRange, ...]:
-    """Return sorted, distinct indices as the fewest ranges."""
+    """Return the indices as the smallest number of ranges, in ascending order."""
     ranges: list[IndexRange] = []
     start = stop = -1
     for index in sorted(indices):
--- a/src/galenastall/state/key_fold.py
+++ b/src/galenastall/state/key_fold.py
@@ -1,9 +1,9 @@
-"""Idempotency keys as a data centre's stream records them.
+"""Fold of the idempotency keys in a data centre's stream.
 
-A key's intent is in the log before its request leaves, so whoever owns the key's shard later knows
-that the request may have run. Intents of an owner that has been replaced are passed over: its
-successor's `KeyShardOpened` comes first in the stream, and the old owner learns of it by reading
-its own record back.
+A key's intent is logged before its request is sent, so any later owner of the key's shard knows
+that the request may have run. Intents of a replaced owner are ignored: its successor's
+`KeyShardOpened` precedes them in the stream, and the old owner detects this when it reads its own
+record back.
 """
 
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 @RECORDS.register("key_shard_opened")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyShardOpened:
-    """A new owner of a shard of keys: intents of earlier ones no longer count from here on."""
+    """A new owner of a key shard: later intents of earlier owners are ignored."""
 
     shard: str
     epoch: Epoch
@@ -28,12 +28,12 @@
 @RECORDS.register("key_shard_ready")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyShardReady:
-    """The owner of that epoch has read back what was held, and serves from here on."""
+    """The owner of that epoch has read back the held intents and serves from here on."""
 
     shard: str
     epoch: Epoch
     holders: tuple[HostId, ...]
-    """The entry hosts more than half of which hold its intents in a log outage."""
+    """Entry hosts; in a log outage a majority of them holds each of its intents."""
     ready_at: float
     """Wall time in seconds."""
     incomplete_until: float = 0.0
@@ -48,37 +48,37 @@
     shard: str
     key: str
     digest: str
-    """Of operation and body; a repeat must have the same."""
+    """Hash of operation and body; a repeat must have the same."""
     request_id: RequestId
     runner: HostId
     """The entry host that dispatches it."""
     epoch: Epoch
     """Of the shard's owner."""
     serial: int = 1
-    """Counts the requests that came with this key; a further one only after a `not_run`."""
+    """Number of the request among those with this key; a further one needs a `not_run` first."""
     ends_at: float
-    """Wall time in seconds by which it is over; after that without an end it is unknown."""
+    """Wall time in seconds by which it ends; without a recorded end it is unknown after that."""
     until: float
-    """Wall time in seconds until which the key is remembered."""
+    """Wall time in seconds until which the key is kept."""
 
 
 @RECORDS.register("key_ended")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyEnded:
-    """What became of a key's request."""
+    """The outcome of a key's request."""
 
     shard: str
     key: str
     request_id: RequestId
     outcome: Outcome
     status: int = 0
-    """HTTP status of the executor's answer; 0 if there was none."""
+    """HTTP status of the executor's response; 0 if there was none."""
 
 
 @RECORDS.register("keys_carried")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeysCarriedForward:
-    """Keys written once more, compactly, before the log trims their first records."""
+    """Keys written again in compact form before the log trims their first records."""
 
     shard: str
     epoch: Epoch
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyEntry:
-    """What is known of one key."""
+    """The folded state of one key."""
 
     key: str
     digest: str
@@ -98,30 +98,30 @@
     ends_at: float
     until: float
     outcome: Outcome | None = None
-    """None while no end is recorded."""
+    """None until an end is recorded."""
     status: int = 0
 
 
 @dataclass(slots=True)
 class ShardState:
-    """One shard of keys."""
+    """State of one key shard."""
 
     opened: KeyShardOpened | None = None
     serving: KeyShardReady | None = None
-    """The last owner that got ready; its holders may hold intents that the log lacks."""
+    """Of the last owner that became ready; its holders may hold intents missing from the log."""
     incomplete_until: float = 0.0
     """Wall time before which intents may have been lost with their holders."""
     entries_by_key: dict[str, KeyEntry] = field(default_factory=dict)
     opened_offset: Offset = Offset(0)
-    """Where the older of its opening and its getting ready stands."""
+    """Offset of the record in `opened`."""
     first_offset_by_key: dict[str, Offset] = field(default_factory=dict)
-    """Where the oldest record of each key still needed stands."""
+    """Offset of the oldest record still needed for each key."""
 
 
 class KeyFold:
     """All shards of one data centre, built from its stream in offset order.
 
-    `first_offset` is that of the first record seen: above 0, older ones had been trimmed.
+    `first_offset` is the offset of the first record applied; above 0, older ones were trimmed.
     """
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
         self.first_offset: Offset | None = None
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; other matters' records are passed over."""
+        """Apply the next record; unrelated record types are ignored."""
         if self.first_offset is None:
             self.first_offset = logged.offset
         record = logged.record
@@ -153,7 +153,7 @@
         return self._shards_by_name.setdefault(name, ShardState())
 
     def entry(self, *, shard: str, key: str) -> KeyEntry | None:
-        """Return what is recorded of a key."""
+        """Return the recorded state of a key, None if there is none."""
         return self.shard(shard).entries_by_key.get(key)
 
     def epoch(self, shard: str) -> Epoch:
@@ -169,7 +169,7 @@
                 yield state.entries_by_key[key]
 
     def drop_expired(self, *, wall: float) -> int:
-        """Drop keys past their time; return how many."""
+        """Drop keys whose retention has expired; return how many."""
         dropped = 0
         for state in self._shards_by_name.values():
             old = [key for key, entry in state.entries_by_key.items() if entry.until <= wall]
@@ -226,17 +226,17 @@
 
 
 def _may_follow(known: KeyEntry, record: KeyIntent) -> bool:
-    """Return whether the key may be taken again; a late append of an older intent may not."""
+    """Return whether a new request may use the key; a late append of an older intent may not."""
     return known.outcome is Outcome.NOT_RUN and record.serial > known.serial
 
 
 def rank(entry: KeyEntry) -> tuple[int, int, bool]:
-    """Return what orders two entries of one key: the higher one holds."""
+    """Return the sort key between two entries of one key; the higher one wins."""
     return entry.epoch, entry.serial, entry.outcome is not None
 
 
 def entry_of(intent: KeyIntent) -> KeyEntry:
-    """Return the entry that an intent opens."""
+    """Return the entry that an intent creates."""
     return KeyEntry(
         key=intent.key,
         digest=intent.digest,
@@ -250,7 +250,7 @@
 
 
 def with_outcome(entry: KeyEntry, *, outcome: Outcome, status: int) -> KeyEntry:
-    """Return the entry with its outcome; a recorded outcome stands."""
+    """Return the entry with this outcome, unless it already has one."""
     if entry.outcome is not None:
         return entry
     return KeyEntry(
--- a/src/galenastall/state/key_home_history.py
+++ b/src/galenastall/state/key_home_history.py
@@ -1,8 +1,8 @@
-"""History of which data centres share the idempotency keys: it may only grow.
+"""Append-only history of the data centres that share the idempotency keys.
 
-A key's home follows from the list that was in force when the key was made. If a change altered that
-list afterwards, the key would be looked up elsewhere than where it was decided, and its request
-could run twice.
+A key's home is computed from the list in force when the key was made. If that list were changed
+afterwards, the key would be looked up in another data centre than the one that recorded it, and its
+request could run twice.
 """
 
 from typing import Final
@@ -11,20 +11,20 @@
 from galenastall.state.shared_settings import SharedSettings
 
 LEAD_TIME_S: Final = 7200.0
-"""Seconds between a change and the first key that it concerns.
+"""Minimum seconds between a change and the first key that it affects.
 
-A data centre that is cut off for longer than this could go by an outdated list.
+A data centre that is isolated for longer than this could use an outdated list.
 """
 HISTORY_SCHEMA: Final = 2
-"""Changes of older schemas were judged without this rule, and must be judged so again."""
+"""First schema with this rule; changes of older ones must be evaluated without it on replay."""
 
 Homes = tuple[tuple[float, tuple[DataCentre, ...]], ...]
 
 
 def key_homes_of(settings: SharedSettings) -> Homes:
-    """Return the lists with the wall time from which each is in force.
+    """Return each list with the wall time from which it is in force.
 
-    Without a history, the data centres of the tree are the one list; empty if there are none.
+    Without a history, the tree's data centres form the only list; empty if there are none.
     """
     if settings.key_homes:
         return tuple(
@@ -36,19 +36,19 @@
 
 
 def find_moved_keys(*, before: SharedSettings, after: SharedSettings) -> str | None:
-    """Return why a change would move keys that may exist already, or None."""
+    """Return why a change would move keys that may already exist, or None."""
     old, new = key_homes_of(before), key_homes_of(after)
     if new[: len(old)] == old:
         return None
     return (
-        "key_homes: must keep what it holds, as idempotency keys would move otherwise; to change"
-        " data_centres, first set key_homes to one entry since 0 with today's data centres, then"
-        f" append one whose since lies at least {LEAD_TIME_S:.0f} s ahead"
+        "key_homes: existing entries must stay, or idempotency keys would move; to change"
+        " data_centres, first set key_homes to one entry since 0 with the current ones, then"
+        f" append one whose since is at least {LEAD_TIME_S:.0f} s ahead"
     )
 
 
 def find_early_homes(*, before: SharedSettings, after: SharedSettings, now: float) -> str | None:
-    """Return why a new list would be in force before every data centre knows of it, or None."""
+    """Return why a new list would be in force before every data centre has it, or None."""
     old, new = key_homes_of(before), key_homes_of(after)
     if not old:
         return None
--- a/src/galenastall/state/ledger.py
+++ b/src/galenastall/state/ledger.py
@@ -1,8 +1,8 @@
-"""Exact ledger of one worker: what is promised of its capacity, and to which task.
+"""Exact ledger of one worker: how much of its capacity is reserved, and for which task.
 
-Amounts are integers and the ledger itself refuses what does not fit, so that no caller can drive a
-worker over its capacity. Only adoption may record more than there is, since that describes what
-already runs; nothing is admitted until it fits again.
+Amounts are integers and the ledger itself rejects what does not fit, so no caller can overcommit a
+worker. Only adoption may exceed the capacity, since it records tasks that already run; nothing is
+admitted until the total fits again.
 """
 
 from collections.abc import Iterator
@@ -13,15 +13,15 @@
 
 
 class LedgerPhase(IntEnum):
-    """Why an amount is taken."""
+    """Why an amount is reserved."""
 
     HELD = 0
     """For a gang that has not started yet."""
     STARTING = 1
-    """A start was sent and not yet answered."""
+    """A start was sent and has not been answered yet."""
     RUNNING = 2
     UNKNOWN = 3
-    """It may run; only proof frees it."""
+    """It may run; released only on proof that it does not."""
 
 
 _NEXT_PHASES = {
@@ -33,12 +33,12 @@
 
 
 class LedgerEntry:
-    """One task's amount; changed by its ledger only."""
+    """One task's reservation; modified by its ledger only."""
 
     __slots__ = ("amount", "phase")
 
     def __init__(self, *, amount: Resources, phase: LedgerPhase) -> None:
-        """Record an amount and why it is taken."""
+        """Record an amount and why it is reserved."""
         self.amount = amount
         self.phase = phase
 
@@ -59,9 +59,9 @@
         self._entries_by_task: dict[TaskId, LedgerEntry] = {}
 
     def reserve(self, task_id: TaskId, amount: Resources, phase: LedgerPhase) -> bool:
-        """Take `amount` if it fits and the task has none yet; return whether it did.
+        """Reserve `amount` if it fits and the task has no reservation; return whether it did.
 
-        Raises ValueError for a negative amount or a phase in which nothing can begin.
+        Raises ValueError for a negative amount or for a phase that can't be the first one.
         """
         if phase is not LedgerPhase.HELD and phase is not LedgerPhase.STARTING:
             raise ValueError(f"phase: a reservation can't begin as {phase.name}")
@@ -82,7 +82,7 @@
         return True
 
     def set_phase(self, task_id: TaskId, phase: LedgerPhase) -> bool:
-        """Change why a task's amount is taken; return False for an impossible change."""
+        """Set a task's phase; return False for a transition that is not allowed."""
         entry = self._entries_by_task.get(task_id)
         if entry is None or phase not in _NEXT_PHASES[entry.phase]:
             return False
@@ -121,12 +121,12 @@
 
     @property
     def is_overcommitted(self) -> bool:
-        """Whether adopted tasks take more than there is."""
+        """Whether adopted tasks exceed the capacity."""
         return self.free_cores < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
     @property
     def free(self) -> Resources:
-        """What is left; negative amounts on an overcommitted worker."""
+        """The free capacity; has negative amounts on an overcommitted worker."""
         return Resources(
             cores_milli=self.free_cores,
             memory_mb=self.free_memory,
@@ -138,7 +138,7 @@
         return self._entries_by_task.get(task_id)
 
     def tasks(self) -> Iterator[TaskId]:
-        """Return all tasks that have an amount here."""
+        """Return all tasks with a reservation."""
         return iter(self._entries_by_task)
 
     def __len__(self) -> int:
--- a/src/galenastall/state/outcomes.py
+++ b/src/galenastall/state/outcomes.py
@@ -1,16 +1,16 @@
-"""What became of a request: four outcomes, never guessed."""
+"""The four outcomes of a request; none is ever assumed without proof."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """The final word on a request or a task attempt."""
+    """Final outcome of a request or a task attempt."""
 
     DONE = "done"
-    """It ran and the whole answer is here."""
+    """It ran and the complete response was received."""
     NOT_RUN = "not_run"
-    """It never left the system: proved, never concluded from a timeout."""
+    """It provably did not run; never inferred from a time-out."""
     FAILED = "failed"
-    """It ran and said that it failed."""
+    """It ran and reported a failure."""
     UNKNOWN = "unknown"
     """It may have run."""
--- a/src/galenastall/state/ownership_fold.py
+++ b/src/galenastall/state/ownership_fold.py
@@ -25,18 +25,18 @@
 from galenastall.state.records import LoggedRecord
 
 MAX_FREE_OWNABLES: Final = 1024
-"""Ownables set free that are remembered, so that their claims still fence late readers."""
+"""Released ownables that are kept, so that their claims still fence late readers."""
 
 OWNERSHIP_RECORDS: Final = (Join, Leave, Claim, Activate, UpdateRoster, HandOver, OwnershipSnapshot)
-"""What this fold reads; everything else in the stream is passed over."""
+"""Record types that this fold applies; all others in the stream are ignored."""
 
 
 class OwnershipFold:
-    """Ownership according to the log as far as it was read.
+    """Ownership according to the log, up to `next_offset`.
 
-    Complete once it has seen the stream from its first record on, or from a snapshot on; until then
-    it keeps what it saw and says nothing about owners. Records below `next_offset` are passed over,
-    so that a tail fetched from a peer may be followed by the same records from the log.
+    Complete once the stream was read from its first record or from a snapshot; until then records
+    are buffered and no owners are known. Records below `next_offset` are ignored, so that a tail
+    fetched from a peer may be followed by the same records from the log.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self.last_snapshot_covers = Offset(0)
         self.max_claim_epoch = Epoch(-1)
         self.known_from = Offset(0)
-        """Claims below this may have been forgotten, with the ownables that they set free."""
+        """Claims below this offset may have been evicted with the ownables that they released."""
         self._read_from = Offset(0)
         self._pending: list[LoggedRecord] = []
         self._touched: set[OwnableId] = set()
@@ -62,7 +62,7 @@
         }
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; a gap makes the fold incomplete until a snapshot."""
+        """Apply the next record; a gap makes the fold incomplete until a snapshot."""
         if logged.offset < self.next_offset:
             return
         self.read_to(logged.offset)
@@ -77,16 +77,16 @@
             self._pending.append(logged)
 
     def read_to(self, offset: Offset) -> None:
-        """Take note that all records below `offset` were fed; what is missing was trimmed."""
+        """Note that all records below `offset` were applied; missing ones were trimmed."""
         if offset > self.next_offset:
             self._reset(offset)
 
     def skip_to(self, offset: Offset) -> None:
-        """Pass over records known to be none of this fold's; never goes back."""
+        """Skip records known to be irrelevant to this fold; never moves backwards."""
         self.next_offset = max(self.next_offset, offset)
 
     def drain_touched(self) -> set[OwnableId]:
-        """Return and forget the ownables whose state may have changed."""
+        """Return the ownables whose state may have changed, and clear that set."""
         touched, self._touched = self._touched, set()
         return touched
 
@@ -98,11 +98,11 @@
         )
 
     def has_member(self, member: Member) -> bool:
-        """Return whether this incarnation joined and neither left nor was replaced."""
+        """Return whether this incarnation has joined and neither left nor been replaced."""
         return member.incarnation in self.roster_by_incarnation
 
     def make_snapshot(self) -> OwnershipSnapshot:
-        """Return the state below `next_offset` as a record; only from a complete fold."""
+        """Return the state below `next_offset` as a record; valid only if the fold is complete."""
         ownables_by_state: dict[OwnableState, list[OwnableId]] = defaultdict(list)
         for ownable, state in sorted(self.state_by_ownable.items()):
             ownables_by_state[state].append(ownable)
--- a/src/galenastall/state/ownership_records.py
+++ b/src/galenastall/state/ownership_records.py
@@ -1,7 +1,7 @@
 """Records of ownership in a data centre's stream; the offset of a claim is the owner's epoch.
 
-Each record that a delayed append could bring into the log late carries a guard (`seen` or
-`generation`) that makes the fold void it, so that no writer has to know whether its append landed.
+Each record that a delayed append could add to the log late carries a guard (`seen` or
+`generation`) by which the fold voids it, so no writer needs to know whether its append succeeded.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """One life of an entry host's process."""
+    """One incarnation of an entry host's process."""
 
     host: HostId
     incarnation: Incarnation
@@ -37,7 +37,7 @@
 @RECORDS.register("ownership.leave")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Leave:
-    """Remove a member: at its own wish, or since the platform's list shows its host gone."""
+    """Remove a member: on its own request, or because the platform lists its host as gone."""
 
     member: Member
 
@@ -58,7 +58,7 @@
 @RECORDS.register("ownership.activate")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Activate:
-    """Make a claimant the owner of what it claimed and nobody claimed since."""
+    """Make a claimant the owner of what it claimed, except ownables with a later claim."""
 
     by: Member
     epoch: Epoch
@@ -69,7 +69,7 @@
 @RECORDS.register("ownership.reroster")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpdateRoster:
-    """Replace the roster of all that a member owns uncontested.
+    """Replace the roster of every ownable that a member owns uncontested.
 
     Void unless `generation` is above that of the member's last record that has one.
     """
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnershipTransfer:
-    """What one member is given; without `to` the ownables become free."""
+    """The ownables transferred to one member; without `to` they become free."""
 
     to: Member | None
     ownables: tuple[OwnableId, ...]
@@ -90,9 +90,9 @@
 @RECORDS.register("ownership.handover")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HandOver:
-    """Make others the owners at once: the giver stopped acting before it wrote this.
+    """Make other members the owners at once; the old owner stopped acting before it wrote this.
 
-    Void like an UpdateRoster.
+    Void under the same condition as an UpdateRoster.
     """
 
     by: Member
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Tenure:
-    """Who may act under which epoch, and the roster that can vouch for it."""
+    """Who may act under which epoch, and the roster whose members can confirm it."""
 
     owner: Member
     epoch: Epoch
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Claimed:
-    """The latest claim on an ownable; by nobody if its owner set it free."""
+    """The latest claim on an ownable; `by` is None if its owner released it."""
 
     by: Member | None
     epoch: Epoch
@@ -120,14 +120,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnableState:
-    """What the log says of one ownable; contested while the claim's epoch is above the tenure's."""
+    """State of one ownable by the log; contested while the claim's epoch is above the tenure's."""
 
     tenure: Tenure | None
     claim: Claimed
 
     @property
     def is_free(self) -> bool:
-        """Whether the last owner set it free and nobody claimed it since."""
+        """Whether the last owner released it and nobody has claimed it since."""
         return self.claim.by is None
 
     @property
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RosterEntry:
-    """A member of the roster, when it joined, and its last generation."""
+    """A member of the roster, the offset of its join and its last generation."""
 
     member: Member
     joined_at: Offset
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnableGroup:
-    """Ownables of equal state, written once."""
+    """Ownables with equal state, which is written only once."""
 
     state: OwnableState
     ownables: tuple[OwnableId, ...]
@@ -156,7 +156,7 @@
 @RECORDS.register("ownership.snapshot")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnershipSnapshot:
-    """The whole state after all records below `covers`, so that the log may trim those."""
+    """The whole state after all records below `covers`, so that the log may trim them."""
 
     covers: Offset
     roster: tuple[RosterEntry, ...]
--- a/src/galenastall/state/records.py
+++ b/src/galenastall/state/records.py
@@ -7,7 +7,7 @@
 from galenastall.state.registry import Registry
 
 RECORDS: Final[Registry[type[Any]]] = Registry(kind="log record")
-"""Frozen data classes by the name under which they are written; filled with
+"""Frozen data classes by the name in the log; filled with
 `@RECORDS.register("name")` next to the fold that reads them."""
 
 
@@ -33,4 +33,4 @@
     """State built from one stream's records in offset order; deterministic."""
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; unknown types must be passed over."""
+        """Apply the next record; unknown types must be ignored."""
--- a/src/galenastall/state/registry.py
+++ b/src/galenastall/state/registry.py
@@ -17,9 +17,9 @@
         self._entries_by_name: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that files its target under `name`.
+        """Return a decorator that registers its target under `name`.
 
-        Raises ValueError when the name is taken, since two modules then claim one name.
+        Raises ValueError if another module already registered the name.
         """
 
         def add(entry: T) -> T:
@@ -31,7 +31,7 @@
         return add
 
     def get(self, name: str) -> T:
-        """Return the entry filed under `name`; raises UnknownNameError if there is none."""
+        """Return the entry registered as `name`; raises UnknownNameError if there is none."""
         try:
             return self._entries_by_name[name]
         except KeyError:
--- a/src/galenastall/state/resources.py
+++ b/src/galenastall/state/resources.py
@@ -37,7 +37,7 @@
         )
 
     def fits_in(self, available: "Resources") -> bool:
-        """Return whether `room` holds at least this much of each resource."""
+        """Return whether `available` has at least this much of each resource."""
         return (
             self.cores_milli <= available.cores_milli
             and self.memory_mb <= available.memory_mb
@@ -45,7 +45,7 @@
         )
 
     def count_in(self, available: "Resources", limit: int) -> int:
-        """Return how many times this amount fits into `room`, `most` at the highest."""
+        """Return how many times this amount fits into `available`, at most `limit`."""
         count = limit
         if self.cores_milli:
             count = min(count, available.cores_milli // self.cores_milli)
--- a/src/galenastall/state/settings_authority.py
+++ b/src/galenastall/state/settings_authority.py
@@ -1,7 +1,7 @@
 """Who may change what in the shared tree.
 
-Authors are named by the caller; that the name is true is for the operators' HTTP side to assure
-(client certificates). What is checked here keeps teams out of each other's settings.
+The caller names the author; the operators' HTTP API authenticates that name (client certificates).
+The checks here keep teams from changing each other's settings.
 """
 
 from collections.abc import Iterator
@@ -17,8 +17,8 @@
 ) -> str | None:
     """Return why `author` may not make this change, None if it is allowed.
 
-    Operators may change all. An owner of a team may change what lies in it and below, but not its
-    own weight, quota and owners: those are granted from above.
+    Operators may change everything. An owner of a team may change the team and those below it, but
+    not the team's own weight, quota and owners, which are granted by the team above or an operator.
     """
     if author in before.operators:
         return None
@@ -44,7 +44,7 @@
 def _teams_on(
     settings: SharedSettings, keys: tuple[str, ...]
 ) -> Iterator[tuple[str, TeamSettings]]:
-    """Yield path and settings of each team on the way, topmost first."""
+    """Yield path and settings of each team along `keys`, topmost first."""
     teams = settings.teams
     for index in range(0, len(keys) - 1, 2):
         if keys[index] != _TEAMS or keys[index + 1] not in teams:
--- a/src/galenastall/state/settings_paths.py
+++ b/src/galenastall/state/settings_paths.py
@@ -1,4 +1,4 @@
-"""Paths of the shared tree and the revisions kept by path.
+"""Paths of the shared tree and the revision of each path.
 
 A path joins keys by slashes, `teams/packs/weight`; the empty path is the root. Trees are plain
 mappings and are never changed in place.
@@ -14,8 +14,8 @@
 NO_REVISION: Final = Offset(-1)
 """Revision of a path on which no change was accepted."""
 MAX_REVISED_PATHS: Final = 4096
-"""Beyond it the oldest entries are merged into their parents, which can only cause a conflict that
-need not have been, never hide one."""
+"""Beyond it the oldest entries are merged into their parents, which may cause a false conflict but
+never hides one."""
 
 
 def split_path(path: str) -> tuple[str, ...]:
@@ -47,7 +47,7 @@
 def replace_subtree(tree: Tree, path: str, subtree: Any) -> Tree:
     """Return a copy with the value at `path` replaced; None removes it, so defaults apply.
 
-    Missing mappings on the way are made. Raises ValueError if a key on the way holds no mapping.
+    Missing parent mappings are created. Raises ValueError if a parent is not a mapping.
     """
     keys = split_path(path)
     if not keys:
@@ -70,13 +70,13 @@
         return copy
     below = tree.get(head, {})
     if not isinstance(below, dict):
-        raise ValueError(f"{head!r} on the way to {path!r} holds no mapping")
+        raise ValueError(f"{head!r} in path {path!r} is not a mapping")
     copy[head] = _replace(below, rest, subtree, path)
     return copy
 
 
 class Revisions:
-    """Offset of the last accepted change by path; bounded."""
+    """Offset of the last accepted change by path; bounded by MAX_REVISED_PATHS."""
 
     def __init__(self, offsets_by_path: dict[str, int] | None = None) -> None:
         self._offsets_by_keys = {
@@ -90,7 +90,7 @@
         return Offset(max(found, default=NO_REVISION))
 
     def note(self, path: str, offset: Offset) -> None:
-        """Take in an accepted change; it stands for those on its descendants from now on."""
+        """Record an accepted change; it replaces the entries of the path's descendants."""
         keys = split_path(path)
         below = [
             other for other in self._offsets_by_keys if other[: len(keys)] == keys and other != keys
--- a/src/galenastall/state/settings_problems.py
+++ b/src/galenastall/state/settings_problems.py
@@ -1,7 +1,7 @@
-"""Turn what pydantic finds wrong in a settings tree into problems that a person can act on.
+"""Convert pydantic's validation errors of a settings tree to messages for operators.
 
 All problems of a tree are reported at once, each with its path, its value and what is allowed, so
-that a file is mended in one go.
+that a file can be corrected in one pass.
 """
 
 import difflib
@@ -17,7 +17,7 @@
 M = TypeVar("M", bound="SettingsModel")
 
 MAX_VALUE_CHARS: Final = 80
-"""Longer values are shortened in messages."""
+"""Longer values are truncated in messages."""
 HIDDEN_VALUE: Final = "(hidden)"
 _SECRET_WORD: Final = "secret"
 _UNKNOWN_KEY: Final = "extra_forbidden"
@@ -25,21 +25,21 @@
 
 
 class SettingsModel(BaseModel):
-    """Base of all settings: frozen, and an unknown key is an error."""
+    """Base of all settings models: frozen; an unknown key is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsProblem:
-    """One thing wrong in a settings tree."""
+    """One problem in a settings tree."""
 
     path: str
     """Dotted path from the root of the file or tree."""
     value: str
-    """The value found, shortened; hidden for secrets, empty for a missing key."""
+    """The value found, truncated; hidden for secrets, empty for a missing key."""
     allowed: str
-    """What would be accepted there."""
+    """What would be accepted at the path."""
 
     def __str__(self) -> str:
         found = f" {self.value}:" if self.value else ""
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsProblems:
-    """Everything that is wrong in one file or tree."""
+    """All problems of one file or tree."""
 
     source: str
-    """The file, or what else the tree came from."""
+    """The file or other origin of the tree."""
     problems: tuple[SettingsProblem, ...]
 
     def __str__(self) -> str:
@@ -61,7 +61,7 @@
 def check_tree(model: type[M], tree: object, *, source: str) -> Result[M, SettingsProblems]:
     """Return the typed settings, or all problems of the tree.
 
-    Types are taken strictly: a number in quotes is a string and is refused where a number is due.
+    Types are strict: a number in quotes is a string and is rejected where a number is expected.
     """
     if not isinstance(tree, dict):
         problem = SettingsProblem(
@@ -101,7 +101,7 @@
 
 
 def _model_at(model: type[BaseModel], loc: Sequence[int | str]) -> type[BaseModel] | None:
-    """Return the model that holds the value at `loc`, None if it is not a model."""
+    """Return the model at `loc`, None if the value there is not a model."""
     kind: Any = model
     for step in loc:
         kind = _without_none(kind)
--- a/src/galenastall/state/settings_records.py
+++ b/src/galenastall/state/settings_records.py
@@ -1,4 +1,4 @@
-"""Records of the settings stream, and the folded state that snapshots carry."""
+"""Records of the settings stream and the folded state that snapshots contain."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -15,11 +15,11 @@
 
 
 class VerdictKind(StrEnum):
-    """What the fold decided on a change."""
+    """The fold's decision on a change."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
-    """Another change on the path came first."""
+    """Another change on the path was accepted first."""
     INVALID = "invalid"
     """The tree would not have been valid."""
     FORBIDDEN = "forbidden"
@@ -37,9 +37,9 @@
     path: str
     author: str
     content: str
-    """Hash of the change, to tell a repeat from another change under the same id."""
+    """Hash of the change, to distinguish a repeat from another change with the same id."""
     detail: str = ""
-    """For people; not part of digests, as its wording may differ between versions of libraries."""
+    """For operators; excluded from digests, as its wording varies between library versions."""
 
     @property
     def is_accepted(self) -> bool:
@@ -50,31 +50,31 @@
 @RECORDS.register("settings.change")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsChange:
-    """A wish to replace one subtree; the fold decides on it at its offset."""
+    """A request to replace one subtree; the fold decides on it at its offset."""
 
     change_id: ChangeId
     path: str
     base_revision: Offset
     """The path's revision that the author saw; NO_REVISION if there was none."""
     subtree: Any
-    """Plain values; None removes the path, so that defaults apply."""
+    """Plain values; None removes the path, so its defaults apply."""
     author: str
     schema_version: int
 
     def content(self) -> str:
-        """Return the hash of what the change says."""
-        said = (self.path, self.base_revision, self.subtree, self.author)
-        return _hash(said, CONTENT_BYTES)
+        """Return the hash of path, base revision, subtree and author."""
+        fields = (self.path, self.base_revision, self.subtree, self.author)
+        return _hash(fields, CONTENT_BYTES)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsState:
-    """All that the fold knows; equal states have equal digests."""
+    """The complete state of the fold; equal states have equal digests."""
 
     tree: dict[str, Any] = field(default_factory=dict)
     revisions: dict[str, int] = field(default_factory=dict)
     verdicts: tuple[Verdict, ...] = ()
-    """The last ones, oldest first."""
+    """The latest verdicts, oldest first."""
     schema_version: int = 0
     """Highest schema version of any change folded."""
 
@@ -90,14 +90,14 @@
 @RECORDS.register("settings.snapshot")
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsSnapshot:
-    """The folded state up to an offset, so that older records may be dropped by the log."""
+    """The folded state up to an offset, so that the log may trim older records."""
 
     covering: Offset
     """Offset of the last record folded into it; -1 for none."""
     digest: str
     state: SettingsState
     written_at: float = 0.0
-    """Wall time in seconds, so that all know its age; not part of the digest."""
+    """Wall time in seconds, from which readers compute its age; not part of the digest."""
 
 
 def _hash(value: object, size: int) -> str:
--- a/src/galenastall/state/settings_tree.py
+++ b/src/galenastall/state/settings_tree.py
@@ -2,11 +2,11 @@
 
 A change is accepted at its offset if its path's revision is still the one that its author saw, the
 author may change the path, and the whole tree is valid afterwards. Every entry host folds the same
-records in the same order and so reaches the same verdict. What is in force only moves forward.
+records in the same order and so reaches the same verdict. The state in force never moves backwards.
 
-Verdicts are remembered for the last MAX_VERDICTS changes, so a repeated change within that memory
-is one change. Beyond it, a repeat of an accepted change is stale by itself: accepting it had raised
-the path's revision above its base. So the memory bounds how long a status is told, not safety.
+Verdicts are kept for the last MAX_VERDICTS changes, and a repeat of one of these is ignored. A
+later repeat of an accepted change is stale, because accepting it raised the path's revision above
+its base. So the bound limits how long a status can be queried, not safety.
 """
 
 from collections import OrderedDict, deque
@@ -45,7 +45,7 @@
 
 
 class SettingsFold:
-    """The shared tree as of an offset; see the module's comment."""
+    """The shared tree as of an offset; see the module docstring."""
 
     def __init__(self) -> None:
         """Start before the first record of a stream that is read from offset 0."""
@@ -60,7 +60,7 @@
         self._digest = self.state().digest()
         self._digests = deque([(Offset(-1), self._digest)], maxlen=REMEMBERED_DIGESTS)
         self.mismatched_snapshots = 0
-        """Snapshots in the log that don't agree with what was folded here."""
+        """Snapshots in the log whose digest differs from the state folded here."""
 
     @property
     def settings(self) -> SharedSettings:
@@ -74,7 +74,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the state, empty while a change of a newer schema keeps it from comparing."""
+        """Digest of the state; empty while changes of a newer schema make it incomparable."""
         return "" if self._blocked_by_id else self._digest
 
     @property
@@ -84,11 +84,11 @@
 
     @property
     def blocked_paths(self) -> tuple[str, ...]:
-        """Paths on which changes of a newer schema were met; what they held before is kept."""
+        """Paths with unapplied changes of a newer schema; their earlier values stay in force."""
         return tuple(sorted({change.path for change in self._blocked_by_id.values()}))
 
     def subtree(self, path: str) -> Any:
-        """Return the plain values set at `path`, None if nothing is; raises ValueError."""
+        """Return the plain values set at `path`, None if there are none; raises ValueError."""
         return get_subtree(self._tree, path)
 
     def revision(self, path: str) -> Offset:
@@ -96,19 +96,19 @@
         return self._revisions.of(path)
 
     def verdict(self, change_id: ChangeId) -> Verdict | None:
-        """Return the decision on a change, None if it is not remembered."""
+        """Return the verdict on a change, None if it is unknown or evicted."""
         return self._verdicts_by_id.get(change_id)
 
     def is_blocked(self, change_id: ChangeId) -> bool:
-        """Return whether the change was met but is of a newer schema than this version knows."""
+        """Return whether the change was read but not applied, because of a newer schema."""
         return change_id in self._blocked_by_id
 
     def verdicts(self) -> tuple[Verdict, ...]:
-        """Return the remembered decisions, oldest first."""
+        """Return the verdicts still kept, oldest first."""
         return tuple(self._verdicts_by_id.values())
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Fold a record; one beyond a gap is held, one already folded is passed over."""
+        """Fold a record; one beyond a gap is held, one already folded is ignored."""
         if logged.offset < self._next:
             return
         if logged.offset > self._next:
@@ -118,9 +118,9 @@
         self._fold_held()
 
     def adopt(self, snapshot: SettingsSnapshot) -> bool:
-        """Take over a state that reaches further than this one; return whether it was taken.
+        """Replace the state by that of a snapshot; return whether it was adopted.
 
-        Refused if it does not reach further, is damaged, or is of a newer schema.
+        Rejected if it covers no records beyond this state, is damaged, or is of a newer schema.
         """
         state = snapshot.state
         if snapshot.covering < self._next or state.schema_version > SCHEMA_VERSION:
@@ -153,7 +153,7 @@
         )
 
     def snapshot(self, *, written_at: float) -> SettingsSnapshot:
-        """Return the state as a record; raises ValueError while changes are blocked."""
+        """Return the state as a snapshot record; raises ValueError while changes are blocked."""
         if self._blocked_by_id:
             raise ValueError(f"changes of a newer schema are not folded: {self.blocked_paths}")
         return SettingsSnapshot(
@@ -214,7 +214,7 @@
         return built.failure() if isinstance(built, Failure) else None
 
     def preview(self, path: str, subtree: Any) -> Result[SharedSettings, str]:
-        """Return what would be in force with `subtree` at `path`, or why it would be invalid."""
+        """Return the settings with `subtree` at `path`, or why they would be invalid."""
         return self._build(path, subtree).map(lambda built: built[1])
 
     def _build(self, path: str, subtree: Any) -> Result[tuple[Tree, SharedSettings], str]:
--- a/src/galenastall/state/shared_settings.py
+++ b/src/galenastall/state/shared_settings.py
@@ -1,8 +1,8 @@
-"""Schema of the shared tree: what operators change while the fleet runs.
+"""Schema of the shared tree: the settings that operators change while the fleet runs.
 
-Fields are named like those of the limits that they feed, so that `fill` carries them over. Every
-field has a default, so an empty tree is a usable one. Raise SCHEMA_VERSION with every change of
-this file after which an older version could reach another verdict on a change.
+Fields have the names of the limits that they set, so that `build_from_section` can copy them. Every
+field has a default, so an empty tree is valid. Raise SCHEMA_VERSION with every change of this file
+after which an older version could reach another verdict on a change.
 """
 
 import dataclasses
@@ -23,15 +23,15 @@
 PEER_CONFIRMATION_CAP_S: Final = 3.0
 READ_CAP_S: Final = 3.0
 FLIGHT_CAP_S: Final = 0.5
-"""Claimants always wait by these caps, whatever the tree says. So each entry host may take over a
-new value in its own time: one that still has another value stays within what claimants wait for."""
+"""Claimants always wait as long as these caps require, whatever the tree says. So entry hosts may
+apply a new value at different times: one with another value still stays within that wait."""
 PERMIT_CAP_S: Final = 30.0
-"""Longest permit; the next owner of an upstream waits by it, for the same reason."""
+"""Longest permit; the next owner of an upstream waits this long, for the same reason."""
 LEASE_CAP_S: Final = 30.0
-"""Longest lease of a task; the next owner of a silent worker waits by it, for the same reason."""
+"""Longest task lease; the next owner of an unresponsive worker waits this long, likewise."""
 
 Name = Annotated[str, StringConstraints(pattern=r"^[a-z0-9][a-z0-9_.-]{0,62}$")]
-"""A key or name: no slash, since paths join keys by slashes."""
+"""A key or name; without slashes, since paths join keys by slashes."""
 Seconds = Annotated[float, Field(gt=0, le=MAX_DURATION_S)]
 Share = Annotated[float, Field(ge=0, le=1)]
 Count = Annotated[int, Field(ge=1, le=10_000_000)]
@@ -47,7 +47,7 @@
     accelerators: int = Field(default=0, ge=0, le=MAX_AMOUNT)
 
     def to_resources(self) -> Resources:
-        """Return it as the amount that the ledgers count in."""
+        """Return it as the type that the ledgers use."""
         return Resources(
             cores_milli=self.cores_milli,
             memory_mb=self.memory_mb,
@@ -59,7 +59,7 @@
     """Limits of a team's requests at each entry host."""
 
     rate_per_s: float | None = Field(default=None, gt=0)
-    """Requests admitted a second; None for no limit."""
+    """Requests admitted per second; None for no limit."""
     burst: Count = 100
     waiting: Count = 500
     """Requests that may wait."""
@@ -69,9 +69,9 @@
     """One team and the teams below it; its owners may change all but weight, quota and owners."""
 
     weight: float = Field(default=1.0, gt=0, le=1000)
-    """Share of contended room among its siblings."""
+    """Share of contended capacity relative to its siblings."""
     quota: ResourceAmount | None = None
-    """Most that its tasks may hold at once; None for no bound of its own."""
+    """Maximum that its tasks may hold at once; None for no bound of its own."""
     requests: TeamRequests = Field(default_factory=TeamRequests)
     owners: tuple[str, ...] = ()
     """Authors who may change this subtree, besides those of the teams above and the operators."""
@@ -84,23 +84,23 @@
         quota = self.quota.to_resources()
         for name, team in self.teams.items():
             if team.quota is not None and not team.quota.to_resources().fits_in(quota):
-                raise ValueError(f"quota of team {name!r} must fit in that of the team above it")
+                raise ValueError(f"quota of team {name!r} must fit into that of its parent team")
         return self
 
 
 class ClassSettings(SettingsModel):
-    """One class of urgency."""
+    """Settings of one urgency class."""
 
     policy: Name = "fair"
-    """Order within the class, by the name that it has in its registry."""
+    """Order within the class, as a name in the policy registry."""
     queue_bound: Count = 20_000
-    """Tasks that may wait in one data centre."""
+    """Maximum of waiting tasks in one data centre."""
     starvation_s: Seconds = 600.0
-    """Wait after which a task goes ahead of all but urgent ones."""
+    """Waiting time after which a task precedes all but urgent ones."""
 
 
 class ClassesSettings(SettingsModel):
-    """The classes, by urgency."""
+    """The settings of each urgency class."""
 
     urgent: ClassSettings = Field(default_factory=lambda: ClassSettings(policy="deadline"))
     normal: ClassSettings = Field(default_factory=ClassSettings)
@@ -116,7 +116,7 @@
 
 
 class PolicyNames(SettingsModel):
-    """Placement policy by class of work; never one that overcommits, as there is none."""
+    """Placement policy by class of work; no policy overcommits."""
 
     urgent: Name = "leftover"
     service: Name = "leftover"
@@ -130,41 +130,41 @@
     policies_by_class: PolicyNames = Field(default_factory=PolicyNames)
     queue_order: Literal["fair", "fifo"] = "fair"
     is_learning: bool = True
-    """Whether reservations follow learned sizes where these are larger than declared."""
+    """Whether reservations use learned sizes where these are larger than declared."""
     learned_quantile: float = Field(default=0.95, ge=0.5, lt=1)
-    """Quantile of measured peaks that a learned size stands for."""
+    """Quantile of the measured peaks that is used as the learned size."""
     is_preempting: bool = True
     overdue_every: Count = 8
-    """At least one of so many placements goes to a starving task."""
+    """At least one of this many placements goes to a starving task."""
     start_settle_s: Seconds = 15.0
     gang_hold_s: Seconds = 10.0
-    """Longest time for which capacity is held for a gang that isn't complete."""
+    """Longest time for which capacity is held for an incomplete gang."""
 
 
 class RetrySettings(SettingsModel):
-    """How much may be tried again."""
+    """Retry budget."""
 
     ratio: Share = 0.1
-    """Retries allowed for each first attempt."""
+    """Retries allowed per first attempt."""
     burst: float = Field(default=10.0, ge=0, le=10_000)
     max_attempts: int = Field(default=3, ge=1, le=10)
 
 
 class EjectionSettings(SettingsModel):
-    """When an upstream is taken out and for how long."""
+    """When an upstream is ejected and for how long."""
 
     consecutive_failures: Count = 5
     latency_factor: float = Field(default=4.0, gt=1)
-    """Mean latency over the median of all that ejects."""
+    """An upstream is ejected if its mean latency exceeds this multiple of the median of all."""
     latency_samples: Count = 20
     latency_floor_s: Seconds = 0.05
     base_s: Seconds = 5.0
-    """First ejection; doubles with each further one."""
+    """Duration of the first ejection; doubles with each further one."""
     max_s: Seconds = 120.0
     max_share: Share = 0.3
-    """Largest share of the upstreams that may be out at once."""
+    """Largest share of the upstreams that may be ejected at once."""
     reentry_s: Seconds = 10.0
-    """Time over which an upstream that comes back is given its full share again."""
+    """Time over which a returning upstream is ramped up to its full share."""
 
     @model_validator(mode="after")
     def _check_durations(self) -> "EjectionSettings":
@@ -174,7 +174,7 @@
 
 
 class PermitSettings(SettingsModel):
-    """Spans of a permit to call an upstream."""
+    """Time limits of a permit to call an upstream."""
 
     ask_ttl_s: Seconds = 1.0
     begin_within_s: Seconds = 2.0
@@ -195,11 +195,11 @@
     waiting: Count = 1000
     waiting_per_team: Count = 500
     lower_class_every: Count = 20
-    """Every n-th request handed out is of the lowest class waiting."""
+    """Every n-th dispatched request is of the lowest waiting class."""
 
 
 class RequestsSection(SettingsModel):
-    """How requests to upstreams are admitted, tried again and remembered."""
+    """Admission, retries and idempotency keys of requests to upstreams."""
 
     retries: RetrySettings = Field(default_factory=RetrySettings)
     is_hedging: bool = False
@@ -208,24 +208,24 @@
     permits: PermitSettings = Field(default_factory=PermitSettings)
     queue: QueueSettings = Field(default_factory=QueueSettings)
     key_memory_s: Seconds = 86_400.0
-    """How long idempotency keys are remembered; older ones are refused."""
+    """How long idempotency keys are kept; older ones are rejected."""
     leaving_grace_s: float = Field(default=2.0, gt=0, le=3)
-    """From the first word that an upstream is leaving to the last new request to it."""
+    """Time from the first report that an upstream is leaving to the last new request to it."""
 
 
 class OwnershipSection(SettingsModel):
     """Timings of owners and leases."""
 
     read_s: float = Field(default=READ_CAP_S, ge=0.5, le=READ_CAP_S)
-    """How long after sending a read of the log's tip its answer lets the sender act."""
+    """How long after sending a read of the log's end its answer lets the sender act."""
     vouch_s: float = Field(default=PEER_CONFIRMATION_CAP_S, ge=0.5, le=PEER_CONFIRMATION_CAP_S)
-    """How long after sending a beat its echo lets the sender act."""
+    """How long after sending a heartbeat its echo lets the sender act."""
     flight_s: float = Field(default=FLIGHT_CAP_S, ge=0.05, le=FLIGHT_CAP_S)
-    """Longest time from the last check to a command's not-after time, skew included."""
+    """Longest time from the last ownership check to a command's not-after time, skew included."""
     clock_rate_bound: float = Field(default=0.01, ge=0, lt=0.5)
     """Largest relative difference of a clock's rate from true time."""
     list_lag_s: Seconds = 30.0
-    """A host that the platform's list has not shown for longer than this is dead for good."""
+    """A host missing from the platform's list for longer than this is permanently dead."""
     lease_s: float = Field(default=LEASE_CAP_S, gt=0, le=LEASE_CAP_S)
     renew_s: Seconds = 10.0
 
@@ -240,15 +240,15 @@
     """How the platform's log is used."""
 
     append_budget_per_s: float = Field(default=150.0, ge=1, le=10_000)
-    """Appends a second of the whole fleet."""
+    """Appends per second of the whole fleet."""
     gather_ms: float = Field(default=5.0, ge=0, le=1000)
-    """Shortest wait for company before an append."""
+    """Shortest time for which an append waits for further records to batch."""
     max_window_s: Seconds = 2.0
-    """Time between two appends of a host beyond which an event says that the budget is short."""
+    """Interval between two appends of a host above which an event reports a short budget."""
     settle_s: Seconds = 30.0
-    """An append takes effect within this time of its sending or never: a word of the platform."""
+    """The platform guarantees that an append takes effect this soon after sending or never."""
     retention_s: Seconds = 86_400.0
-    """How long the log keeps records: a word of the platform."""
+    """How long the platform guarantees that the log keeps records."""
     snapshot_every_s: Seconds = 3600.0
     snapshot_every_records: Count = 500
 
@@ -266,7 +266,7 @@
 
 
 class KeyHomesSettings(SettingsModel):
-    """The data centres that share the idempotency keys made from a moment on."""
+    """The data centres that share the idempotency keys made from a given time on."""
 
     since: float = Field(ge=0)
     """Wall time in seconds since 1970; 0 in the first entry."""
@@ -280,7 +280,7 @@
 
 
 class Departure(SettingsModel):
-    """An upstream that leaves or a host that is drained."""
+    """An upstream that is leaving or a host that is drained."""
 
     why: str = Field(default="", max_length=200)
 
@@ -288,11 +288,11 @@
 class SharedSettings(SettingsModel):
     """The root of the shared tree.
 
-    Sets are mappings, so that two operators can add to one without a conflict.
+    Sets are stored as mappings, so that two operators can add members without a conflict.
     """
 
     operators: tuple[str, ...] = ()
-    """Authors who may change everything; while empty, everyone may change what has no owner."""
+    """Authors who may change everything; while empty, anyone may change what has no owner."""
     teams: dict[Name, TeamSettings] = Field(default_factory=dict)
     classes: ClassesSettings = Field(default_factory=ClassesSettings)
     placement: PlacementSection = Field(default_factory=PlacementSection)
@@ -302,10 +302,10 @@
     leaving_upstreams: dict[Name, Departure] = Field(default_factory=dict)
     """Upstreams that get no new work, by host id."""
     drains: dict[Name, Departure] = Field(default_factory=dict)
-    """Workers and entry hosts to empty, by host id."""
+    """Workers and entry hosts to drain, by host id."""
     data_centres: dict[Name, DataCentreSettings] = Field(default_factory=dict)
     key_homes: tuple[KeyHomesSettings, ...] = ()
-    """History of the data centres that share the keys; empty: `data_centres`, for all keys."""
+    """History of the data centres that share the keys; if empty, `data_centres` for all keys."""
 
     @model_validator(mode="after")
     def _check_key_homes(self) -> "SharedSettings":
@@ -313,7 +313,7 @@
         if sinces and sinces[0] != 0:
             raise ValueError("key_homes: since must be 0 in the first entry")
         if any(later <= earlier for earlier, later in pairwise(sinces)):
-            raise ValueError("key_homes: since must rise from entry to entry")
+            raise ValueError("key_homes: since must increase from entry to entry")
         return self
 
     @cached_property
@@ -334,12 +334,12 @@
 
     @cached_property
     def drained_ids(self) -> frozenset[HostId]:
-        """Ids of the hosts to empty."""
+        """Ids of the hosts to drain."""
         return frozenset(HostId(name) for name in self.drains)
 
 
 def build_from_section(kind: type[D], section: SettingsModel, **overrides: Any) -> D:
-    """Return a data class with the fields that it shares with `section`, and `others`."""
+    """Return a data class with the fields that it shares with `section`, and `overrides`."""
     names = {field.name for field in dataclasses.fields(cast(Any, kind))}
     shared = names & set(type(section).model_fields)
     return kind(**{name: getattr(section, name) for name in shared}, **overrides)
--- a/src/galenastall/state/timeline.py
+++ b/src/galenastall/state/timeline.py
@@ -1,4 +1,4 @@
-"""Typed events of the time line and their hybrid logical clock."""
+"""Time line events and their hybrid logical clock."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TimelineEvent:
-    """One thing that a process did or learned."""
+    """One action or observation of a process."""
 
     at: HybridTime
     process: str
@@ -22,7 +22,7 @@
     """layer.verb, as in errors and log lines."""
     peer: str = ""
     subjects: tuple[str, ...] = ()
-    """Ids it is about: request, job, task, host, change, ownable."""
+    """Ids that it concerns: request, job, task, host, change, ownable."""
     cause: str = ""
-    """Why, in a few words."""
+    """Short cause."""
     fields: dict[str, str] = field(default_factory=dict)
--- a/src/galenastall/state/timeline_ring.py
+++ b/src/galenastall/state/timeline_ring.py
@@ -1,8 +1,8 @@
-"""Bounded memory of a process's events, found again by the ids that they are about.
+"""Bounded buffer of a process's events, searchable by the ids that they concern.
 
-Events of single requests go to a ring of their own, so that a flood of them does not push out what
-happened to jobs, owners and settings. Queries scan; recording, which happens thousands of times for
-each query, only appends.
+Events of single requests are kept in a separate ring, so that many of them do not evict those of
+jobs, owners and settings. Queries scan; recording, which happens thousands of times per query, only
+appends.
 """
 
 from collections import deque
@@ -12,11 +12,11 @@
 from galenastall.state.timeline import TimelineEvent
 
 DEFAULT_CAPACITY: Final = 20_000
-"""Events kept, half of them for single requests."""
+"""Events kept; half of the capacity is for single requests."""
 
 
 def is_about(event: TimelineEvent, subject: str) -> bool:
-    """Return whether an event is about an id or a part of it."""
+    """Return whether an event concerns an id or a part of it, such as a task of a job."""
     if subject in event.subjects:
         return True
     prefix = f"{subject}/"
@@ -36,28 +36,28 @@
         """Events recorded since the start."""
 
     def append(self, event: TimelineEvent, *, is_detail: bool = False) -> None:
-        """Keep an event; the oldest of its half gives way."""
+        """Keep an event; evicts the oldest of its half if that is full."""
         self.recorded += 1
         (self._details if is_detail else self._events).append(event)
 
     @property
     def evicted(self) -> int:
-        """Events that gave way to newer ones."""
+        """Number of events evicted."""
         return self.recorded - len(self)
 
     def about(
         self, subject: str, *, limit: int | None = None, with_parts: bool = False
     ) -> tuple[TimelineEvent, ...]:
-        """Return the events about an id in time order, the latest `limit` of them.
+        """Return the latest `limit` events about an id, in time order.
 
-        With parts, events about ids that go on after a slash count too, as a job's tasks do.
+        With parts, ids that continue after a slash match too, as those of a job's tasks do.
         """
         if with_parts:
             return self._latest((event for event in self if is_about(event, subject)), limit)
         return self._latest((event for event in self if subject in event.subjects), limit)
 
     def latest(self, limit: int) -> tuple[TimelineEvent, ...]:
-        """Return the latest events about anything, in time order."""
+        """Return the latest events of all ids, in time order."""
         return self._latest(iter(self), limit)
 
     def _latest(
--- a/src/galenastall/state/upstream_tenures.py
+++ b/src/galenastall/state/upstream_tenures.py
@@ -1,7 +1,7 @@
-"""Which entry hosts owned an ownable before, according to a data centre's stream.
+"""Previous owners of each ownable, according to a data centre's stream.
 
-A new owner of an upstream asks the one before it which permits are out; an ownable that nobody
-owned before has none.
+A new owner of an upstream queries the previous one for the outstanding permits; an ownable without
+a previous owner has none.
 """
 
 from typing import Final
@@ -11,11 +11,11 @@
 from galenastall.state.records import LoggedRecord
 
 MAX_TENURES: Final = 4
-"""Of each ownable; the earliest epoch is remembered besides."""
+"""Per ownable; its earliest epoch is kept in addition."""
 
 
 class TenureHistory:
-    """The last owners of each ownable, in offset order."""
+    """The latest owners of each ownable, in offset order."""
 
     def __init__(self) -> None:
         """Start before the stream's first record."""
@@ -27,11 +27,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the stream was read from its first record on, or from a snapshot on."""
+        """Whether the stream was read from its first record."""
         return self._known_from is None or self._known_from == 0
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; other matters' records are passed over."""
+        """Apply the next record; unrelated record types are ignored."""
         if self._known_from is None:
             self._known_from = logged.offset
         self._next = Offset(logged.offset + 1)
@@ -47,12 +47,12 @@
                 self._apply_snapshot(snapshot)
 
     def previous_owner(self, *, ownable: OwnableId, epoch: Epoch) -> HostId | None:
-        """Return the owner before the one of `epoch`, if any is known."""
+        """Return the owner that preceded the one of `epoch`, None if it is not known."""
         last = self.previous(ownable=ownable, epoch=epoch)
         return last[1] if last else None
 
     def previous(self, *, ownable: OwnableId, epoch: Epoch) -> tuple[Epoch, HostId] | None:
-        """Return the epoch and owner before `epoch`, if that is known."""
+        """Return epoch and owner of the tenure before `epoch`, None if it is not known."""
         if self._next < epoch:
             return None
         earlier = [t for t in self._tenures_by_ownable.get(ownable, ()) if t[0] < epoch]
@@ -61,7 +61,7 @@
     def is_first(self, *, ownable: OwnableId, epoch: Epoch) -> bool:
         """Return whether nobody can have owned it before `epoch`.
 
-        Never while this has not read up to `epoch`: ownership may, through a peer, be ahead of it.
+        False until the stream was read up to `epoch`: ownership, fed by a peer, may be ahead of it.
         """
         if self._next < epoch:
             return False
--- a/src/galenastall/state/work.py
+++ b/src/galenastall/state/work.py
@@ -1,4 +1,4 @@
-"""Jobs, their tasks and the classes that policies treat unlike."""
+"""Jobs, their tasks and the classes that policies distinguish."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
@@ -8,18 +8,18 @@
 
 
 class Workload(StrEnum):
-    """How a job's tasks belong together."""
+    """How the tasks of a job are related."""
 
     SERVICE = "service"
-    """Replicas that run until told to stop; a finished one is replaced."""
+    """Replicas that run until stopped; a finished one is replaced."""
     BATCH = "batch"
-    """Independent tasks that run to their end."""
+    """Independent tasks that run to completion."""
     GANG = "gang"
     """Tasks that start all together or not at all."""
 
 
 class Urgency(IntEnum):
-    """Order of classes; a lower number goes first and may preempt higher ones."""
+    """Urgency classes; a lower number goes first and may preempt higher ones."""
 
     URGENT = 0
     NORMAL = 1
@@ -28,29 +28,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobSpec:
-    """What a caller asks for; immutable once accepted."""
+    """A job as submitted by a caller; immutable once accepted."""
 
     job_id: JobId
     team: TeamPath
     workload: Workload
     urgency: Urgency = Urgency.NORMAL
     tasks: int = 1
-    """How many tasks, or replicas of a service."""
+    """Number of tasks, or of replicas of a service."""
     resources: Resources
-    """Declared need of each task; may be far off."""
+    """Declared need of each task; may be inaccurate."""
     run_s: float | None = None
     """Declared run time of a task in seconds; None for services or if unknown."""
     deadline: float | None = None
     """Wall time in seconds by which all tasks should have ended."""
     checkpointable: bool = False
     idempotent: bool = True
-    """Whether a task that may have run may be run again."""
+    """Whether a task that may have run may run again."""
     kind: str = ""
-    """Free label of like jobs; learned sizes are kept by team and kind."""
+    """Free-form label of similar jobs; learned sizes are kept by team and kind."""
     home: DataCentre = DataCentre("")
-    """The data centre that runs it; empty lets the accepting entry host's one do so."""
+    """The data centre that runs it; if empty, that of the accepting entry host."""
     payload: str = ""
-    """Passed to the worker unread."""
+    """Passed to the worker unmodified; opaque to the scheduler."""
     submitted_at: float = 0.0
     """Wall time in seconds of acceptance; set by the entry host."""
 
@@ -75,13 +75,13 @@
 
 
 class TaskPhase(StrEnum):
-    """Where a task stands."""
+    """The state of a task."""
 
     WAITING = "waiting"
     HELD = "held"
     """Capacity is held for it, as part of a gang."""
     STARTING = "starting"
-    """A start was sent; no answer yet."""
+    """A start was sent but not answered yet."""
     RUNNING = "running"
     UNKNOWN = "unknown"
     """It may run; its capacity stays reserved."""
@@ -96,7 +96,7 @@
 
     task: TaskSpec
     reserved: Resources
-    """What the owner that started it had reserved."""
+    """Amount reserved by the owner that started it."""
     epoch: int
     lease_until: float
     """Wall time in seconds at which the worker stops it unless renewed."""
@@ -105,7 +105,7 @@
 
 
 class TaskEnd(StrEnum):
-    """Ends of a run that workers name in `FinishedTask.detail`, besides details of their own."""
+    """Ends of a run that workers report in `FinishedTask.detail`, besides their own details."""
 
     DONE = "done"
     FAILED = "failed"
--- a/tests/test_key_home_history.py
+++ b/tests/test_key_home_history.py
@@ -1,4 +1,4 @@
-"""A change of data centres can't move an idempotency key that may exist."""
+"""A change of the data centres can't move an idempotency key that may already exist."""
 
 from itertools import pairwise
 from typing import Any
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of one worker can't be driven over capacity."""
+"""No sequence of calls but adoption can overcommit the ledger of a worker."""
 
 import pytest
 from hypothesis import strategies as st
@@ -20,7 +20,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Any sequence of public calls, with a plain model beside it."""
+    """Any sequence of public calls, checked against a simple model."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_process_settings.py
+++ b/tests/test_process_settings.py
@@ -1,4 +1,4 @@
-"""Settings file of a process: accepted, or refused with every problem named."""
+"""Settings file of a process: accepted, or rejected with all problems listed."""
 
 from pathlib import Path
 
--- a/tests/test_settings_tree.py
+++ b/tests/test_settings_tree.py
@@ -24,7 +24,7 @@
 
 
 def logged(offset: int, record: Any) -> LoggedRecord:
-    """As it comes back from the log: through its JSON text."""
+    """Return the record as read back from the log, after a JSON round trip."""
     record_id = RecordId(f"r{offset}")
     if isinstance(record, UnknownRecord):
         return LoggedRecord(
--- a/tests/test_upstream_tenures.py
+++ b/tests/test_upstream_tenures.py
@@ -1,4 +1,4 @@
-"""Who owned an upstream before, as far as a stream tells."""
+"""Previous owners of an upstream, according to a stream."""
 
 from typing import Any
 
--- a/tests/test_worker_listing.py
+++ b/tests/test_worker_listing.py
@@ -42,7 +42,7 @@
     def test_applied_changes_reproduce_the_listing(
         self, before: list[Row], after: list[Row]
     ) -> None:
-        """Also with second copies of a task, whose rows can't be told apart."""
+        """Also with duplicate runs of a task, whose rows can't be distinguished."""
         base, listing = listing_of(before, "1"), listing_of(after, "2")
         answer = changes_since(base, listing)
         merged = apply_changes(base, answer)
@@ -59,7 +59,7 @@
         ],
     )
     def test_changes_to_another_listing_are_rejected(self, known: WorkerListing) -> None:
-        """Taken as whole they would declare running tasks lost."""
+        """Read as a complete listing, they would make running tasks count as lost."""
         base = listing_of([(1, 0, 1, 1)], "1")
         answer = changes_since(base, listing_of([(1, 0, 1, 2), (3, 0, 1, 1)], "2"))
         assert apply_changes(known, answer) is None
