--- a/src/galenastall/bench/job_costs.py
+++ b/src/galenastall/bench/job_costs.py
@@ -14,7 +14,7 @@
 
 from galenastall.coordination.jobs.job_shard import JobShard
 from galenastall.coordination.jobs.shard_commands import AssignBatch
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport
 from galenastall.protocol.amount_rows import pack_amount, pack_summary
 from galenastall.protocol.codec import encode_message, encode_record
@@ -87,7 +87,7 @@
     """Return the summary of a worker owner with plenty of room."""
     one = Resources(cores_milli=64_000, memory_mb=128 * 1024)
     total = Resources(cores_milli=64_000 * workers, memory_mb=128 * 1024 * workers)
-    hole = (Hole(by="cores", free=one), Hole(by="memory", free=one))
+    hole = (LargestAmount(by="cores", free=one), LargestAmount(by="memory", free=one))
     return CapacitySummary(
         workers=workers,
         capacity=total,
--- a/src/galenastall/bench/peer_slopes.py
+++ b/src/galenastall/bench/peer_slopes.py
@@ -9,7 +9,7 @@
 
 from galenastall.bench.slopes import REPEATS, slope
 from galenastall.coordination.ownership.ownership_messages import Heartbeat
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.protocol import ownership_messages
 from galenastall.protocol.amount_rows import pack_summary
 from galenastall.protocol.job_messages import JobBeat, ShardEpoch
@@ -49,7 +49,7 @@
     """Return a job beat of ordinary times."""
     some = Resources(cores_milli=1_500_000, memory_mb=3_000_000)
     hole = Resources(cores_milli=48_000, memory_mb=100_000)
-    holes = tuple(Hole(by=name, free=hole) for name in ("cores", "memory", "accelerators"))
+    holes = tuple(LargestAmount(by=name, free=hole) for name in ("cores", "memory", "accelerators"))
     return JobBeat(
         incarnation="north-1-entry-1.0123456789ab",
         shards=tuple(ShardEpoch(shard=each, epoch=Epoch(123_456)) for each in range(SHARDS)),
--- a/src/galenastall/coordination/jobs/assignees.py
+++ b/src/galenastall/coordination/jobs/assignees.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.state.ids import HostId
 from galenastall.state.resources import NOTHING, Resources
 from galenastall.state.work import Urgency
@@ -180,7 +180,7 @@
         return any(fits_some_worker(each.summary, need) for each in self._by_host.values())
 
 
-def _fits_one(holes: tuple[Hole, ...], need: Resources) -> bool:
+def _fits_one(holes: tuple[LargestAmount, ...], need: Resources) -> bool:
     return any(need.fits_in(hole.free) for hole in holes)
 
 
--- a/src/galenastall/coordination/placement/assigned_tasks.py
+++ b/src/galenastall/coordination/placement/assigned_tasks.py
@@ -11,22 +11,22 @@
 from typing import Final
 
 from galenastall.coordination.placement.task_reports import (
+    ATTEMPTS_PER_ASSIGNMENT,
     ENDING_KINDS,
-    TRIES_PER_ASSIGNMENT,
     ReportKind,
     TaskReport,
 )
 from galenastall.state.ids import Epoch, HostId, TaskId
 from galenastall.state.work import TaskSpec
 
-OVER_KEPT: Final = 50_000
+MAX_FINISHED_ATTEMPTS: Final = 50_000
 """Attempts that are over and remembered, so that a late assignment does not start them again."""
 REPEAT_S: Final = 1.0
 """When an ending report that is not settled is sent again, in seconds."""
 
 
 @dataclass(kw_only=True, slots=True)
-class ShardWord:
+class ShardContact:
     """What was last heard of a shard's owner."""
 
     owner: HostId
@@ -51,18 +51,18 @@
 
     def __init__(self) -> None:
         """Start with nothing."""
-        self._shards: dict[int, ShardWord] = {}
+        self._shards: dict[int, ShardContact] = {}
         self._by_task: dict[TaskId, AssignedTask] = {}
         self._unsent: dict[int, dict[TaskId, None]] = {}
         self._ending: dict[int, dict[TaskId, None]] = {}
-        self._over: OrderedDict[TaskId, int] = OrderedDict()
+        self._finished_attempts: OrderedDict[TaskId, int] = OrderedDict()
 
-    def hear(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
+    def note_owner(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
         """Take the word of a shard's owner; False from one that has a successor."""
         known = self._shards.get(shard)
         if known is None:
-            word = ShardWord(owner=owner, epoch=epoch, valid_until=valid_until)
-            self._shards[shard] = word
+            contact = ShardContact(owner=owner, epoch=epoch, valid_until=valid_until)
+            self._shards[shard] = contact
             return True
         if epoch < known.epoch:
             return False
@@ -86,8 +86,8 @@
         each = self._by_task.get(task_id)
         if each is None:
             return False
-        word = self._shards.get(each.shard)
-        return word is not None and now < word.valid_until
+        contact = self._shards.get(each.shard)
+        return contact is not None and now < contact.valid_until
 
     def accept(self, shard: int, tasks: Sequence[TaskSpec]) -> tuple[list[TaskSpec], list[TaskId]]:
         """Take assignments; return those that are new and to be queued, and those refused.
@@ -99,10 +99,10 @@
         refused: list[TaskId] = []
         for task in tasks:
             known = self._by_task.get(task.task_id)
-            if task.attempt <= self._over.get(task.task_id, -1):
+            if task.attempt <= self._finished_attempts.get(task.task_id, -1):
                 continue
             if known is None or _is_replaceable(known.report, task.attempt):
-                self._take(shard, task)
+                self._accept_one(shard, task)
                 new.append(task)
                 continue
             self._mark_unsent(known, task.task_id)
@@ -110,7 +110,7 @@
                 refused.append(task.task_id)
         return new, refused
 
-    def _take(self, shard: int, task: TaskSpec) -> None:
+    def _accept_one(self, shard: int, task: TaskSpec) -> None:
         if task.task_id in self._by_task:
             self._forget(task.task_id)
         report = TaskReport(task_id=task.task_id, attempt=task.attempt, kind=ReportKind.QUEUED)
@@ -130,11 +130,11 @@
         """
         known = self._by_task.get(report.task_id)
         if known is None:
-            if report.attempt <= self._over.get(report.task_id, -1):
+            if report.attempt <= self._finished_attempts.get(report.task_id, -1):
                 return
             known = AssignedTask(report=report, shard=shard, task=task)
             self._by_task[report.task_id] = known
-        elif _is_no_news(known.report, report):
+        elif _is_redundant(known.report, report):
             return
         known.report = report
         known.task = task or known.task
@@ -142,15 +142,15 @@
         if report.kind in ENDING_KINDS:
             self._ending.setdefault(known.shard, {})[report.task_id] = None
 
-    def set_quietly(self, task_id: TaskId, kind: ReportKind) -> None:
+    def set_without_report(self, task_id: TaskId, kind: ReportKind) -> None:
         """Change the word on a task without telling: a start is on its way, or did not leave."""
         known = self._by_task.get(task_id)
         if known is not None and known.report.kind not in ENDING_KINDS:
             known.report = replace(known.report, kind=kind)
 
-    def drop_invalid(self, now: float) -> list[TaskSpec]:
+    def find_invalid(self, now: float) -> list[TaskSpec]:
         """Return the queued tasks of shards that were not heard in time; unqueue them."""
-        late = {shard for shard, word in self._shards.items() if word.valid_until <= now}
+        late = {shard for shard, contact in self._shards.items() if contact.valid_until <= now}
         if not late:
             return []
         return [
@@ -168,14 +168,14 @@
         known = self._by_task.get(task_id)
         if known is None:
             return False
-        return known.report.attempt // TRIES_PER_ASSIGNMENT > attempt // TRIES_PER_ASSIGNMENT
+        return known.report.attempt // ATTEMPTS_PER_ASSIGNMENT > attempt // ATTEMPTS_PER_ASSIGNMENT
 
     def is_over(self, task_id: TaskId, attempt: int) -> bool:
         """Return whether the shard's owner has settled this attempt, or moved past it."""
         known = self._by_task.get(task_id)
         if known is not None and known.report.attempt > attempt:
             return True
-        return attempt <= self._over.get(task_id, -1)
+        return attempt <= self._finished_attempts.get(task_id, -1)
 
     def take_reports(
         self, now: float, *, skip: Container[int] = (), limit: int = 512
@@ -266,10 +266,12 @@
 
     def _forget(self, task_id: TaskId) -> None:
         each = self._remove(task_id)
-        self._over[task_id] = max(each.report.attempt, self._over.get(task_id, -1))
-        self._over.move_to_end(task_id)
-        if len(self._over) > OVER_KEPT:
-            self._over.popitem(last=False)
+        self._finished_attempts[task_id] = max(
+            each.report.attempt, self._finished_attempts.get(task_id, -1)
+        )
+        self._finished_attempts.move_to_end(task_id)
+        if len(self._finished_attempts) > MAX_FINISHED_ATTEMPTS:
+            self._finished_attempts.popitem(last=False)
 
 
 def _is_replaceable(known: TaskReport, attempt: int) -> bool:
@@ -277,7 +279,7 @@
     return known.attempt < attempt and not may_run
 
 
-def _is_no_news(known: TaskReport, report: TaskReport) -> bool:
+def _is_redundant(known: TaskReport, report: TaskReport) -> bool:
     if known.attempt != report.attempt:
         return known.attempt > report.attempt
     return known.kind in ENDING_KINDS or known == report
--- a/src/galenastall/coordination/placement/estimates.py
+++ b/src/galenastall/coordination/placement/estimates.py
@@ -23,25 +23,25 @@
 """Samples after which all counts are halved, so that old ones fade."""
 REFRESH_EVERY: Final = 8
 """New samples after which quantiles are worked out again."""
-LEAST_SAMPLES: Final = 8
+MIN_SAMPLES: Final = 8
 """Fewer teach nothing."""
-WELL_KNOWN: Final = 128
+THINNING_AFTER: Final = 128
 """Samples of a kind after which only every `THINNED`th is counted, to save time."""
-THINNED: Final = 4
+THINNING_FACTOR: Final = 4
 SIZE_QUANTILE: Final = 0.95
 RUN_QUANTILE: Final = 0.9
-MOST_KINDS: Final = 4096
+MAX_KINDS: Final = 4096
 """Teams' kinds remembered; the least recently used goes first."""
-MOST_JOBS: Final = 8192
+MAX_JOBS: Final = 8192
 """Jobs remembered; the least recently used goes first."""
-LEAST_OF_JOB: Final = 2
+MIN_JOB_SAMPLES: Final = 2
 """Ended tasks of a job after which its own usage counts."""
 JOB_MARGIN: Final = 1.05
 """How much above the largest of a job's own peaks is reserved."""
 FLOOR_MARGIN: Final = 1.25
 """How much above what an overrunning task was seen to use is reserved at its next attempt: it was
 stopped while it grew, so that what was seen is less than it needs."""
-MOST_FLOORS: Final = 8192
+MAX_FLOORS: Final = 8192
 """Tasks remembered that overran; the oldest goes first."""
 
 
@@ -100,13 +100,13 @@
 
     def record(self, end: FinishedTask, quantile: float) -> None:
         self.samples += 1
-        if self.samples > WELL_KNOWN and self.samples % THINNED:
+        if self.samples > THINNING_AFTER and self.samples % THINNING_FACTOR:
             return
         self.cores.record(end.peak.cores_milli)
         self.memory.record(end.peak.memory_mb)
         if end.ok:
             self.times.record(end.run_s)
-        if self.samples < LEAST_SAMPLES or self.samples % REFRESH_EVERY:
+        if self.samples < MIN_SAMPLES or self.samples % REFRESH_EVERY:
             return
         self.size = Resources(
             cores_milli=int(self.cores.quantile(quantile)),
@@ -136,7 +136,7 @@
         self.cores = max(self.cores, peak.cores_milli)
         self.memory = max(self.memory, peak.memory_mb)
         self.samples += 1
-        if self.samples >= LEAST_OF_JOB:
+        if self.samples >= MIN_JOB_SAMPLES:
             self.size = Resources(
                 cores_milli=int(self.cores * JOB_MARGIN), memory_mb=int(self.memory * JOB_MARGIN)
             )
@@ -157,10 +157,10 @@
         if not task.kind or (not end.peak.memory_mb and not end.peak.cores_milli):
             return
         kind = (task.team, task.kind)
-        _recent(self._learned_by_kind, kind, _Learned, MOST_KINDS).record(end, self.quantile)
-        _recent(self._peaks_by_job, task.job_id, _JobPeaks, MOST_JOBS).record(end.peak)
+        _get_or_create(self._learned_by_kind, kind, _Learned, MAX_KINDS).record(end, self.quantile)
+        _get_or_create(self._peaks_by_job, task.job_id, _JobPeaks, MAX_JOBS).record(end.peak)
 
-    def raise_floor(self, task: TaskSpec, used: Resources, most: Resources) -> None:
+    def raise_floor(self, task: TaskSpec, used: Resources, largest: Resources) -> None:
         """Remember what an overrunning task was seen to use, for its next attempt.
 
         The margin goes no further than `most`, the largest worker; what was seen counts whole, so
@@ -168,16 +168,16 @@
         it could keep all of one from ever fitting at once.
         """
         margin = 1.0 if task.workload is Workload.GANG else FLOOR_MARGIN
-        seen = max(used.memory_mb, min(int(used.memory_mb * margin), most.memory_mb))
+        seen = max(used.memory_mb, min(int(used.memory_mb * margin), largest.memory_mb))
         before = self._floors_by_task.get(task.task_id, 0)
         self._floors_by_task[task.task_id] = max(before, seen)
-        if len(self._floors_by_task) > MOST_FLOORS:
+        if len(self._floors_by_task) > MAX_FLOORS:
             self._floors_by_task.popitem(last=False)
 
     def observe(self, task: TaskSpec, used: Resources) -> None:
         """Learn from a task that runs and uses more memory than was granted."""
         if task.kind:
-            peaks = _recent(self._peaks_by_job, task.job_id, _JobPeaks, MOST_JOBS)
+            peaks = _get_or_create(self._peaks_by_job, task.job_id, _JobPeaks, MAX_JOBS)
             peaks.observe(used.memory_mb)
 
     def drop_floor(self, task_id: TaskId) -> None:
@@ -191,7 +191,7 @@
             return task.resources
         return task.resources.at_least(Resources(memory_mb=floor_mb))
 
-    def amount(self, task: TaskSpec, most: Resources) -> Resources:
+    def amount(self, task: TaskSpec, largest: Resources) -> Resources:
         """Return what to reserve: the larger of needed and learned, the latter up to `most`.
 
         `most` is the largest worker: learning must not make a task impossible.
@@ -203,8 +203,8 @@
         if size.cores_milli <= declared.cores_milli and size.memory_mb <= declared.memory_mb:
             return declared
         return Resources(
-            cores_milli=max(declared.cores_milli, min(size.cores_milli, most.cores_milli)),
-            memory_mb=max(declared.memory_mb, min(size.memory_mb, most.memory_mb)),
+            cores_milli=max(declared.cores_milli, min(size.cores_milli, largest.cores_milli)),
+            memory_mb=max(declared.memory_mb, min(size.memory_mb, largest.memory_mb)),
             accelerators=declared.accelerators,
         )
 
@@ -223,12 +223,12 @@
         return learned.run_s
 
 
-def _recent(entries: OrderedDict[K, V], key: K, make: Callable[[], V], most: int) -> V:
+def _get_or_create(entries: OrderedDict[K, V], key: K, make: Callable[[], V], limit: int) -> V:
     """Return the entry, made if there is none, as the most recent of at most `most`."""
     entry = entries.get(key)
     if entry is None:
         entry = entries[key] = make()
-        if len(entries) > most:
+        if len(entries) > limit:
             entries.popitem(last=False)
     else:
         entries.move_to_end(key)
--- a/src/galenastall/coordination/placement/explanations.py
+++ b/src/galenastall/coordination/placement/explanations.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from galenastall.coordination.placement.feasibility import describe_amount
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.coordination.placement.placement_state import Placed
 from galenastall.coordination.placement.placement_tables import PlacementTables
 from galenastall.coordination.placement.waiting import Waiting, WaitReason
@@ -16,15 +16,15 @@
     """Return sentences on what the core knows of a task."""
     placed = tables.placed_by_task.get(task_id)
     if placed is not None:
-        return tuple(_of_placed(placed, now))
+        return tuple(_explain_placed(placed, now))
     waiting = tables.queue.get(task_id)
     if waiting is not None:
-        return tuple(_of_waiting(tables, waiting, now))
+        return tuple(_explain_waiting(tables, waiting, now))
     end = tables.ends_by_task.get(task_id)
     if end is not None:
-        word = "ended well" if end.ok else "failed"
+        outcome = "ended well" if end.ok else "failed"
         detail = f": {end.detail}" if end.detail else ""
-        return (f"{task_id} {word} on {end.worker_id}{detail}.",)
+        return (f"{task_id} {outcome} on {end.worker_id}{detail}.",)
     return (f"{task_id} is not known to this owner.",)
 
 
@@ -32,11 +32,11 @@
     """Return free totals and the largest holes of the workers that may be given new tasks."""
     workers = [worker for worker in tables.workers_by_id.values() if worker.is_open]
     capacities = [worker.ledger.capacity for worker in workers]
-    rooms = [
+    available = [
         Resources(
-            cores_milli=max(worker.room_cores, 0),
-            memory_mb=max(worker.room_memory, 0),
-            accelerators=max(worker.room_accelerators, 0),
+            cores_milli=max(worker.available_cores, 0),
+            memory_mb=max(worker.available_memory, 0),
+            accelerators=max(worker.available_accelerators, 0),
         )
         for worker in workers
     ]
@@ -44,8 +44,8 @@
     return CapacitySummary(
         workers=len(workers),
         capacity=sum(capacities, NOTHING),
-        free=sum(rooms, NOTHING),
-        holes=tuple(_largest(rooms)),
+        free=sum(available, NOTHING),
+        holes=tuple(_largest(available)),
         largest_worker=tuple(_largest(capacities)),
         waiting_by_class=tables.queue.waiting_by_class(),
         running=len(tables.placed_by_task),
@@ -53,7 +53,7 @@
     )
 
 
-def _of_placed(placed: Placed, now: float) -> Iterable[str]:
+def _explain_placed(placed: Placed, now: float) -> Iterable[str]:
     task = placed.task
     amount = describe_amount(placed.entry.amount)
     age = now - placed.decided_at
@@ -73,7 +73,7 @@
         yield f"It declared {describe_amount(task.resources)}."
 
 
-def _of_waiting(tables: PlacementTables, waiting: Waiting, now: float) -> Iterable[str]:
+def _explain_waiting(tables: PlacementTables, waiting: Waiting, now: float) -> Iterable[str]:
     task = waiting.task
     share = tables.queue.share(task.team)
     reason = tables.queue.reason_of(waiting)
@@ -82,9 +82,9 @@
         f"for {describe_amount(task.resources)}: {reason.value}."
     )
     yield f"Its team {task.team} has a dominant share over its weight of {share:.1%}."
-    full = tables.queue.full_quota(task.team, tables.estimates.need(task))
-    if reason is WaitReason.QUOTA and full is not None:
-        yield f"The quota of {full[0]} is {describe_amount(full[1])}."
+    exceeded = tables.queue.exceeded_quota(task.team, tables.estimates.need(task))
+    if reason is WaitReason.QUOTA and exceeded is not None:
+        yield f"The quota of {exceeded[0]} is {describe_amount(exceeded[1])}."
     promise = tables.promises.get(task.task_id)
     if promise is not None:
         due = promise.expected_at - now
@@ -96,11 +96,11 @@
         yield "This owner has no workers yet."
 
 
-def _largest(amounts: list[Resources]) -> Iterable[Hole]:
+def _largest(amounts: list[Resources]) -> Iterable[LargestAmount]:
     if not amounts:
         return
-    yield Hole(by="cores", free=max(amounts, key=lambda a: (a.cores_milli, a.memory_mb)))
-    yield Hole(by="memory", free=max(amounts, key=lambda a: (a.memory_mb, a.cores_milli)))
+    yield LargestAmount(by="cores", free=max(amounts, key=lambda a: (a.cores_milli, a.memory_mb)))
+    yield LargestAmount(by="memory", free=max(amounts, key=lambda a: (a.memory_mb, a.cores_milli)))
     most = max(amounts, key=lambda a: (a.accelerators, a.cores_milli))
     if most.accelerators:
-        yield Hole(by="accelerators", free=most)
+        yield LargestAmount(by="accelerators", free=most)
--- a/src/galenastall/coordination/placement/feasibility.py
+++ b/src/galenastall/coordination/placement/feasibility.py
@@ -42,14 +42,14 @@
     def __init__(self) -> None:
         """Start with no workers."""
         self._counts_by_shape: dict[tuple[int, int, int], int] = {}
-        self._most: Resources = NOTHING
+        self._largest: Resources = NOTHING
         self._shapes: tuple[Resources, ...] = ()
 
     def add(self, capacity: Resources) -> None:
         """Count a worker in."""
         shape = _shape(capacity)
         self._counts_by_shape[shape] = self._counts_by_shape.get(shape, 0) + 1
-        self._work_out()
+        self._update()
 
     def remove(self, capacity: Resources) -> None:
         """Count a worker out that was counted in."""
@@ -57,21 +57,21 @@
         self._counts_by_shape[shape] -= 1
         if not self._counts_by_shape[shape]:
             del self._counts_by_shape[shape]
-        self._work_out()
+        self._update()
 
-    def _work_out(self) -> None:
+    def _update(self) -> None:
         self._shapes = tuple(
             Resources(cores_milli=cores, memory_mb=memory, accelerators=accelerators)
             for cores, memory, accelerators in self._counts_by_shape
         )
-        self._most = NOTHING
+        self._largest = NOTHING
         for shape in self._shapes:
-            self._most = self._most.at_least(shape)
+            self._largest = self._largest.at_least(shape)
 
     @property
     def most(self) -> Resources:
         """The largest amount of each resource that any worker has."""
-        return self._most
+        return self._largest
 
     def obstacle(self, need: Resources) -> str | None:
         """Return why `need` fits no owned worker, or None."""
--- a/src/galenastall/coordination/placement/gang_holds.py
+++ b/src/galenastall/coordination/placement/gang_holds.py
@@ -34,7 +34,7 @@
         self._tables = tables
         self._placer = placer
         self._holds_by_id: dict[HoldId, Hold] = {}
-        self._made = 0
+        self._hold_count = 0
         self._waiting_gang: tuple[int, str] | None = None
 
     def hold(
@@ -53,7 +53,7 @@
             self._forget(held)
             held, missing = self._hold_all(tasks, self._tables.estimates.need, now)
         if missing is not None:
-            self._give_up(gang_id, tasks, held, now)
+            self._on_no_capacity(gang_id, tasks, held, now)
             need = self._tables.estimates.need(missing)
             detail = f"{missing.task_id}: no room for {describe_amount(need)}"
             return Failure(_error(gang_id, Reason.OVERLOADED, detail))
@@ -65,15 +65,15 @@
         if hold is None or hold.until <= now:
             return Failure(_error(hold_id, Reason.NOT_FOUND, "expired or released"))
         held = [self._held(task_id) for task_id in hold.worker_by_task]
-        whole = [placed for placed in held if placed is not None and placed.worker.is_open]
-        if len(whole) < len(held):
+        startable = [placed for placed in held if placed is not None and placed.worker.is_open]
+        if len(startable) < len(held):
             self.release(hold_id)
             return Failure(_error(hold_id, Reason.CONFLICT, "a task or its worker was lost"))
         del self._holds_by_id[hold_id]
-        for placed in whole:
+        for placed in startable:
             placed.worker.ledger.move(placed.task.task_id, LedgerPhase.STARTING)
             placed.decided_at = now
-        return Success(whole)
+        return Success(startable)
 
     def extend(self, hold_id: HoldId, now: float, until: float) -> bool:
         """Let a hold stand until `until`; False if it is not whole any more or was released."""
@@ -163,9 +163,9 @@
         )
 
     def _keep(self, gang_id: str, held: Sequence[Placed], until: float) -> Hold:
-        self._made += 1
+        self._hold_count += 1
         hold = Hold(
-            hold_id=HoldId(f"{gang_id}#{self._made}"),
+            hold_id=HoldId(f"{gang_id}#{self._hold_count}"),
             gang_id=gang_id,
             until=until,
             worker_by_task={placed.task.task_id: placed.worker.worker_id for placed in held},
@@ -173,7 +173,7 @@
         self._holds_by_id[hold.hold_id] = hold
         return hold
 
-    def _give_up(
+    def _on_no_capacity(
         self,
         gang_id: str,
         tasks: Sequence[TaskSpec],
@@ -200,15 +200,15 @@
         for task in tasks:
             if self._tables.promises.get(task.task_id) is not None:
                 continue
-            if not self._demand(gang_id, task, now):
+            if not self._seek_capacity(gang_id, task, now):
                 self._drop_promises(gang_id, now)
                 self._waiting_gang = None
                 return
 
-    def _demand(self, gang_id: str, task: TaskSpec, now: float) -> bool:
+    def _seek_capacity(self, gang_id: str, task: TaskSpec, now: float) -> bool:
         """Seek room for one task; if none is foreseen, the gang must not block others."""
         amount = self._placer.amount_of(task)
-        return self._placer.demand(task, amount, now, gang_id=gang_id) is not None
+        return self._placer.preempt_or_promise(task, amount, now, gang_id=gang_id) is not None
 
     def _promise(
         self, gang_id: str, task: TaskSpec, worker: Worker, now: float, expected_at: float
@@ -231,7 +231,7 @@
         for task_id in dropped:
             self._tables.drop_promise(task_id)
         if dropped:
-            self._tables.settle_growth(now)
+            self._tables.apply_freed_capacity(now)
 
     def _held(self, task_id: TaskId) -> Placed | None:
         placed = self._tables.placed_by_task.get(task_id)
--- a/src/galenastall/coordination/placement/leases.py
+++ b/src/galenastall/coordination/placement/leases.py
@@ -21,19 +21,19 @@
 
     latest_until: float
     """No lease that was given or seen ends later."""
-    heard_at: float
+    answered_at: float
     renewed_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PeerWord:
+class PeerRenewals:
     """What a peer last said of the workers whose tasks it renews for others."""
 
     at: float
     renewing: frozenset[HostId]
 
 
-class LeaseBook:
+class LeaseTable:
     """Leases by worker."""
 
     def __init__(
@@ -41,7 +41,7 @@
         *,
         lease_s: float,
         renew_every_s: float,
-        peer_word_s: float,
+        peer_report_max_age_s: float,
         longest_lease_s: float = 0.0,
     ) -> None:
         """`peer_word_s`: how fresh a peer's word must be to prove that it renews nothing.
@@ -50,9 +50,9 @@
         """
         self._longest_lease_s = longest_lease_s
         self.apply(lease_s=lease_s, renew_every_s=renew_every_s)
-        self._peer_word_s = peer_word_s
+        self._peer_report_max_age_s = peer_report_max_age_s
         self._by_worker: dict[HostId, WorkerLease] = {}
-        self._words: dict[HostId, PeerWord] = {}
+        self._renewals_by_peer: dict[HostId, PeerRenewals] = {}
 
     def apply(self, *, lease_s: float, renew_every_s: float) -> None:
         """Give leases of another length from now on; what was given stays in mind."""
@@ -62,7 +62,7 @@
 
     def add(self, worker: HostId, now: float) -> None:
         """Begin with a worker: leases that another gave may end as late as one given now."""
-        self._by_worker[worker] = WorkerLease(latest_until=now + self._longest_s, heard_at=now)
+        self._by_worker[worker] = WorkerLease(latest_until=now + self._longest_s, answered_at=now)
 
     def remove(self, worker: HostId) -> None:
         """Forget a worker."""
@@ -76,11 +76,11 @@
             lease.latest_until = max(lease.latest_until, until)
         return until
 
-    def heard(self, worker: HostId, lease_untils: Iterable[float], now: float) -> None:
+    def note_listing(self, worker: HostId, lease_untils: Iterable[float], now: float) -> None:
         """Take note that a worker answered and of the leases that it listed."""
         lease = self._by_worker.get(worker)
         if lease is not None:
-            lease.heard_at = now
+            lease.answered_at = now
             lease.latest_until = max(lease.latest_until, *lease_untils, 0.0)
 
     def is_renewal_due(self, worker: HostId, now: float) -> bool:
@@ -88,7 +88,7 @@
         lease = self._by_worker.get(worker)
         return lease is not None and now >= lease.renewed_at + self._renew_every_s
 
-    def renewed(self, worker: HostId, now: float) -> None:
+    def note_renewal(self, worker: HostId, now: float) -> None:
         """Take note that a renewal was answered."""
         lease = self._by_worker.get(worker)
         if lease is not None:
@@ -97,13 +97,13 @@
     def silent_s(self, worker: HostId, now: float) -> float:
         """Return how long a worker has not answered; 0 for an unknown one."""
         lease = self._by_worker.get(worker)
-        return now - lease.heard_at if lease else 0.0
+        return now - lease.answered_at if lease else 0.0
 
-    def hear_peer(self, peer: HostId, renewing: Iterable[HostId], now: float) -> None:
+    def note_peer_renewals(self, peer: HostId, renewing: Iterable[HostId], now: float) -> None:
         """Take a peer's word on what it renews for others."""
-        self._words[peer] = PeerWord(at=now, renewing=frozenset(renewing))
+        self._renewals_by_peer[peer] = PeerRenewals(at=now, renewing=frozenset(renewing))
 
-    def has_lapsed(self, worker: HostId, roster: Iterable[HostId], now: float) -> bool:
+    def has_expired(self, worker: HostId, roster: Iterable[HostId], now: float) -> bool:
         """Return whether nothing can run on the worker any more.
 
         A peer that was not heard of late keeps the answer at no, and restarts the wait when its
@@ -112,14 +112,17 @@
         lease = self._by_worker.get(worker)
         if lease is None:
             return False
-        words = [self._words.get(peer) for peer in roster]
-        if any(word is None or word.at < now - self._peer_word_s for word in words):
+        renewals = [self._renewals_by_peer.get(peer) for peer in roster]
+        if any(
+            renewal is None or renewal.at < now - self._peer_report_max_age_s
+            for renewal in renewals
+        ):
             return False
-        if any(worker in word.renewing for word in words if word):
+        if any(worker in renewal.renewing for renewal in renewals if renewal):
             lease.latest_until = max(lease.latest_until, now + self._longest_s)
             return False
         return now > lease.latest_until + CLOCK_SKEW_S
 
-    def words(self) -> Mapping[HostId, PeerWord]:
+    def renewals(self) -> Mapping[HostId, PeerRenewals]:
         """Return the last word of each peer."""
-        return self._words
+        return self._renewals_by_peer
--- a/src/galenastall/coordination/placement/overrun.py
+++ b/src/galenastall/coordination/placement/overrun.py
@@ -41,7 +41,7 @@
 def expected_memory(worker: Worker) -> int:
     """Return the memory in MB that the worker is expected to use by the next report."""
     used = worker.used.memory_mb
-    before = worker.used_before
+    before = worker.previous_used
     return used if before is None else used + max(used - before.memory_mb, 0)
 
 
--- a/src/galenastall/coordination/placement/pending_commands.py
+++ b/src/galenastall/coordination/placement/pending_commands.py
@@ -33,7 +33,7 @@
         """Start with none."""
         self._endings_by_task: OrderedDict[TaskId, tuple[Placed, CommandKind, str]] = OrderedDict()
         self._throttles_by_task: OrderedDict[TaskId, tuple[Placed, float, str]] = OrderedDict()
-        self._strays: OrderedDict[tuple[HostId, TaskId], Worker] = OrderedDict()
+        self._duplicates: OrderedDict[tuple[HostId, TaskId], Worker] = OrderedDict()
 
     def stop(self, placed: Placed, cause: str) -> None:
         """Stop a task with the next decision."""
@@ -48,9 +48,9 @@
         """Throttle a task with the next decision."""
         self._throttles_by_task[placed.task.task_id] = (placed, share, cause)
 
-    def stop_stray(self, worker: Worker, task_id: TaskId) -> None:
+    def stop_duplicate(self, worker: Worker, task_id: TaskId) -> None:
         """Stop a second copy of a task that is placed elsewhere."""
-        self._strays[worker.worker_id, task_id] = worker
+        self._duplicates[worker.worker_id, task_id] = worker
 
     def forget_task(self, task_id: TaskId) -> None:
         """Drop what is due for a task that left its worker."""
@@ -59,8 +59,8 @@
 
     def forget_worker(self, worker_id: HostId) -> None:
         """Drop what is due on a worker that is no longer owned."""
-        for key in [key for key in self._strays if key[0] == worker_id]:
-            del self._strays[key]
+        for key in [key for key in self._duplicates if key[0] == worker_id]:
+            del self._duplicates[key]
 
     def take(self, starts: Iterable[Placed], now: float) -> tuple[WorkerCommands, ...]:
         """Return everything due, with these starts, one batch a worker."""
@@ -69,12 +69,12 @@
             self._take_endings(batches, now)
         if self._throttles_by_task:
             self._take_throttles(batches)
-        for (worker_id, task_id), worker in self._strays.items():
+        for (worker_id, task_id), worker in self._duplicates.items():
             stop = StopTask(
                 worker_id=worker_id, epoch=worker.epoch, task_id=task_id, cause="second copy"
             )
             _batch(batches, worker).stops.append(stop)
-        self._strays.clear()
+        self._duplicates.clear()
         for placed in starts:
             _batch(batches, placed.worker).starts.append(start_of(placed))
         return tuple(
--- a/src/galenastall/coordination/placement/placement.py
+++ b/src/galenastall/coordination/placement/placement.py
@@ -33,7 +33,7 @@
 from galenastall.coordination.placement.placement_state import Placed, Worker
 from galenastall.coordination.placement.placement_tables import PlacementTables
 from galenastall.coordination.placement.placer import Placer
-from galenastall.coordination.placement.reconcile import Reconciler, grow_to_usage
+from galenastall.coordination.placement.reconcile import Reconciler, raise_reservations_to_usage
 from galenastall.state.errors import StepError
 from galenastall.state.hosts import ListedHost
 from galenastall.state.ids import Epoch, HostId, TaskId, TeamPath
@@ -97,7 +97,7 @@
         if worker is None or worker.state is state:
             return
         worker.state = state
-        self._tables.refresh(worker, grew=True)
+        self._tables.refresh(worker, freed=True)
         if state is WorkerState.LIVE:
             return
         for promise in self._tables.promises.on_worker(worker_id):
@@ -148,7 +148,7 @@
         """Return the commands due now, with at most `limit` starts."""
         self._now = now
         expired = self._holds.expire(now)
-        self._tables.settle_growth(now)
+        self._tables.apply_freed_capacity(now)
         self._placer.begin()
         starts: list[Placed] = []
         more = False
@@ -227,15 +227,15 @@
         worker = tables.workers_by_id.get(worker_id)
         if worker is None:
             return
-        worker.used_before = worker.used if worker.is_measured else None
+        worker.previous_used = worker.used if worker.is_measured else None
         worker.is_measured = True
         worker.used = used
         for task_id, amount in used_by_task.items():
             placed = tables.placed_at(task_id, worker_id)
             if placed is not None:
                 placed.used = amount
-        grow_to_usage(tables, worker)
-        self._relieve(worker)
+        raise_reservations_to_usage(tables, worker)
+        self._relieve_memory_pressure(worker)
 
     def hold(
         self, gang_id: str, tasks: Sequence[TaskSpec], now: float, until: float
@@ -246,7 +246,7 @@
         the first gang that waits keeps room promised meanwhile. REFUSED: a task fits no worker of
         this owner. CONFLICT: a task is already placed. INVALID: no tasks.
         """
-        self._tables.settle_growth(now)
+        self._tables.apply_freed_capacity(now)
         return self._holds.hold(gang_id, tasks, now, until)
 
     def extend_hold(self, hold_id: HoldId, now: float, until: float) -> bool:
@@ -322,21 +322,21 @@
             tables.pending.stop(placed, "cancelled")
         return CancelVerdict.STOPPING
 
-    def _relieve(self, worker: Worker) -> None:
+    def _relieve_memory_pressure(self, worker: Worker) -> None:
         tables = self._tables
         settings = tables.settings.overrun
         capacity = worker.ledger.capacity.memory_mb
         here = tables.on_worker(worker)
         is_overrun = bool(capacity) and overrun.is_overrun(worker, here)
         relaxed = worker.used.memory_mb < settings.relaxed_below * capacity
-        if worker.is_pressed and (relaxed or not is_overrun):
-            worker.is_pressed = False
-            tables.refresh(worker, grew=True)
+        if worker.is_under_memory_pressure and (relaxed or not is_overrun):
+            worker.is_under_memory_pressure = False
+            tables.refresh(worker, freed=True)
         expected = overrun.expected_memory(worker)
         if not is_overrun or expected < settings.throttle_at * capacity:
             return
-        worker.is_pressed = True
-        tables.refresh(worker, grew=False)
+        worker.is_under_memory_pressure = True
+        tables.refresh(worker, freed=False)
         for action in overrun.find_overruns(worker, here, settings):
             if action.command is CommandKind.THROTTLE:
                 tables.pending.throttle(action.placed, settings.throttled_share, action.cause)
--- a/src/galenastall/coordination/placement/placement_commands.py
+++ b/src/galenastall/coordination/placement/placement_commands.py
@@ -23,7 +23,7 @@
     LIVE = "live"
     LEAVING = "leaving"
     """Runs what it has and gets nothing new."""
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     """Doesn't answer: what it has stays reserved, it gets nothing new."""
     QUARANTINED = "quarantined"
     """Failed too many different jobs; gets single probes only."""
@@ -217,7 +217,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Hole:
+class LargestAmount:
     """The largest single free room, seen by one resource."""
 
     by: str
@@ -232,8 +232,8 @@
     workers: int
     capacity: Resources
     free: Resources
-    holes: tuple[Hole, ...]
-    largest_worker: tuple[Hole, ...]
+    holes: tuple[LargestAmount, ...]
+    largest_worker: tuple[LargestAmount, ...]
     """Largest whole capacity by resource; larger tasks are impossible here."""
     waiting_by_class: Mapping[str, int] = field(default_factory=dict)
     """Queue length by urgency (`urgent`, `normal`, `backfill`)."""
--- a/src/galenastall/coordination/placement/placement_state.py
+++ b/src/galenastall/coordination/placement/placement_state.py
@@ -34,25 +34,25 @@
     """
 
     __slots__ = (
+        "available_accelerators",
+        "available_cores",
+        "available_memory",
         "epoch",
         "has_accelerators",
         "host",
         "is_measured",
         "is_paused",
-        "is_pressed",
         "is_quarantined",
+        "is_under_memory_pressure",
         "ledger",
         "per_core",
         "per_memory",
+        "previous_used",
         "promised",
         "rack",
-        "room_accelerators",
-        "room_cores",
-        "room_memory",
         "slot",
         "state",
         "used",
-        "used_before",
         "worker_id",
     )
 
@@ -68,30 +68,30 @@
         self.state = WorkerState.LIVE
         self.is_measured = False
         self.is_paused = False
-        self.is_pressed = False
+        self.is_under_memory_pressure = False
         self.is_quarantined = False
         self.promised: Resources = NOTHING
         self.used: Resources = NOTHING
-        self.used_before: Resources | None = None
+        self.previous_used: Resources | None = None
         self.has_accelerators = capacity.accelerators > 0
         self.per_core = 1.0 / capacity.cores_milli if capacity.cores_milli else 0.0
         self.per_memory = 1.0 / capacity.memory_mb if capacity.memory_mb else 0.0
-        self.refresh_room()
+        self.update_available()
 
-    def refresh_room(self) -> None:
+    def update_available(self) -> None:
         """Work out room again after the ledger or the promises changed."""
         ledger = self.ledger
         promised = self.promised
-        self.room_cores = ledger.free_cores - promised.cores_milli
-        self.room_memory = ledger.free_memory - promised.memory_mb
-        self.room_accelerators = ledger.free_accelerators - promised.accelerators
+        self.available_cores = ledger.free_cores - promised.cores_milli
+        self.available_memory = ledger.free_memory - promised.memory_mb
+        self.available_accelerators = ledger.free_accelerators - promised.accelerators
 
-    def has_room(self, amount: Resources) -> bool:
+    def can_fit(self, amount: Resources) -> bool:
         """Return whether `amount` fits besides what is promised."""
         return (
-            amount.cores_milli <= self.room_cores
-            and amount.memory_mb <= self.room_memory
-            and amount.accelerators <= self.room_accelerators
+            amount.cores_milli <= self.available_cores
+            and amount.memory_mb <= self.available_memory
+            and amount.accelerators <= self.available_accelerators
         )
 
     @property
@@ -100,7 +100,7 @@
         return (
             self.state is WorkerState.LIVE
             and not self.is_paused
-            and not self.is_pressed
+            and not self.is_under_memory_pressure
             and not self.is_quarantined
             and not self.ledger.is_overcommitted
         )
@@ -108,7 +108,7 @@
     @property
     def may_be_probed(self) -> bool:
         """Whether it may be given a probe while under quarantine."""
-        return self.state is WorkerState.LIVE and not self.is_pressed
+        return self.state is WorkerState.LIVE and not self.is_under_memory_pressure
 
 
 class Placed:
@@ -167,7 +167,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EndMemory:
+class EndRecord:
     """What is remembered of a task that ended."""
 
     task_id: TaskId
--- a/src/galenastall/coordination/placement/placement_tables.py
+++ b/src/galenastall/coordination/placement/placement_tables.py
@@ -13,7 +13,7 @@
 from galenastall.coordination.placement.feasibility import CapacityShapes
 from galenastall.coordination.placement.pending_commands import PendingCommands
 from galenastall.coordination.placement.placement_settings import PlacementSettings
-from galenastall.coordination.placement.placement_state import EndMemory, Placed, Worker
+from galenastall.coordination.placement.placement_state import EndRecord, Placed, Worker
 from galenastall.coordination.placement.promises import Promise, Promises
 from galenastall.coordination.placement.quarantine import Quarantine
 from galenastall.coordination.placement.queue_orders import QUEUE_ORDERS
@@ -26,7 +26,7 @@
 from galenastall.state.resources import NOTHING, Resources
 from galenastall.state.work import RunningTask, TaskSpec
 
-MOST_FAILED_SHAPES: Final = 32
+MAX_FAILED_SHAPES: Final = 32
 """Smallest shapes remembered as having no room; more are tried again instead."""
 
 
@@ -53,16 +53,16 @@
             for shape in self._shapes
             if shape[0] < new[0] or shape[1] < new[1] or shape[2] < new[2]
         ]
-        if len(self._shapes) < MOST_FAILED_SHAPES:
+        if len(self._shapes) < MAX_FAILED_SHAPES:
             self._shapes.append(new)
 
-    def room_grew(self, room: tuple[int, int, int]) -> None:
+    def on_capacity_freed(self, freed: tuple[int, int, int]) -> None:
         """Forget the shapes that such room might fit."""
         if self._shapes:
             self._shapes = [
                 shape
                 for shape in self._shapes
-                if shape[0] > room[0] or shape[1] > room[1] or shape[2] > room[2]
+                if shape[0] > freed[0] or shape[1] > freed[1] or shape[2] > freed[2]
             ]
 
 
@@ -85,9 +85,9 @@
         self.quarantine = Quarantine(settings=settings.quarantine)
         self.quarantined_by_id: dict[HostId, Worker] = {}
         self.failed_shapes = FailedShapes()
-        self.ends_by_task: OrderedDict[TaskId, EndMemory] = OrderedDict()
+        self.ends_by_task: OrderedDict[TaskId, EndRecord] = OrderedDict()
         self._paused_until_by_id: dict[HostId, float] = {}
-        self._grown: tuple[int, int, int] | None = None
+        self._largest_freed: tuple[int, int, int] | None = None
         self._total = NOTHING
         self._slots = 0
 
@@ -99,7 +99,7 @@
         self.capacities.add(host.capacity)
         self._total = self._total + host.capacity
         self.queue.set_total(self._total)
-        self.refresh(worker, grew=True)
+        self.refresh(worker, freed=True)
         return worker
 
     def remove_worker(self, worker: Worker) -> list[Placed]:
@@ -121,37 +121,37 @@
         self.queue.set_total(self._total)
         return lost
 
-    def refresh(self, worker: Worker, *, grew: bool) -> None:
+    def refresh(self, worker: Worker, *, freed: bool) -> None:
         """Bring the index up to date after a worker's ledger, promises or state changed."""
-        worker.refresh_room()
+        worker.update_available()
         if not worker.is_open:
             self.index.drop(worker)
             return
         self.index.put(worker)
-        if not grew:
+        if not freed:
             return
-        self._note_growth(worker)
+        self._note_freed_capacity(worker)
 
-    def settle_growth(self, now: float) -> None:
+    def apply_freed_capacity(self, now: float) -> None:
         """Let what had no room be tried again where room grew; open paused workers."""
         for worker_id in [w for w, until in self._paused_until_by_id.items() if until <= now]:
             del self._paused_until_by_id[worker_id]
             worker = self.workers_by_id[worker_id]
             worker.is_paused = False
-            self.refresh(worker, grew=True)
+            self.refresh(worker, freed=True)
         for worker in self.quarantined_by_id.values():
             if worker.may_be_probed and self.quarantine.is_probe_due(worker.worker_id, now):
-                self._note_growth(worker)
-        if self._grown is not None:
-            self.failed_shapes.room_grew(self._grown)
-            self.queue.room_grew(self._grown)
-            self._grown = None
+                self._note_freed_capacity(worker)
+        if self._largest_freed is not None:
+            self.failed_shapes.on_capacity_freed(self._largest_freed)
+            self.queue.on_capacity_freed(self._largest_freed)
+            self._largest_freed = None
 
     def pause(self, worker: Worker, now: float) -> None:
         """Give a worker nothing new for a moment, since it refused a start."""
         worker.is_paused = True
         self._paused_until_by_id[worker.worker_id] = now + self.settings.refusal_pause_s
-        self.refresh(worker, grew=False)
+        self.refresh(worker, freed=False)
 
     def set_quarantined(self, worker: Worker, *, quarantined: bool) -> None:
         """Put a worker under quarantine or take it out."""
@@ -162,7 +162,7 @@
                 self.drop_promise(promise.task_id)
         else:
             self.quarantined_by_id.pop(worker.worker_id, None)
-        self.refresh(worker, grew=True)
+        self.refresh(worker, freed=True)
 
     def reserve(
         self,
@@ -196,7 +196,7 @@
             return False
         self.queue.credit(placed.task.team, before)
         self.queue.charge(placed.task.team, amount)
-        self.refresh(placed.worker, grew=amount.fits_in(before))
+        self.refresh(placed.worker, freed=amount.fits_in(before))
         return True
 
     def forget(self, placed: Placed) -> None:
@@ -210,7 +210,7 @@
         self.pending.forget_task(task.task_id)
         if worker.is_quarantined:
             self.quarantine.on_probe_lost(worker.worker_id, task.task_id)
-        self.refresh(worker, grew=True)
+        self.refresh(worker, freed=True)
 
     def requeue(self, placed: Placed, *, next_attempt: bool) -> None:
         """Let a task wait again, ahead of its team's others, with the wait it already had."""
@@ -229,19 +229,19 @@
     def make_promise(self, promise: Promise) -> None:
         """Keep room for a waiting task."""
         self.promises.add(promise)
-        self.refresh(promise.worker, grew=False)
+        self.refresh(promise.worker, freed=False)
 
     def drop_promise(self, task_id: TaskId) -> None:
         """Give back what was promised to a task, if anything."""
         worker = self.promises.drop(task_id)
         if worker is not None:
-            self.refresh(worker, grew=True)
+            self.refresh(worker, freed=True)
 
     def remember_end(self, placed: Placed, *, ok: bool, detail: str) -> None:
         """Keep an end for a while, for late cancellations and explanations."""
         task_id = placed.task.task_id
         self.estimates.drop_floor(task_id)
-        self.ends_by_task[task_id] = EndMemory(
+        self.ends_by_task[task_id] = EndRecord(
             task_id=task_id, worker_id=placed.worker.worker_id, ok=ok, detail=detail
         )
         if len(self.ends_by_task) > self.settings.remembered_ends:
@@ -259,14 +259,14 @@
         by_task = self.placed_by_task
         return [by_task[task_id] for task_id in worker.ledger.tasks() if task_id in by_task]
 
-    def _note_growth(self, worker: Worker) -> None:
+    def _note_freed_capacity(self, worker: Worker) -> None:
         """Remember what is free there, promised or not, since backfill may use what is promised."""
         ledger = worker.ledger
-        grown = self._grown or (0, 0, 0)
-        self._grown = (
-            max(grown[0], ledger.free_cores),
-            max(grown[1], ledger.free_memory),
-            max(grown[2], ledger.free_accelerators),
+        largest = self._largest_freed or (0, 0, 0)
+        self._largest_freed = (
+            max(largest[0], ledger.free_cores),
+            max(largest[1], ledger.free_memory),
+            max(largest[2], ledger.free_accelerators),
         )
 
     def _enter(self, task: TaskSpec, worker: Worker, now: float, since: float) -> Placed:
@@ -276,5 +276,5 @@
         self.placed_by_task[task.task_id] = placed
         self.queue.charge(task.team, entry.amount)
         self.spread.add(task, worker.worker_id, worker.rack)
-        self.refresh(worker, grew=False)
+        self.refresh(worker, freed=False)
         return placed
--- a/src/galenastall/coordination/placement/placer.py
+++ b/src/galenastall/coordination/placement/placer.py
@@ -20,18 +20,18 @@
 from galenastall.state.resources import Resources
 from galenastall.state.work import TaskSpec, Urgency, Workload
 
-WORKERS_WEIGHED: Final = 6
+WORKERS_EXAMINED: Final = 6
 """Workers looked at for victims or for a promise, drawn at random."""
-DEMANDS_PER_DECISION: Final = 2
+CAPACITY_SEARCHES_PER_DECISION: Final = 2
 """Tasks for which victims or a promise are sought in one decision; the next takes on more."""
-SEEK_AGAIN_S: Final = 1.0
+VICTIM_SEARCH_INTERVAL_S: Final = 1.0
 """When an urgent task without victims looks for some again, on other workers."""
-PREEMPTED_WITHIN_S: Final = 10.0
+PREEMPTION_TIME_S: Final = 10.0
 """When room asked for by preemption is expected, in seconds."""
 PROMISE_SLACK_S: Final = 30.0
 """How long past its expected time an urgent task's promise stands; others' stand longer, for the
 time after which they starve, so that wrong estimates don't move them from worker to worker."""
-UNKNOWN_RUN_S: Final = 600.0
+DEFAULT_RUN_S: Final = 600.0
 """Remaining run time taken for batch tasks of which none is known."""
 PROMISES_PER_WORKER: Final = 4
 """Promises made to urgent tasks, for each worker; a quarter of that many to starving ones."""
@@ -44,8 +44,8 @@
         """Place from and into these tables."""
         self._tables = tables
         self._policies_by_class: dict[str, PlacementPolicy] = {}
-        self._demands_left = 0
-        self._words_by_class: dict[str, str] = {}
+        self._searches_left = 0
+        self._explanations_by_class: dict[str, str] = {}
         self.why = ""
         """Why the worker found last was chosen."""
         self.refusals: list[Refusal] = []
@@ -60,14 +60,14 @@
             )
             for name, policy in tables.settings.policies_by_class.items()
         }
-        self._words_by_class = {
+        self._explanations_by_class = {
             name: f"policy {policy} of class {name} chose it among the workers with room"
             for name, policy in tables.settings.policies_by_class.items()
         }
 
     def begin(self) -> None:
         """Start a decision: allow its share of preemptions and promises."""
-        self._demands_left = DEMANDS_PER_DECISION
+        self._searches_left = CAPACITY_SEARCHES_PER_DECISION
 
     def place(self, waiting: Waiting, now: float) -> Placed | None:
         """Reserve room for a waiting task and take it out of the queue, or note why not."""
@@ -83,7 +83,7 @@
             return None
         worker = self._promised_worker(task, amount) or self.find(task, amount, now)
         if worker is None:
-            self._on_no_room(waiting, amount, now)
+            self._on_no_capacity(waiting, amount, now)
             return None
         placed = tables.reserve(
             task, worker, amount, phase=LedgerPhase.STARTING, now=now, since=waiting.since
@@ -106,8 +106,8 @@
         amount = tables.estimates.amount(task, tables.capacities.most)
         if amount is need or amount == need:
             return need
-        full = tables.queue.full_quota(task.team, amount)
-        if full is not None and not amount.fits_in(full[1]):
+        exceeded = tables.queue.exceeded_quota(task.team, amount)
+        if exceeded is not None and not amount.fits_in(exceeded[1]):
             return need
         return need if tables.capacities.obstacle(amount) is not None else amount
 
@@ -124,23 +124,23 @@
             policy = self._policies_by_class[class_of(task)]
             worker = policy.choose(task=task, amount=amount, avoid=avoid)
             if worker is not None:
-                self.why = self._words_by_class[class_of(task)]
+                self.why = self._explanations_by_class[class_of(task)]
                 return worker
             if not avoid:
                 tables.failed_shapes.add(amount)
         return self._backfill(task, amount, now)
 
-    def demand(
+    def preempt_or_promise(
         self, task: TaskSpec, amount: Resources, now: float, *, gang_id: str = ""
     ) -> Promise | None:
         """See to it that a task gets room: end lower classes, or let a worker empty."""
         tables = self._tables
-        drawn = tables.index.draw(4 * WORKERS_WEIGHED, accelerated=amount.accelerators > 0)
+        drawn = tables.index.draw(4 * WORKERS_EXAMINED, accelerated=amount.accelerators > 0)
         workers = [worker for worker in drawn if amount.fits_in(worker.ledger.capacity)]
-        workers = workers[:WORKERS_WEIGHED]
+        workers = workers[:WORKERS_EXAMINED]
         plan = self._preempt(task, amount, workers, now)
         if plan is not None:
-            until = now + PREEMPTED_WITHIN_S
+            until = now + PREEMPTION_TIME_S
             return self._promise(
                 task,
                 plan.worker,
@@ -151,7 +151,9 @@
                 gang_id=gang_id,
                 is_preempting=True,
             )
-        times = [(self._room_at(worker, amount, now), worker.slot, worker) for worker in workers]
+        times = [
+            (self._expected_fit_at(worker, amount, now), worker.slot, worker) for worker in workers
+        ]
         expected_at, _, worker = min(times, default=(inf, 0, None))
         if worker is None or expected_at == inf:
             return None
@@ -207,33 +209,33 @@
         self.why = "it ends before the task that the room is promised to needs it"
         return worker
 
-    def _on_no_room(self, waiting: Waiting, amount: Resources, now: float) -> None:
+    def _on_no_capacity(self, waiting: Waiting, amount: Resources, now: float) -> None:
         task = waiting.task
         obstacle = self._tables.capacities.obstacle(self._tables.estimates.need(task))
         if obstacle is not None:
             self._refuse(task, RefusalReason.IMPOSSIBLE, obstacle)
             return
-        if waiting.lane is Lane.TEAM or self._demands_left <= 0:
-            waiting.reason = WaitReason.ROOM
+        if waiting.lane is Lane.TEAM or self._searches_left <= 0:
+            waiting.reason = WaitReason.NO_CAPACITY
             return
         promise = self._tables.promises.get(task.task_id)
-        if promise is not None and not self._may_seek_again(task, promise, now):
+        if promise is not None and not self._may_retry_preemption(task, promise, now):
             return
-        if len(self._tables.promises) >= self._most_promises(waiting.lane):
-            waiting.reason = WaitReason.ROOM
+        if len(self._tables.promises) >= self._max_promises(waiting.lane):
+            waiting.reason = WaitReason.NO_CAPACITY
             return
-        self._demands_left -= 1
+        self._searches_left -= 1
         self._tables.drop_promise(task.task_id)
-        promise = self.demand(task, amount, now)
-        waiting.reason = WaitReason.ROOM if promise is None else WaitReason.PROMISED
+        promise = self.preempt_or_promise(task, amount, now)
+        waiting.reason = WaitReason.NO_CAPACITY if promise is None else WaitReason.PROMISED
 
-    def _may_seek_again(self, task: TaskSpec, promise: Promise, now: float) -> bool:
+    def _may_retry_preemption(self, task: TaskSpec, promise: Promise, now: float) -> bool:
         """Whether an urgent task that waits for a worker to empty should look for victims again."""
         if task.urgency is not Urgency.URGENT or promise.is_preempting:
             return False
-        return now - promise.made_at >= SEEK_AGAIN_S
+        return now - promise.made_at >= VICTIM_SEARCH_INTERVAL_S
 
-    def _most_promises(self, lane: Lane | None) -> int:
+    def _max_promises(self, lane: Lane | None) -> int:
         most = PROMISES_PER_WORKER * len(self._tables.workers_by_id)
         return most if lane is Lane.URGENT else max(most // 16, 1)
 
@@ -283,12 +285,15 @@
         self._tables.make_promise(promise)
         return promise
 
-    def _room_at(self, worker: Worker, amount: Resources, now: float) -> float:
+    def _expected_fit_at(self, worker: Worker, amount: Resources, now: float) -> float:
         """Return when a worker is expected to have room, in wall seconds; inf if not foreseen."""
         free = worker.ledger.free - worker.promised
         if amount.fits_in(free):
             return now
-        ends = [(self._ends_at(placed, now), placed) for placed in self._tables.on_worker(worker)]
+        ends = [
+            (self._expected_end_at(placed, now), placed)
+            for placed in self._tables.on_worker(worker)
+        ]
         ends.sort(key=lambda end: end[0])
         for ends_at, placed in ends:
             free = free + placed.entry.amount
@@ -296,23 +301,23 @@
                 return ends_at
         return inf
 
-    def _ends_at(self, placed: Placed, now: float) -> float:
+    def _expected_end_at(self, placed: Placed, now: float) -> float:
         if placed.ending is not None:
-            return now + PREEMPTED_WITHIN_S
+            return now + PREEMPTION_TIME_S
         if placed.task.workload is Workload.SERVICE:
             return inf
         run_s = self._tables.estimates.run_s(placed.task)
-        left = UNKNOWN_RUN_S if run_s is None else placed.decided_at + run_s - now
+        left = DEFAULT_RUN_S if run_s is None else placed.decided_at + run_s - now
         return now + max(left, 1.0)
 
     def _refuse_over_quota(self, task: TaskSpec) -> None:
         """Refuse a task for which a quota would not do even with nothing else reserved."""
         need = self._tables.estimates.need(task)
-        full = self._tables.queue.full_quota(task.team, need)
-        if full is None or need.fits_in(full[1]):
+        exceeded = self._tables.queue.exceeded_quota(task.team, need)
+        if exceeded is None or need.fits_in(exceeded[1]):
             return
         detail = f"needs {describe_amount(need)}; "
-        detail += f"the quota of {full[0]} is {describe_amount(full[1])}"
+        detail += f"the quota of {exceeded[0]} is {describe_amount(exceeded[1])}"
         self._refuse(task, RefusalReason.IMPOSSIBLE, detail)
 
     def _refuse(self, task: TaskSpec, reason: RefusalReason, detail: str) -> None:
--- a/src/galenastall/coordination/placement/policies.py
+++ b/src/galenastall/coordination/placement/policies.py
@@ -56,7 +56,7 @@
     ) -> Worker | None:
         """Return the first worker with room."""
         for worker in self._index.in_order():
-            if worker.has_room(amount) and worker.worker_id not in avoid:
+            if worker.can_fit(amount) and worker.worker_id not in avoid:
                 return worker
         return None
 
@@ -80,7 +80,7 @@
             fitting = [
                 worker
                 for worker in self._index.in_order()
-                if worker.has_room(amount) and worker.worker_id not in avoid
+                if worker.can_fit(amount) and worker.worker_id not in avoid
             ]
         return self._rng.choice(fitting) if fitting else None
 
@@ -133,8 +133,8 @@
 
 def leftover(worker: Worker, amount: Resources) -> float:
     """Return how much, and how unevenly, a worker would have left; lower is better."""
-    cores = (worker.room_cores - amount.cores_milli) * worker.per_core
-    memory = (worker.room_memory - amount.memory_mb) * worker.per_memory
+    cores = (worker.available_cores - amount.cores_milli) * worker.per_core
+    memory = (worker.available_memory - amount.memory_mb) * worker.per_memory
     return cores + memory + IMBALANCE_WEIGHT * abs(cores - memory)
 
 
--- a/src/galenastall/coordination/placement/quarantine.py
+++ b/src/galenastall/coordination/placement/quarantine.py
@@ -13,7 +13,7 @@
 
 from galenastall.state.ids import HostId, JobId, TaskId
 
-MOST_JOBS: Final = 20_000
+MAX_JOBS: Final = 20_000
 """Jobs whose failures are remembered; the least recently failed goes first."""
 
 
@@ -94,7 +94,7 @@
         job.failures_by_task[task_id] = job.failures_by_task.get(task_id, 0) + 1
         if self._is_job_at_fault(job):
             job.is_bad = True
-            self._acquit_workers(job, job_id)
+            self._clear_workers(job, job_id)
             return HealthVerdict.JOB_BAD
         worker.failed_jobs.add(job_id)
         if len(worker.failed_jobs) >= self.settings.jobs_per_worker:
@@ -155,7 +155,7 @@
         job = self._jobs_by_id.get(job_id)
         if job is None:
             job = self._jobs_by_id[job_id] = _JobHealth()
-            if len(self._jobs_by_id) > MOST_JOBS:
+            if len(self._jobs_by_id) > MAX_JOBS:
                 self._jobs_by_id.popitem(last=False)
         self._jobs_by_id.move_to_end(job_id)
         return job
@@ -163,7 +163,7 @@
     def _is_job_at_fault(self, job: _JobHealth) -> bool:
         return not job.has_succeeded and len(job.details_by_worker) >= self.settings.workers_per_job
 
-    def _acquit_workers(self, job: _JobHealth, job_id: JobId) -> None:
+    def _clear_workers(self, job: _JobHealth, job_id: JobId) -> None:
         for worker_id in job.details_by_worker:
             worker = self._workers_by_id.get(worker_id)
             if worker is not None:
--- a/src/galenastall/coordination/placement/reconcile.py
+++ b/src/galenastall/coordination/placement/reconcile.py
@@ -21,7 +21,7 @@
 from galenastall.state.work import FinishedTask, RunningTask, TaskEnd, TaskPhase, TaskSpec
 
 CANCELLED = "cancelled"
-BROKEN_OFF = frozenset(
+INTERRUPTED_ENDS = frozenset(
     {TaskEnd.STOPPED.value, TaskEnd.CHECKPOINTED.value, TaskEnd.LEASE_LAPSED.value}
 )
 """Ends that speak neither against the task nor against the worker."""
@@ -44,7 +44,7 @@
     def __init__(self, *, tables: PlacementTables) -> None:
         """Write to these tables."""
         self._tables = tables
-        self._strays_by_worker: dict[HostId, set[TaskId]] = {}
+        self._duplicates_by_worker: dict[HostId, set[TaskId]] = {}
 
     def start_answer(
         self, task_id: TaskId, worker_id: HostId, answer: StartAnswer, now: float
@@ -120,7 +120,7 @@
                 self._tables.adopt(worker, listed, now)
                 adopted.append(task_id)
             elif placed.worker is not worker:
-                self._on_second_copy(worker, listed)
+                self._on_duplicate(worker, listed)
                 duplicates.append(task_id)
             else:
                 if placed.phase is not TaskPhase.RUNNING:
@@ -152,7 +152,7 @@
 
     def forget_worker(self, worker_id: HostId) -> None:
         """Drop what is known of a worker that is no longer owned."""
-        self._strays_by_worker.pop(worker_id, None)
+        self._duplicates_by_worker.pop(worker_id, None)
 
     def _on_refused_ending(self, placed: Placed, command: CommandKind) -> None:
         placed.ending = None
@@ -177,8 +177,8 @@
         was_stopped = placed.ending is not None and not end.ok
         may_repeat = placed.task.idempotent or end.detail == TaskEnd.CHECKPOINTED.value
         verdict = HealthVerdict.NOTHING
-        if not (was_stopped and may_repeat) and end.detail not in BROKEN_OFF:
-            verdict = self._judge(placed, end, now)
+        if not (was_stopped and may_repeat) and end.detail not in INTERRUPTED_ENDS:
+            verdict = self._update_health(placed, end, now)
         tables.forget(placed)
         if was_stopped and may_repeat and not placed.is_cancelled:
             tables.requeue(placed, next_attempt=True)
@@ -200,7 +200,7 @@
             worker_change=self._apply_verdict(worker, verdict),
         )
 
-    def _judge(self, placed: Placed, end: FinishedTask, now: float) -> HealthVerdict:
+    def _update_health(self, placed: Placed, end: FinishedTask, now: float) -> HealthVerdict:
         quarantine = self._tables.quarantine
         task = placed.task
         worker_id = placed.worker.worker_id
@@ -228,12 +228,12 @@
             task=waiting.task, worker_id=worker_id, ok=end.ok, advice=advice, detail=end.detail
         )
 
-    def _on_second_copy(self, worker: Worker, listed: RunningTask) -> None:
+    def _on_duplicate(self, worker: Worker, listed: RunningTask) -> None:
         task_id = listed.task.task_id
         worker.ledger.adopt(task_id, listed.reserved)
-        self._strays_by_worker.setdefault(worker.worker_id, set()).add(task_id)
-        self._tables.refresh(worker, grew=False)
-        self._tables.pending.stop_stray(worker, task_id)
+        self._duplicates_by_worker.setdefault(worker.worker_id, set()).add(task_id)
+        self._tables.refresh(worker, freed=False)
+        self._tables.pending.stop_duplicate(worker, task_id)
 
     def _repeat_command(self, placed: Placed, now: float) -> None:
         if placed.ending is None:
@@ -249,7 +249,7 @@
         self, worker: Worker, listed: Collection[TaskId], asked_at: float
     ) -> _Missing:
         missing = _Missing()
-        self._free_strays(worker, listed)
+        self._free_duplicates(worker, listed)
         for placed in self._tables.on_worker(worker):
             if placed.worker is not worker or placed.task.task_id in listed:
                 continue
@@ -257,14 +257,14 @@
                 self._on_absent(placed, missing)
         return missing
 
-    def _free_strays(self, worker: Worker, listed: Collection[TaskId]) -> None:
-        strays = self._strays_by_worker.get(worker.worker_id)
-        if not strays:
+    def _free_duplicates(self, worker: Worker, listed: Collection[TaskId]) -> None:
+        duplicates = self._duplicates_by_worker.get(worker.worker_id)
+        if not duplicates:
             return
-        for task_id in [task_id for task_id in strays if task_id not in listed]:
-            strays.remove(task_id)
+        for task_id in [task_id for task_id in duplicates if task_id not in listed]:
+            duplicates.remove(task_id)
             worker.ledger.release(task_id)
-            self._tables.refresh(worker, grew=True)
+            self._tables.refresh(worker, freed=True)
 
     def _is_proved_absent(self, placed: Placed, asked_at: float) -> bool:
         phase = placed.phase
@@ -299,7 +299,7 @@
         missing.lapsed.append(task)
 
 
-def grow_to_usage(tables: PlacementTables, worker: Worker) -> None:
+def raise_reservations_to_usage(tables: PlacementTables, worker: Worker) -> None:
     """Reserve what overrunning tasks really use, as far as it fits."""
     for placed in tables.on_worker(worker):
         amount = placed.entry.amount
--- a/src/galenastall/coordination/placement/start_horizon.py
+++ b/src/galenastall/coordination/placement/start_horizon.py
@@ -41,7 +41,7 @@
             return
         self._tenures_by_worker[worker] = _Tenure(epoch, until)
 
-    def learn(self, worker: HostId, *, epoch: Epoch, until: float) -> None:
+    def shorten(self, worker: HostId, *, epoch: Epoch, until: float) -> None:
         """Take the last owner's word on when its starts are over, unless this epoch is past."""
         tenure = self._tenures_by_worker.get(worker)
         if tenure is not None and tenure.epoch == epoch:
--- a/src/galenastall/coordination/placement/task_reports.py
+++ b/src/galenastall/coordination/placement/task_reports.py
@@ -6,9 +6,9 @@
 
 from galenastall.state.ids import Epoch, HostId, TaskId
 
-TRIES_PER_EPOCH: Final = 1 << 24
+ATTEMPTS_PER_EPOCH: Final = 1 << 24
 """Attempt numbers of one task under one shard epoch."""
-TRIES_PER_ASSIGNMENT: Final = 64
+ATTEMPTS_PER_ASSIGNMENT: Final = 64
 """Attempt numbers that an assignee may use by itself, each time that a task makes way there."""
 
 
@@ -88,16 +88,16 @@
     Numbers under a later epoch are higher than all earlier ones, so that a new shard owner that
     can't know how many attempts there were never uses a number again.
     """
-    return epoch * TRIES_PER_EPOCH
+    return epoch * ATTEMPTS_PER_EPOCH
 
 
 def next_attempt(tries: int) -> int:
     """Return the first number, within an epoch, after the assignment that `tries` is of."""
-    return (tries // TRIES_PER_ASSIGNMENT + 1) * TRIES_PER_ASSIGNMENT
+    return (tries // ATTEMPTS_PER_ASSIGNMENT + 1) * ATTEMPTS_PER_ASSIGNMENT
 
 
 def describe_attempt(attempt: int) -> str:
     """Return an attempt's number in words: epoch, assignment under it, and run within that."""
-    epoch, tries = divmod(attempt, TRIES_PER_EPOCH)
-    assignment, run = divmod(tries, TRIES_PER_ASSIGNMENT)
+    epoch, tries = divmod(attempt, ATTEMPTS_PER_EPOCH)
+    assignment, run = divmod(tries, ATTEMPTS_PER_ASSIGNMENT)
     return f"{epoch}.{assignment}.{run}"
--- a/src/galenastall/coordination/placement/team_gossip.py
+++ b/src/galenastall/coordination/placement/team_gossip.py
@@ -9,9 +9,9 @@
 from galenastall.state.ids import HostId, TeamPath
 from galenastall.state.resources import NOTHING, Resources
 
-CHANGED_PER_BEAT: Final = 6
+CHANGED_PER_HEARTBEAT: Final = 6
 """Teams told of because their amount changed, those that changed most first."""
-REPEATED_PER_BEAT: Final = 2
+REPEATED_PER_HEARTBEAT: Final = 2
 """Teams told of again in turn, in case a beat was lost."""
 
 
@@ -20,42 +20,42 @@
 
     def __init__(self) -> None:
         """Start with nothing told and nothing heard."""
-        self._told: dict[TeamPath, Resources] = {}
-        self._heard: dict[HostId, dict[TeamPath, Resources]] = {}
+        self._sent: dict[TeamPath, Resources] = {}
+        self._received_by_peer: dict[HostId, dict[TeamPath, Resources]] = {}
 
-    def tell(self, reserved: Mapping[TeamPath, Resources]) -> dict[TeamPath, Resources]:
+    def take_updates(self, reserved: Mapping[TeamPath, Resources]) -> dict[TeamPath, Resources]:
         """Return what to tell with the next beat."""
-        teams = {*reserved, *self._told}
+        teams = {*reserved, *self._sent}
         changes = {
-            team: _distance(reserved.get(team, NOTHING), self._told.get(team, NOTHING))
+            team: _distance(reserved.get(team, NOTHING), self._sent.get(team, NOTHING))
             for team in teams
         }
         changed = sorted((team for team in teams if changes[team]), key=lambda t: (-changes[t], t))
-        chosen = changed[:CHANGED_PER_BEAT]
-        chosen += [team for team in self._told if team not in chosen][:REPEATED_PER_BEAT]
-        told = {team: reserved.get(team, NOTHING) for team in chosen}
-        for team, amount in told.items():
+        chosen = changed[:CHANGED_PER_HEARTBEAT]
+        chosen += [team for team in self._sent if team not in chosen][:REPEATED_PER_HEARTBEAT]
+        updates = {team: reserved.get(team, NOTHING) for team in chosen}
+        for team, amount in updates.items():
             # Told last, repeated last.
-            self._told.pop(team, None)
-            self._told[team] = amount
-        return told
+            self._sent.pop(team, None)
+            self._sent[team] = amount
+        return updates
 
-    def hear(self, sender: HostId, told: Mapping[TeamPath, Resources]) -> None:
+    def apply_updates(self, sender: HostId, updates: Mapping[TeamPath, Resources]) -> None:
         """Take in a peer's word."""
-        heard = self._heard.setdefault(sender, {})
-        heard.update(told)
-        for team in [team for team, amount in heard.items() if amount == NOTHING]:
-            del heard[team]
+        received = self._received_by_peer.setdefault(sender, {})
+        received.update(updates)
+        for team in [team for team, amount in received.items() if amount == NOTHING]:
+            del received[team]
 
     def forget(self, sender: HostId) -> None:
         """Drop what a peer said that is gone."""
-        self._heard.pop(sender, None)
+        self._received_by_peer.pop(sender, None)
 
-    def elsewhere(self) -> dict[TeamPath, Resources]:
+    def reserved_elsewhere(self) -> dict[TeamPath, Resources]:
         """Return what teams have reserved with all other owners."""
         total: dict[TeamPath, Resources] = {}
-        for heard in self._heard.values():
-            for team, amount in heard.items():
+        for received in self._received_by_peer.values():
+            for team, amount in received.items():
                 total[team] = total.get(team, NOTHING) + amount
         return total
 
--- a/src/galenastall/coordination/placement/team_queue.py
+++ b/src/galenastall/coordination/placement/team_queue.py
@@ -13,8 +13,14 @@
 from sortedcontainers import SortedDict, SortedList
 
 from galenastall.coordination.placement.placement_settings import PlacementSettings
-from galenastall.coordination.placement.team_lines import TeamLines, with_below
-from galenastall.coordination.placement.waiting import Lane, TeamLane, TeamLine, Waiting, WaitReason
+from galenastall.coordination.placement.team_accounts import TeamAccounts, with_descendants
+from galenastall.coordination.placement.waiting import (
+    Lane,
+    TeamAccount,
+    TeamLane,
+    Waiting,
+    WaitReason,
+)
 from galenastall.state.ids import TaskId, TeamPath
 from galenastall.state.resources import NOTHING, Resources
 from galenastall.state.work import TaskSpec, Urgency
@@ -41,9 +47,9 @@
         self._settings = settings
         self._total: Resources = NOTHING
         self._waiting_by_id: dict[TaskId, Waiting] = {}
-        self._lines = TeamLines(settings=settings)
+        self._accounts = TeamAccounts(settings=settings)
         self._by_share = {urgency: SortedList() for urgency in TEAM_CLASSES}
-        self._parked: dict[tuple[Urgency, TeamPath], TeamLane] = {}
+        self._suspended: dict[tuple[Urgency, TeamPath], TeamLane] = {}
         self._urgent: SortedDict = SortedDict()
         self._overdue: SortedDict = SortedDict()
         self._at_quota_by_team: dict[TeamPath, SortedDict] = {}
@@ -55,21 +61,21 @@
     def apply_settings(self, settings: PlacementSettings) -> None:
         """Use other weights, quotas and bounds from now on."""
         self._settings = settings
-        self._lines.apply_settings(settings)
-        for line in self._lines:
-            self._unpark_all(line)
+        self._accounts.apply_settings(settings)
+        for account in self._accounts:
+            self._resume_all(account)
 
     def set_total(self, total: Resources) -> None:
         """Say what all owned workers hold together; shares are shares of this."""
         self._total = total
-        for line in self._lines:
-            self._refile(line)
+        for account in self._accounts:
+            self._reorder(account)
 
     def set_elsewhere(self, reserved_by_team: Mapping[TeamPath, Resources]) -> None:
         """Say what teams have reserved with other owners, for shares and quotas."""
-        self._lines.set_elsewhere(reserved_by_team)
-        for line in self._lines:
-            self._unpark_all(line)
+        self._accounts.set_elsewhere(reserved_by_team)
+        for account in self._accounts:
+            self._resume_all(account)
 
     def add(self, task: TaskSpec, since: float, *, first: bool = False) -> Waiting | None:
         """Let a task wait; `first` puts it ahead of its team's others. None if it waits already."""
@@ -88,11 +94,11 @@
         due_at = since + self._settings.starvation_of(task.urgency)
         heappush(self._due_heap, (due_at, waiting.seq, task.task_id))
         waiting.lane = Lane.TEAM
-        lane = self._lines.get(task.team).lanes_by_urgency[task.urgency]
+        lane = self._accounts.get(task.team).lanes_by_urgency[task.urgency]
         lane.add(waiting, first=first)
-        if lane.parked is not None and not _covers(lane.parked, task.resources):
-            self._unpark(lane)
-        self._refile_lane(lane)
+        if lane.suspended is not None and not _covers(lane.suspended, task.resources):
+            self._resume(lane)
+        self._reorder_lane(lane)
         return waiting
 
     def remove(self, task_id: TaskId) -> Waiting | None:
@@ -106,7 +112,7 @@
         elif waiting.lane is Lane.OVERDUE:
             del self._overdue[waiting.order]
         elif waiting.lane is Lane.AT_QUOTA:
-            self._leave_quota_line(waiting)
+            self._leave_quota_queue(waiting)
         else:
             self._leave_lane(waiting)
         waiting.lane = None
@@ -124,36 +130,38 @@
 
     def charge(self, team: TeamPath, amount: Resources) -> None:
         """Count what was reserved for a team."""
-        line = self._lines.get(team)
-        line.take(amount, 1)
-        self._refile(line)
+        account = self._accounts.get(team)
+        account.add_reserved(amount, 1)
+        self._reorder(account)
 
     def credit(self, team: TeamPath, amount: Resources) -> None:
         """Count what a team gave back."""
-        line = self._lines.get(team)
-        line.take(amount, -1)
-        bounded = line.bounded_by()
-        if bounded is None:
-            self._refile(line)
+        account = self._accounts.get(team)
+        account.add_reserved(amount, -1)
+        highest = account.highest_quota_account()
+        if highest is None:
+            self._reorder(account)
             return
-        for other in with_below(bounded):
-            self._unpark_all(other, urgent=QUOTA_TRIES)
+        for other in with_descendants(highest):
+            self._resume_all(other, urgent=QUOTA_TRIES)
 
     def allows(self, team: TeamPath, amount: Resources) -> bool:
         """Return whether a team's quota, and those of the teams above, leave room for `amount`."""
-        return self._lines.get(team).find_full(amount) is None
+        return self._accounts.get(team).find_exceeded(amount) is None
 
-    def full_quota(self, team: TeamPath, amount: Resources) -> tuple[TeamPath, Resources] | None:
+    def exceeded_quota(
+        self, team: TeamPath, amount: Resources
+    ) -> tuple[TeamPath, Resources] | None:
         """Return the team and the quota that leave no room for `amount` more, if any does."""
-        return self._lines.full_quota(team, amount)
+        return self._accounts.exceeded_quota(team, amount)
 
     def share(self, team: TeamPath) -> float:
         """Return a team's dominant share over its weight."""
-        return self._lines.get(team).share_of(self._total)
+        return self._accounts.get(team).share_of(self._total)
 
     def reserved_by_team(self) -> dict[TeamPath, Resources]:
         """Return what each team has reserved with this owner."""
-        return self._lines.reserved_by_team()
+        return self._accounts.reserved_by_team()
 
     def waiting_by_class(self) -> dict[str, int]:
         """Return how many tasks wait, by urgency."""
@@ -163,18 +171,18 @@
         """Return the task that came first among those that wait."""
         return next(iter(self._waiting_by_id.values()), None)
 
-    def room_grew(self, room: tuple[int, int, int]) -> None:
+    def on_capacity_freed(self, freed: tuple[int, int, int]) -> None:
         """Try parked teams again whose smallest tried task would fit such room."""
-        if not self._parked:
+        if not self._suspended:
             return
-        cores, memory, accelerators = room
-        for lane in list(self._parked.values()):
-            parked = lane.parked
-            if parked is None:
+        cores, memory, accelerators = freed
+        for lane in list(self._suspended.values()):
+            suspended = lane.suspended
+            if suspended is None:
                 continue
-            if parked[0] <= cores and parked[1] <= memory and parked[2] <= accelerators:
-                self._unpark(lane)
-                self._refile_lane(lane)
+            if suspended[0] <= cores and suspended[1] <= memory and suspended[2] <= accelerators:
+                self._resume(lane)
+                self._reorder_lane(lane)
 
     def scan(self, now: float) -> Iterator[Waiting]:
         """Return tasks in the order in which to try them; the caller removes what it placed."""
@@ -231,7 +239,7 @@
         by_share = self._by_share[urgency]
         misses = 0
         while by_share and misses < SCAN_TRIES:
-            lane = self._lines.get(by_share[0][1]).lanes_by_urgency[urgency]
+            lane = self._accounts.get(by_share[0][1]).lanes_by_urgency[urgency]
             smallest: tuple[int, int, int] | None = None
             placed = False
             for waiting in lane.heads(JOB_TRIES):
@@ -243,7 +251,7 @@
                 misses += 1
                 smallest = _smaller(smallest, waiting.task.resources)
             if not placed:
-                self._park(lane, smallest)
+                self._suspend(lane, smallest)
 
     def _promote(self, now: float) -> None:
         while self._due_heap and self._due_heap[0][0] <= now:
@@ -259,13 +267,13 @@
         """Keep an urgent task aside until its team is below its quota again."""
         del self._urgent[waiting.order]
         waiting.lane = Lane.AT_QUOTA
-        line = self._at_quota_by_team.setdefault(waiting.task.team, SortedDict())
-        line[waiting.order] = waiting
+        held = self._at_quota_by_team.setdefault(waiting.task.team, SortedDict())
+        held[waiting.order] = waiting
 
-    def _leave_quota_line(self, waiting: Waiting) -> None:
-        line = self._at_quota_by_team[waiting.task.team]
-        del line[waiting.order]
-        if not line:
+    def _leave_quota_queue(self, waiting: Waiting) -> None:
+        held = self._at_quota_by_team[waiting.task.team]
+        del held[waiting.order]
+        if not held:
             del self._at_quota_by_team[waiting.task.team]
 
     def _return_to_team(self, waiting: Waiting, now: float) -> None:
@@ -276,28 +284,28 @@
         heappush(self._due_heap, (due_at, waiting.seq, waiting.task.task_id))
         lane = self._lane_of(waiting)
         lane.add(waiting, first=True)
-        self._refile_lane(lane)
+        self._reorder_lane(lane)
 
     def _lane_of(self, waiting: Waiting) -> TeamLane:
         task = waiting.task
-        return self._lines.get(task.team).lanes_by_urgency[task.urgency]
+        return self._accounts.get(task.team).lanes_by_urgency[task.urgency]
 
     def _leave_lane(self, waiting: Waiting) -> None:
         lane = self._lane_of(waiting)
         lane.remove(waiting)
         if not lane.tasks_by_job:
-            self._unpark(lane)
-            self._refile_lane(lane)
+            self._resume(lane)
+            self._reorder_lane(lane)
 
-    def _refile(self, line: TeamLine) -> None:
-        for lane in line.lanes_by_urgency.values():
+    def _reorder(self, account: TeamAccount) -> None:
+        for lane in account.lanes_by_urgency.values():
             if lane.key is not None:
-                self._refile_lane(lane)
+                self._reorder_lane(lane)
 
-    def _refile_lane(self, lane: TeamLane) -> None:
+    def _reorder_lane(self, lane: TeamLane) -> None:
         wanted = None
-        if lane.parked is None and lane.tasks_by_job:
-            wanted = (lane.line.share_of(self._total), lane.line.path)
+        if lane.suspended is None and lane.tasks_by_job:
+            wanted = (lane.account.share_of(self._total), lane.account.path)
         if wanted == lane.key:
             return
         if lane.key is not None:
@@ -306,36 +314,36 @@
             self._by_share[lane.urgency].add(wanted)
         lane.key = wanted
 
-    def _park(self, lane: TeamLane, smallest: tuple[int, int, int] | None) -> None:
-        lane.parked = smallest or (0, 0, 0)
-        self._parked[lane.urgency, lane.line.path] = lane
-        self._refile_lane(lane)
+    def _suspend(self, lane: TeamLane, smallest: tuple[int, int, int] | None) -> None:
+        lane.suspended = smallest or (0, 0, 0)
+        self._suspended[lane.urgency, lane.account.path] = lane
+        self._reorder_lane(lane)
 
-    def _unpark(self, lane: TeamLane) -> None:
-        if lane.parked is None:
+    def _resume(self, lane: TeamLane) -> None:
+        if lane.suspended is None:
             return
-        lane.parked = None
-        del self._parked[lane.urgency, lane.line.path]
+        lane.suspended = None
+        del self._suspended[lane.urgency, lane.account.path]
 
-    def _unpark_all(self, line: TeamLine, *, urgent: int | None = None) -> None:
+    def _resume_all(self, account: TeamAccount, *, urgent: int | None = None) -> None:
         """Try all of a team's tasks again, and the first `urgent` of its urgent ones."""
-        for lane in line.lanes_by_urgency.values():
-            self._unpark(lane)
-            self._refile_lane(lane)
-        at_quota = self._at_quota_by_team.get(line.path)
+        for lane in account.lanes_by_urgency.values():
+            self._resume(lane)
+            self._reorder_lane(lane)
+        at_quota = self._at_quota_by_team.get(account.path)
         if at_quota is None:
             return
         for waiting in list(at_quota.values()[:urgent]):
-            self._leave_quota_line(waiting)
+            self._leave_quota_queue(waiting)
             waiting.lane = Lane.URGENT
             self._urgent[waiting.order] = waiting
 
 
-def _covers(parked: tuple[int, int, int], need: Resources) -> bool:
+def _covers(suspended: tuple[int, int, int], need: Resources) -> bool:
     return (
-        parked[0] <= need.cores_milli
-        and parked[1] <= need.memory_mb
-        and parked[2] <= need.accelerators
+        suspended[0] <= need.cores_milli
+        and suspended[1] <= need.memory_mb
+        and suspended[2] <= need.accelerators
     )
 
 
--- a/src/galenastall/coordination/placement/waiting.py
+++ b/src/galenastall/coordination/placement/waiting.py
@@ -15,7 +15,7 @@
     """Why the last try to place a task did not succeed."""
 
     NOT_TRIED = "not tried yet"
-    ROOM = "no worker has room"
+    NO_CAPACITY = "no worker has room"
     QUOTA = "its team is at its quota"
     PROMISED = "a worker is being emptied for it"
 
@@ -51,14 +51,14 @@
     Tasks of one job are alike, so that only the first of each job has to be tried.
     """
 
-    __slots__ = ("key", "line", "parked", "tasks_by_job", "urgency")
+    __slots__ = ("account", "key", "suspended", "tasks_by_job", "urgency")
 
-    def __init__(self, *, line: "TeamLine", urgency: Urgency) -> None:
+    def __init__(self, *, account: "TeamAccount", urgency: Urgency) -> None:
         """Start with nothing waiting."""
-        self.line = line
+        self.account = account
         self.urgency = urgency
         self.key: tuple[float, TeamPath] | None = None
-        self.parked: tuple[int, int, int] | None = None
+        self.suspended: tuple[int, int, int] | None = None
         self.tasks_by_job: OrderedDict[JobId, OrderedDict[TaskId, Waiting]] = OrderedDict()
 
     def add(self, waiting: Waiting, *, first: bool) -> None:
@@ -90,41 +90,41 @@
         return next(iter(self.tasks_by_job[waiting.task.job_id].values()))
 
 
-class TeamLine:
+class TeamAccount:
     """What a team may have and has reserved, and its lanes of waiting tasks."""
 
     __slots__ = (
-        "above",
         "accelerators",
-        "below",
+        "children",
         "cores",
         "elsewhere",
-        "elsewhere_below",
+        "elsewhere_total",
         "lanes_by_urgency",
         "memory",
+        "parent",
         "path",
         "quota",
-        "reserved_below",
+        "reserved_total",
         "weight",
     )
 
-    def __init__(self, *, path: TeamPath, share: TeamShare, above: "TeamLine | None") -> None:
+    def __init__(self, *, path: TeamPath, share: TeamShare, parent: "TeamAccount | None") -> None:
         """Start with nothing waiting or reserved; `above` is the team that this is part of."""
         self.path = path
         self.weight = share.weight
         self.quota = share.quota
-        self.above = above
-        self.below: list[TeamLine] = []
-        if above is not None:
-            above.below.append(self)
-        self.reserved_below: Resources = NOTHING
-        self.elsewhere_below: Resources = NOTHING
+        self.parent = parent
+        self.children: list[TeamAccount] = []
+        if parent is not None:
+            parent.children.append(self)
+        self.reserved_total: Resources = NOTHING
+        self.elsewhere_total: Resources = NOTHING
         self.cores = 0
         self.memory = 0
         self.accelerators = 0
         self.elsewhere: Resources = NOTHING
         self.lanes_by_urgency = {
-            urgency: TeamLane(line=self, urgency=urgency)
+            urgency: TeamLane(account=self, urgency=urgency)
             for urgency in (Urgency.NORMAL, Urgency.BACKFILL)
         }
 
@@ -142,34 +142,34 @@
             share = max(share, accelerators / total.accelerators)
         return share / self.weight
 
-    def take(self, amount: Resources, sign: int) -> None:
+    def add_reserved(self, amount: Resources, sign: int) -> None:
         """Count an amount in (1) or out (-1), here and in quotas of the teams above."""
         self.cores += sign * amount.cores_milli
         self.memory += sign * amount.memory_mb
         self.accelerators += sign * amount.accelerators
-        line: TeamLine | None = self
-        while line is not None:
-            before = line.reserved_below
-            line.reserved_below = before + amount if sign > 0 else before - amount
-            line = line.above
+        account: TeamAccount | None = self
+        while account is not None:
+            before = account.reserved_total
+            account.reserved_total = before + amount if sign > 0 else before - amount
+            account = account.parent
 
-    def find_full(self, amount: Resources) -> "TeamLine | None":
+    def find_exceeded(self, amount: Resources) -> "TeamAccount | None":
         """Return the team, this or one above, whose quota leaves no room for `amount` more."""
-        line: TeamLine | None = self
-        while line is not None:
-            if line.quota is not None:
-                taken = line.reserved_below + line.elsewhere_below + amount
-                if not taken.fits_in(line.quota):
-                    return line
-            line = line.above
+        account: TeamAccount | None = self
+        while account is not None:
+            if account.quota is not None:
+                taken = account.reserved_total + account.elsewhere_total + amount
+                if not taken.fits_in(account.quota):
+                    return account
+            account = account.parent
         return None
 
-    def bounded_by(self) -> "TeamLine | None":
+    def highest_quota_account(self) -> "TeamAccount | None":
         """Return the highest team with a quota among this and those above."""
-        highest: TeamLine | None = None
-        line: TeamLine | None = self
-        while line is not None:
-            if line.quota is not None:
-                highest = line
-            line = line.above
+        highest: TeamAccount | None = None
+        account: TeamAccount | None = self
+        while account is not None:
+            if account.quota is not None:
+                highest = account
+            account = account.parent
         return highest
--- a/src/galenastall/coordination/placement/worker_index.py
+++ b/src/galenastall/coordination/placement/worker_index.py
@@ -77,15 +77,15 @@
     def put(self, worker: Worker) -> None:
         """File a worker under its present room, or move it there."""
         slot = worker.slot
-        level = worker.room_accelerators if worker.has_accelerators else NO_ACCELERATORS
-        key = (level, bucket_of(worker.room_cores), (worker.room_memory, slot))
+        level = worker.available_accelerators if worker.has_accelerators else NO_ACCELERATORS
+        key = (level, bucket_of(worker.available_cores), (worker.available_memory, slot))
         old = self._keys_by_slot.get(slot)
         if old == key:
             return
         if old is None:
-            self._enter(worker)
+            self._add(worker)
         else:
-            self._unfile(old)
+            self._remove_entry(old)
         grid = self._grids_by_level.get(level)
         if grid is None:
             grid = self._grids_by_level[level] = _Grid()
@@ -97,7 +97,7 @@
         key = self._keys_by_slot.pop(worker.slot, None)
         if key is None:
             return
-        self._unfile(key)
+        self._remove_entry(key)
         del self._workers_by_slot[worker.slot]
         del self._by_id[worker.worker_id]
         self._accelerated_by_slot.pop(worker.slot, None)
@@ -124,7 +124,7 @@
     def sample(self, amount: Resources, limit: int) -> list[Worker]:
         """Return those with room among up to `limit` workers drawn at random."""
         drawn = self.draw(limit, accelerated=amount.accelerators > 0)
-        return [worker for worker in drawn if worker.has_room(amount)]
+        return [worker for worker in drawn if worker.can_fit(amount)]
 
     def draw(self, limit: int, *, accelerated: bool = False) -> list[Worker]:
         """Return up to `limit` different workers drawn at random, whatever their room."""
@@ -143,7 +143,7 @@
     def __len__(self) -> int:
         return len(self._sampled)
 
-    def _enter(self, worker: Worker) -> None:
+    def _add(self, worker: Worker) -> None:
         self._workers_by_slot[worker.slot] = worker
         self._by_id[worker.worker_id] = worker
         self._positions_by_slot[worker.slot] = len(self._sampled)
@@ -151,7 +151,7 @@
         if worker.has_accelerators:
             self._accelerated_by_slot[worker.slot] = worker
 
-    def _unfile(self, key: tuple[int, int, tuple[int, int]]) -> None:
+    def _remove_entry(self, key: tuple[int, int, tuple[int, int]]) -> None:
         level, bucket, entry = key
         grid = self._grids_by_level[level]
         grid.remove(bucket, entry)
@@ -170,7 +170,7 @@
             if bucket == boundary:
                 for _, slot in entries[start : start + _BOUNDARY_SCAN]:
                     worker = by_slot[slot]
-                    if worker.room_cores >= cores:
+                    if worker.available_cores >= cores:
                         found.append(worker)
                 rest = entries[start + _BOUNDARY_SCAN :]
             else:
@@ -179,5 +179,5 @@
             if len(found) >= limit:
                 return
         if not found:
-            fitting = (by_slot[slot] for _, slot in rest if by_slot[slot].room_cores >= cores)
+            fitting = (by_slot[slot] for _, slot in rest if by_slot[slot].available_cores >= cores)
             found.extend(islice(fitting, limit))
--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -299,20 +299,20 @@
             for shard, driver in self.drivers_by_shard.items()
             if driver.may_act
         )
-        told = self._teams.tell(self._workers.core.reserved_by_team())
+        told = self._teams.take_updates(self._workers.core.reserved_by_team())
         beat = JobBeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
             summary=pack_summary(self._own_summary()),
-            renewing=self._workers.helper.renewing(),
+            renewing=self._workers.peer_renewer.renewing(),
             reserved_by_team={team: pack_amount(amount) for team, amount in told.items()},
         )
-        self._workers.core.set_reserved_elsewhere(self._teams.elsewhere())
+        self._workers.core.set_reserved_elsewhere(self._teams.reserved_elsewhere())
         # Without shards it keeps nothing valid that the host may have queued.
         silent = replace(beat, shards=(), valid_until=0.0)
         me = self._link.host_id
-        self._workers.hear_beat(me, beat)
+        self._workers.on_heartbeat(me, beat)
         roster = self._ownership.roster()
         for host in roster - {me}:
             is_silent = now > self._heard_at.get(host, 0.0) + self._timings.silent_s
@@ -352,8 +352,8 @@
         self._heard_at[sender] = now
         self._summaries[sender] = unpack_summary(beat.summary)
         heard = {team: unpack_amount(row) for team, row in beat.reserved_by_team.items()}
-        self._teams.hear(sender, heard)
-        self._workers.hear_beat(sender, beat)
+        self._teams.apply_updates(sender, heard)
+        self._workers.on_heartbeat(sender, beat)
 
     async def _on_events(self, sender: HostId, message: TaskEvents) -> Any:
         driver = self.drivers_by_shard.get(message.shard)
--- a/src/galenastall/node/placement/held_gangs.py
+++ b/src/galenastall/node/placement/held_gangs.py
@@ -18,7 +18,7 @@
 from galenastall.state.ids import HostId
 from galenastall.state.work import TaskSpec
 
-STARTED_KEPT: Final = 4096
+MAX_STARTED_KEYS: Final = 4096
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -41,14 +41,14 @@
         link: JobLink,
         clock: Clock,
         carry_out: Callable[[Decision], None],
-        is_taking: Callable[[], bool],
+        is_accepting: Callable[[], bool],
     ) -> None:
         """`carry_out` sends the starts; `is_taking` is False while this entry host drains."""
         self._core = core
         self._assigned = assigned
         self._clock = clock
         self._carry_out = carry_out
-        self._is_taking = is_taking
+        self._is_accepting = is_accepting
         self._held_by_key: dict[str, HeldGang] = {}
         self._started: OrderedDict[str, None] = OrderedDict()
         link.answer(GangHold, self._on_hold)
@@ -76,11 +76,11 @@
 
     async def _on_hold(self, sender: HostId, message: GangHold) -> JobWord:
         now = self._clock.wall()
-        if not self._assigned.hear(message.shard, sender, message.epoch, message.until):
+        if not self._assigned.note_owner(message.shard, sender, message.epoch, message.until):
             return JobWord(ok=False, detail="the shard has a later owner")
         if message.key in self._held_by_key:
             return JobWord(ok=True)
-        if not self._is_taking() or message.key in self._started or message.until <= now:
+        if not self._is_accepting() or message.key in self._started or message.until <= now:
             return JobWord(ok=False, detail="draining, started or too late")
         tasks = tuple(unpack_tasks(message.groups))
         match self._core.hold(message.key, tasks, now, message.until):
@@ -105,7 +105,7 @@
         match self._core.start_hold(held.hold_id, now):
             case Success(decision):
                 self._remember(message.key)
-                self._take(message.shard, held.tasks)
+                self._accept(message.shard, held.tasks)
                 self._carry_out(decision)
                 return JobWord(ok=True)
             case Failure(error):
@@ -120,10 +120,10 @@
         if held is not None:
             self._core.release_hold(held.hold_id)
 
-    def _take(self, shard: int, tasks: tuple[TaskSpec, ...]) -> None:
+    def _accept(self, shard: int, tasks: tuple[TaskSpec, ...]) -> None:
         self._assigned.accept(shard, tasks)
 
     def _remember(self, key: str) -> None:
         self._started[key] = None
-        if len(self._started) > STARTED_KEPT:
+        if len(self._started) > MAX_STARTED_KEYS:
             self._started.popitem(last=False)
--- a/src/galenastall/node/placement/lease_helper.py
+++ b/src/galenastall/node/placement/peer_lease_renewer.py
@@ -20,7 +20,7 @@
 from galenastall.state.ids import HostId, OwnableKind, make_ownable_id
 
 
-class LeaseHelper:
+class PeerLeaseRenewer:
     """Decides which workers of silent owners this entry host renews on, and does."""
 
     def __init__(
@@ -42,13 +42,13 @@
         self.timings = timings
         self._listed_workers = listed_workers
         self._events = events
-        self._heard_at: dict[HostId, float] = {}
+        self._last_seen_at: dict[HostId, float] = {}
         self._since: dict[HostId, float] = {}
         self._started_at = clock.wall()
 
-    def hear_owner(self, host: HostId, now: float) -> None:
+    def note_alive(self, host: HostId, now: float) -> None:
         """Take note that an entry host is alive."""
-        self._heard_at[host] = now
+        self._last_seen_at[host] = now
 
     def renewing(self) -> tuple[HostId, ...]:
         """Return the workers of others that this entry host renews on, or will soon."""
@@ -72,18 +72,18 @@
 
     def _choose(self, now: float) -> None:
         chosen: dict[HostId, float] = {}
-        living = [
+        responsive = [
             host
             for host in sorted(self._ownership.roster() | {self._host_id})
-            if host == self._host_id or not self._is_silent(host, now)
+            if host == self._host_id or not self._is_unresponsive(host, now)
         ]
         for worker, host in self._listed_workers().items():
             owner = self._ownership.owner_of(make_ownable_id(OwnableKind.WORKER, worker))
             if host.state is HostState.GONE or owner is None or owner == self._host_id:
                 continue
-            if not self._is_silent(owner, now):
+            if not self._is_unresponsive(owner, now):
                 continue
-            if min(living, key=lambda each: _rank(each, worker)) == self._host_id:
+            if min(responsive, key=lambda each: _rank(each, worker)) == self._host_id:
                 chosen[worker] = self._since.get(worker, now)
         for worker in chosen.keys() - self._since.keys():
             self._events.record(
@@ -91,9 +91,9 @@
             )
         self._since = chosen
 
-    def _is_silent(self, host: HostId, now: float) -> bool:
-        heard = self._heard_at.get(host, self._started_at)
-        return now > heard + self.timings.owner_silent_s
+    def _is_unresponsive(self, host: HostId, now: float) -> bool:
+        last_seen = self._last_seen_at.get(host, self._started_at)
+        return now > last_seen + self.timings.owner_silent_s
 
     async def _renew(self, worker: HostId) -> None:
         host = self._listed_workers().get(worker)
--- a/src/galenastall/node/placement/start_settling.py
+++ b/src/galenastall/node/placement/start_settling.py
@@ -58,7 +58,7 @@
         """Return whether no earlier owner's start can take effect after a moment of wall time."""
         return self._horizon.inherited_until(worker) <= at
 
-    async def ask_last_owner(self, worker: HostId, epoch: Epoch) -> None:
+    async def query_last_owner(self, worker: HostId, epoch: Epoch) -> None:
         """Take the last owner's word if it lives, so that a planned handover costs no wait."""
         ownable = make_ownable_id(OwnableKind.WORKER, worker)
         last = self._tenures.previous(ownable=ownable, epoch=epoch)
@@ -71,7 +71,7 @@
         answered = await self._link.call(host, call)
         if isinstance(answered, Success) and answered.unwrap().left_s is not None:
             until = self._clock.wall() + answered.unwrap().left_s
-            self._horizon.learn(worker, epoch=epoch, until=until)
+            self._horizon.shorten(worker, epoch=epoch, until=until)
 
     async def _on_call(self, _sender: HostId, call: StartsLeftCall) -> StartsLeft:
         """Answer for an epoch that is over here, since nothing more leaves under it."""
--- a/src/galenastall/node/placement/task_inbox.py
+++ b/src/galenastall/node/placement/task_inbox.py
@@ -42,14 +42,14 @@
         link.answer(ShardRecover, self._on_recover)
         link.answer(TaskExplain, self._on_explain)
 
-    def give_back(self, tasks: Iterable[TaskSpec], why: str, now: float) -> None:
+    def return_tasks(self, tasks: Iterable[TaskSpec], why: str, now: float) -> None:
         """Tell the shard that these queued tasks are no longer here; started ones stay."""
         tasks_by_id = {task.task_id: task for task in tasks}
         for task_id, verdict in self._owner.core.cancel(tuple(tasks_by_id), now).items():
             if verdict in (CancelVerdict.NEVER_STARTED, CancelVerdict.NOT_HERE):
                 self._owner.note(tasks_by_id[task_id], ReportKind.RETURNED, detail=why)
 
-    def hear(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
+    def note_owner(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
         """Take the word of a shard's owner; a new owner's first word drops what is queued."""
         if epoch > self._owner.assigned.epoch_of(shard):
             now = self._clock.wall()
@@ -60,10 +60,10 @@
                 if verdict in (CancelVerdict.NEVER_STARTED, CancelVerdict.NOT_HERE):
                     self._owner.assigned.forget(task_id)
             self._gangs.release_shard(shard)
-        return self._owner.assigned.hear(shard, owner, epoch, valid_until)
+        return self._owner.assigned.note_owner(shard, owner, epoch, valid_until)
 
     async def _on_assign(self, sender: HostId, message: TaskAssign) -> JobWord:
-        if not self.hear(message.shard, sender, message.epoch, message.valid_until):
+        if not self.note_owner(message.shard, sender, message.epoch, message.valid_until):
             return JobWord(ok=False, detail="the shard has a later owner")
         if self._owner.is_draining:
             return JobWord(ok=False, detail="this entry host drains")
@@ -108,17 +108,19 @@
             and self._owner.core.placed(each.task.task_id) is None
             and each.report.kind is ReportKind.QUEUED
         ]
-        self.give_back(queued, "its shard's owner has room for it elsewhere", self._clock.wall())
+        self.return_tasks(queued, "its shard's owner has room for it elsewhere", self._clock.wall())
         return JobWord(ok=True)
 
     async def _on_recover(self, sender: HostId, message: ShardRecover) -> ShardCensus:
-        if not self.hear(message.shard, sender, message.epoch, message.valid_until):
+        if not self.note_owner(message.shard, sender, message.epoch, message.valid_until):
             return ShardCensus(is_current=False)
         return ShardCensus(
             is_current=True,
             reports=pack_reports(self._owner.assigned.census(message.shard)),
             workers=tuple(
-                worker for worker, watch in self._owner.watches_by_id.items() if watch.is_spoken_for
+                worker
+                for worker, watch in self._owner.watches_by_id.items()
+                if watch.is_fully_known
             ),
         )
 
--- a/src/galenastall/node/placement/task_reporter.py
+++ b/src/galenastall/node/placement/task_reporter.py
@@ -64,11 +64,11 @@
                     await self._due.wait()
                 self._due = trio.Event()
                 await trio.sleep(self._window_s)
-                for shard, reports in self._take():
+                for shard, reports in self._take_batches():
                     self._in_flight.add(shard)
                     nursery.start_soon(self._send, shard, reports)
 
-    def _take(self) -> Iterable[tuple[int, list[TaskReport]]]:
+    def _take_batches(self) -> Iterable[tuple[int, list[TaskReport]]]:
         now = self._clock.wall()
         return self._assigned.take_reports(now, skip=self._in_flight).items()
 
--- a/src/galenastall/node/placement/worker_commands.py
+++ b/src/galenastall/node/placement/worker_commands.py
@@ -23,7 +23,7 @@
 Answers = Result[tuple[TaskAnswer, ...], StepError]
 
 
-class Notes(Protocol):
+class ReportCallback(Protocol):
     """Where words on tasks go."""
 
     def __call__(
@@ -42,7 +42,7 @@
         workers: WorkerService,
         clock: Clock,
         call_s: float,
-        note: Notes,
+        note: ReportCallback,
         may_act: Callable[[HostId, Epoch], bool],
         address_of: Callable[[HostId], str | None],
         requeued: Callable[..., None],
@@ -96,9 +96,11 @@
         if isinstance(result, Success):
             answers_by_task = {answer.task_id: answer for answer in result.unwrap()}
         for task_id in tasks:
-            self._take(worker, kind, task_id, _meaning(kind, answers_by_task.get(task_id)))
+            self._apply_answer(
+                worker, kind, task_id, _interpret(kind, answers_by_task.get(task_id))
+            )
 
-    def _take(
+    def _apply_answer(
         self, worker: HostId, kind: CommandKind, task_id: TaskId, answer: CommandAnswer
     ) -> None:
         placed = self._core.placed(task_id)
@@ -111,7 +113,7 @@
             self._requeued(task_id, is_next_attempt=True)
 
 
-def _meaning(kind: CommandKind, answer: TaskAnswer | None) -> CommandAnswer:
+def _interpret(kind: CommandKind, answer: TaskAnswer | None) -> CommandAnswer:
     if answer is None:
         return CommandAnswer.UNKNOWN
     if answer.ok:
@@ -127,7 +129,7 @@
     return Failure(error)
 
 
-def tell_endings(events: EventSink, commands: WorkerCommands) -> None:
+def record_endings(events: EventSink, commands: WorkerCommands) -> None:
     """Record which tasks are to be ended or limited, and why."""
     for how, tasks in (
         ("stop", commands.stops),
--- a/src/galenastall/node/placement/worker_service.py
+++ b/src/galenastall/node/placement/worker_service.py
@@ -11,7 +11,7 @@
 
 from galenastall.coordination.placement.assigned_tasks import AssignedTasks
 from galenastall.coordination.placement.feasibility import find_obstacle_on_hosts
-from galenastall.coordination.placement.leases import LeaseBook
+from galenastall.coordination.placement.leases import LeaseTable
 from galenastall.coordination.placement.placement import PlacementCore
 from galenastall.coordination.placement.placement_commands import (
     Decision,
@@ -21,11 +21,11 @@
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport
 from galenastall.node.jobs.job_link import JobLink
 from galenastall.node.placement.held_gangs import HeldGangs
-from galenastall.node.placement.lease_helper import LeaseHelper
+from galenastall.node.placement.peer_lease_renewer import PeerLeaseRenewer
 from galenastall.node.placement.start_settling import StartSettling, Tenures
 from galenastall.node.placement.task_inbox import TaskInbox
 from galenastall.node.placement.task_reporter import TaskReporter
-from galenastall.node.placement.worker_commands import WorkerCommander, tell_endings
+from galenastall.node.placement.worker_commands import WorkerCommander, record_endings
 from galenastall.node.placement.worker_starts import WorkerStarter
 from galenastall.node.placement.worker_timings import WorkerTimings
 from galenastall.node.placement.worker_watch import WorkerWatch
@@ -94,10 +94,10 @@
         self._listed: Mapping[HostId, ListedHost] = {}
         self._nursery: trio.Nursery | None = None
         times = self._timings
-        self.leases = LeaseBook(
+        self.leases = LeaseTable(
             lease_s=times.lease_s,
             renew_every_s=times.renew_every_s,
-            peer_word_s=times.announce_s,
+            peer_report_max_age_s=times.announce_s,
             longest_lease_s=times.longest_lease_s,
         )
         self.reporter = TaskReporter(
@@ -126,7 +126,7 @@
             link=link,
             clock=clock,
             carry_out=self._carry_out,
-            is_taking=lambda: not self._is_draining,
+            is_accepting=lambda: not self._is_draining,
         )
         self.horizon = StartHorizon()
         self.settling = StartSettling(
@@ -134,7 +134,7 @@
         )
         self._starter = WorkerStarter(owner=self, workers=workers, clock=clock, timings=times)
         self._inbox = TaskInbox(owner=self, gangs=self._gangs, link=link, clock=clock)
-        self.helper = LeaseHelper(
+        self.peer_renewer = PeerLeaseRenewer(
             host_id=link.host_id,
             workers=workers,
             ownership=ownership,
@@ -151,18 +151,18 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(self.reporter.run)
-            await nursery.start(self.helper.run)
+            await nursery.start(self.peer_renewer.run)
             for watch in self.watches_by_id.values():
                 nursery.start_soon(watch.run)
             task_status.started()
-            await self._decide_rounds()
+            await self._decide_loop()
 
     async def drain(self, *, timeout_s: float = 5.0) -> None:
         """Give back what waits and tell the shards what is known; running tasks go on."""
         self._is_draining = True
         now = self._clock.wall()
         for shard in range(self._shards):
-            self._inbox.give_back(self.assigned.queued_of(shard), "this entry host drains", now)
+            self._inbox.return_tasks(self.assigned.queued_of(shard), "this entry host drains", now)
         self.reporter.wake()
         with trio.move_on_after(timeout_s):
             while self.assigned.has_unsent():
@@ -172,7 +172,7 @@
         """Use other timings, and let the tasks of other workers move, from now on."""
         self._timings = timings
         self.leases.apply(lease_s=timings.lease_s, renew_every_s=timings.renew_every_s)
-        self.helper.timings = timings
+        self.peer_renewer.timings = timings
         self._starter.timings = timings
         for watch in self.watches_by_id.values():
             watch.timings = timings
@@ -188,13 +188,13 @@
         """Decide soon."""
         self._wake.set()
 
-    def hear_beat(self, sender: HostId, beat: JobBeat) -> None:
+    def on_heartbeat(self, sender: HostId, beat: JobBeat) -> None:
         """Take a shard owner's beat: its assignments stay valid."""
         for each in beat.shards:
-            self._inbox.hear(each.shard, sender, each.epoch, beat.valid_until)
+            self._inbox.note_owner(each.shard, sender, each.epoch, beat.valid_until)
         now = self._clock.wall()
-        self.leases.hear_peer(sender, beat.renewing, now)
-        self.helper.hear_owner(sender, now)
+        self.leases.note_peer_renewals(sender, beat.renewing, now)
+        self.peer_renewer.note_alive(sender, now)
 
     def listed_workers(self) -> Mapping[HostId, ListedHost]:
         """Return this data centre's workers as the platform's list shows them."""
@@ -272,7 +272,7 @@
             self.events.record("worker.made_way", subjects=(task_id,))
             self.note(task, ReportKind.QUEUED, detail="it made way and waits again")
         else:
-            self.assigned.set_quietly(task_id, ReportKind.QUEUED)
+            self.assigned.set_without_report(task_id, ReportKind.QUEUED)
         self.wake()
 
     def _give_up_if_too_large(self, task: TaskSpec) -> bool:
@@ -329,7 +329,7 @@
                 continue
             self.note(placed.task, ReportKind.ORPHANED, worker, "its worker has another owner")
 
-    async def _decide_rounds(self) -> None:
+    async def _decide_loop(self) -> None:
         while True:
             with trio.move_on_after(self._timings.tick_s):
                 await self._wake.wait()
@@ -339,21 +339,21 @@
 
     def _decide(self) -> None:
         now = self._clock.wall()
-        late = self.assigned.drop_invalid(now)
-        self._inbox.give_back(late, "its shard's owner went silent", now)
+        late = self.assigned.find_invalid(now)
+        self._inbox.return_tasks(late, "its shard's owner went silent", now)
         for worker, watch in self.watches_by_id.items():
             self.core.set_worker_state(worker, watch.state(now))
-            if watch.is_to_be_emptied and self.may_act(worker, watch.epoch):
+            if watch.is_to_be_drained and self.may_act(worker, watch.epoch):
                 self.core.drain_worker(worker)
         decision = self.core.decide(now, 0 if self._is_draining else self._timings.decide_limit)
         self._gangs.expired(decision.expired_holds)
         for refusal in decision.refusals:
-            self._take_refusal(refusal)
+            self._on_refusal(refusal)
         self._carry_out(decision)
         if decision.more and not self._is_draining:
             self.wake()
 
-    def _take_refusal(self, refusal: Refusal) -> None:
+    def _on_refusal(self, refusal: Refusal) -> None:
         """Give a task up, or back if only this owner has no worker that is large enough."""
         need = refusal.need
         owned = [
@@ -379,10 +379,10 @@
         for commands in decision.by_worker:
             if commands.starts:
                 for start in commands.starts:
-                    self.assigned.set_quietly(start.task.task_id, ReportKind.UNKNOWN)
+                    self.assigned.set_without_report(start.task.task_id, ReportKind.UNKNOWN)
                 self._nursery.start_soon(self._starter.start, commands)
             if commands.stops or commands.checkpoints or commands.throttles:
-                tell_endings(self.events, commands)
+                record_endings(self.events, commands)
                 self._nursery.start_soon(self._commander.send, commands)
 
     def _on_settled(self, reports: Iterable[TaskReport]) -> None:
--- a/src/galenastall/node/placement/worker_starts.py
+++ b/src/galenastall/node/placement/worker_starts.py
@@ -76,7 +76,7 @@
                 self._on_start_answer(start, outcome, answer.detail)
         watch = owner.watches_by_id.get(worker)
         if watch is not None and fallback is StartAnswer.UNKNOWN and not answers_by_task:
-            watch.kick()
+            watch.poll_soon()
         owner.wake()
 
     async def _send_start(
@@ -93,7 +93,7 @@
                 for each in starts
             ),
         )
-        self._tell_starts(commands, starts)
+        self._record_starts(commands, starts)
         horizon = self._owner.horizon
         call = horizon.sent(commands.worker_id, until=now + self.timings.start_settle_s)
         result = unanswered("worker.start", commands.worker_id, self.timings.call_s)
@@ -103,7 +103,7 @@
             horizon.answered(commands.worker_id, call)
         return result
 
-    def _tell_starts(self, commands: WorkerCommands, starts: list[StartTask]) -> None:
+    def _record_starts(self, commands: WorkerCommands, starts: list[StartTask]) -> None:
         """Record one event for each reason, since most of a batch share one."""
         tasks_by_why: dict[str, list[TaskId]] = {}
         for start in starts:
--- a/src/galenastall/node/placement/worker_watch.py
+++ b/src/galenastall/node/placement/worker_watch.py
@@ -62,7 +62,7 @@
         self.worker_id = worker_id
         self.epoch = epoch
         self.is_adopted = False
-        self.has_lapsed = False
+        self.has_expired = False
         self._is_settled = False
         self._owner = owner
         self._workers = workers
@@ -72,42 +72,42 @@
         """Replaced when operators change them."""
         self._events = events
         self._scope = trio.CancelScope()
-        self._kick = trio.Event()
+        self._poll_requested = trio.Event()
         self._acks: dict[TaskId, None] = {}
         self._known: WorkerListing | None = None
         """The last whole listing, on which the next answer may build."""
 
     @property
-    def is_spoken_for(self) -> bool:
+    def is_fully_known(self) -> bool:
         """Whether this owner knows all that runs there."""
-        return (self.is_adopted and self._is_settled) or self.has_lapsed
+        return (self.is_adopted and self._is_settled) or self.has_expired
 
     def cancel(self) -> None:
         """Stop watching, since the worker has another owner."""
         self._scope.cancel()
 
-    def kick(self) -> None:
+    def poll_soon(self) -> None:
         """Ask the worker soon."""
-        self._kick.set()
+        self._poll_requested.set()
 
     def acknowledge(self, task_id: TaskId) -> None:
         """Let the worker forget an ended task with the next poll."""
         self._acks[task_id] = None
-        self._kick.set()
+        self._poll_requested.set()
 
     def state(self, now: float) -> WorkerState:
         """Return whether new tasks may go there."""
         if not self._is_settled or not self._owner.may_act(self.worker_id, self.epoch):
-            return WorkerState.SILENT
+            return WorkerState.UNRESPONSIVE
         if self._owner.leases.silent_s(self.worker_id, now) > self.timings.silent_after_s:
-            return WorkerState.SILENT
+            return WorkerState.UNRESPONSIVE
         host = self._owner.listed_workers().get(self.worker_id)
         is_live = host is not None and host.state is HostState.LIVE
         is_drained = self.worker_id in self._owner.drained
         return WorkerState.LIVE if is_live and not is_drained else WorkerState.LEAVING
 
     @property
-    def is_to_be_emptied(self) -> bool:
+    def is_to_be_drained(self) -> bool:
         """Whether operators drain the worker, or the platform's list says that it leaves.
 
         A worker that the list merely doesn't show keeps its tasks: lists have gaps.
@@ -121,28 +121,28 @@
         """Watch until cancelled."""
         with self._scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._ask_last_owner)
-                await self._poll_for_ever()
+                nursery.start_soon(self._query_last_owner)
+                await self._poll_loop()
 
-    async def _ask_last_owner(self) -> None:
-        await self._owner.settling.ask_last_owner(self.worker_id, self.epoch)
-        self.kick()
+    async def _query_last_owner(self) -> None:
+        await self._owner.settling.query_last_owner(self.worker_id, self.epoch)
+        self.poll_soon()
 
-    async def _poll_for_ever(self) -> None:
+    async def _poll_loop(self) -> None:
         while True:
             await self._poll()
             for _ in range(IDLE_POLLS):
                 with trio.move_on_after(self.timings.poll_every_s):
-                    await self._kick.wait()
-                if self._kick.is_set() or not self._is_idle:
+                    await self._poll_requested.wait()
+                if self._poll_requested.is_set() or not self._is_idle:
                     break
-            self._kick = trio.Event()
+            self._poll_requested = trio.Event()
 
     @property
     def _is_idle(self) -> bool:
         """Whether nothing that can end was there at the last answer, nor was started since."""
         known = self._known
-        if known is None or known.running or known.finished or not self.is_spoken_for:
+        if known is None or known.running or known.finished or not self.is_fully_known:
             return False
         return not self._acks and not self._owner.core.on_worker(self.worker_id)
 
@@ -156,23 +156,23 @@
             with trio.move_on_after(self.timings.call_s):
                 since = self._known.cursor if self._known is not None else ""
                 result = await self._workers.listing(address=address, since=since)
-        listing = self._whole(result.unwrap()) if isinstance(result, Success) else None
+        listing = self._merge(result.unwrap()) if isinstance(result, Success) else None
         before, self._known = self._known, listing
         if listing is None:
-            self._check_lapse()
+            self._check_lease_expiry()
             return
-        self._take_listing(listing, asked_at, is_news=listing != before)
+        self._take_listing(listing, asked_at, has_changed=listing != before)
         await self._renew_if_due(str(address), listing)
 
-    def _whole(self, answer: WorkerListing) -> WorkerListing | None:
+    def _merge(self, answer: WorkerListing) -> WorkerListing | None:
         return apply_changes(self._known or WorkerListing(running=(), finished=()), answer)
 
-    def _take_listing(self, listing: WorkerListing, asked_at: float, *, is_news: bool) -> None:
+    def _take_listing(self, listing: WorkerListing, asked_at: float, *, has_changed: bool) -> None:
         now = self._clock.wall()
         owner = self._owner
         untils = [running.lease_until for running in listing.running]
-        owner.leases.heard(self.worker_id, untils, now)
-        self.has_lapsed = False
+        owner.leases.note_listing(self.worker_id, untils, now)
+        self.has_expired = False
         if not self.is_adopted:
             host = owner.listed_workers().get(self.worker_id)
             if host is None:
@@ -180,14 +180,14 @@
             report = owner.core.add_worker(host, self.epoch, listing.running, now)
             self._take_report(report, listing)
             self.is_adopted = True
-            owner.core.set_worker_state(self.worker_id, WorkerState.SILENT)
+            owner.core.set_worker_state(self.worker_id, WorkerState.UNRESPONSIVE)
             self._events.record(
                 "worker.adopted",
                 peer=self.worker_id,
                 cause=f"{len(report.adopted)} tasks run there",
                 fields={"epoch": str(self.epoch)},
             )
-        elif not is_news and self._is_idle:
+        elif not has_changed and self._is_idle:
             return
         report = owner.core.on_listing(self.worker_id, listing, now, asked_at)
         self._take_report(report, listing)
@@ -254,15 +254,15 @@
         with trio.move_on_after(self.timings.call_s):
             result = await self._workers.renew(address=address, tasks=tasks, lease_until=until)
             if isinstance(result, Success):
-                leases.renewed(self.worker_id, now)
+                leases.note_renewal(self.worker_id, now)
 
     async def _send_acks(self, address: str) -> None:
         placed = self._owner.core.placed
         tasks = []
         for task_id in self._acks:
-            now_at = placed(task_id)
+            current = placed(task_id)
             # The worker forgets by task, so a newer run there must end first.
-            if now_at is None or now_at.worker_id != self.worker_id:
+            if current is None or current.worker_id != self.worker_id:
                 tasks.append(task_id)
         if not tasks:
             return
@@ -273,15 +273,15 @@
             for task_id in tasks:
                 self._acks.pop(task_id, None)
 
-    def _check_lapse(self) -> None:
+    def _check_lease_expiry(self) -> None:
         now = self._clock.wall()
         owner = self._owner
         if owner.leases.silent_s(self.worker_id, now) > self.timings.silent_after_s:
-            self._tell_silent()
+            self._report_unresponsive()
         peers = self._ownership.roster() - {owner.host_id}
-        if self.has_lapsed or not owner.leases.has_lapsed(self.worker_id, peers, now):
+        if self.has_expired or not owner.leases.has_expired(self.worker_id, peers, now):
             return
-        self.has_lapsed = True
+        self.has_expired = True
         self._events.record(
             "worker.lapsed", peer=self.worker_id, cause="all leases there have run out"
         )
@@ -289,7 +289,7 @@
         report = owner.core.on_listing(self.worker_id, empty, now, now)
         self._take_report(report, empty)
 
-    def _tell_silent(self) -> None:
+    def _report_unresponsive(self) -> None:
         for placed in self._owner.core.on_worker(self.worker_id):
             known = self._owner.assigned.get(placed.task.task_id)
             if known is not None and known.report.kind is ReportKind.RUNNING:
--- a/src/galenastall/protocol/amount_rows.py
+++ b/src/galenastall/protocol/amount_rows.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.state.resources import Resources
 
 
@@ -74,9 +74,9 @@
     )
 
 
-def _pack_hole(hole: Hole) -> HoleRow:
+def _pack_hole(hole: LargestAmount) -> HoleRow:
     return HoleRow(hole.by, pack_amount(hole.free))
 
 
-def _unpack_hole(row: HoleRow) -> Hole:
-    return Hole(by=row.by, free=unpack_amount(row.free))
+def _unpack_hole(row: HoleRow) -> LargestAmount:
+    return LargestAmount(by=row.by, free=unpack_amount(row.free))
--- a/tests/placement_builders.py
+++ b/tests/placement_builders.py
@@ -15,13 +15,15 @@
 from galenastall.state.resources import Resources
 from galenastall.state.work import FinishedTask, RunningTask, TaskSpec, Urgency, Workload
 
-ROOM = Resources(cores_milli=4000, memory_mb=4096)
+DEFAULT_CAPACITY = Resources(cores_milli=4000, memory_mb=4096)
 W1 = HostId("w1")
 W2 = HostId("w2")
 W3 = HostId("w3")
 
 
-def make_worker(name: str = "w1", *, capacity: Resources = ROOM, rack: str = "r1") -> ListedHost:
+def make_worker(
+    name: str = "w1", *, capacity: Resources = DEFAULT_CAPACITY, rack: str = "r1"
+) -> ListedHost:
     return ListedHost(
         host_id=HostId(name),
         kind=HostKind.WORKER,
@@ -95,7 +97,7 @@
     )
 
 
-def broken_off(name: str, detail: str) -> FinishedTask:
+def interrupted(name: str, detail: str) -> FinishedTask:
     return FinishedTask(task_id=TaskId(name), attempt=0, ok=False, detail=detail)
 
 
--- a/tests/test_gang_holds.py
+++ b/tests/test_gang_holds.py
@@ -60,7 +60,7 @@
         assert isinstance(core.hold("g", gang_of("g", 3), 0.0, HOLD_S), Failure)
         assert core.on_worker(W1) == core.on_worker(W2) == ()
 
-    def test_room_stays_promised_to_the_first_gang_that_waits(self) -> None:
+    def test_capacity_stays_promised_to_the_first_waiting_gang(self) -> None:
         core = make_core(make_worker("w1"), make_worker("w2"))
         run(core, make_task("small/0", cores=2000, run_s=60.0))
         gang = gang_of("g", 2)
@@ -71,7 +71,7 @@
         core.on_finished(done[0].worker_id, [ended("small/0")], 1.0)
         assert isinstance(core.hold("g", gang, 2.0, 2.0 + HOLD_S), Success)
 
-    def test_a_gang_that_can_never_have_room_blocks_nobody(self) -> None:
+    def test_a_gang_that_can_never_fit_blocks_nobody(self) -> None:
         core = make_core()
         run(core, make_task("service/0", workload=Workload.SERVICE))
         hold = core.hold("g", gang_of("g", 1, cores=4000), 0.0, HOLD_S)
@@ -90,7 +90,7 @@
         assert core.start_hold(held.hold_id, 1.0).failure().reason is Reason.CONFLICT
         assert core.on_worker(W1) == core.on_worker(W2) == ()
 
-    def test_urgent_gangs_have_lower_classes_make_way(self) -> None:
+    def test_urgent_gangs_preempt_lower_classes(self) -> None:
         core = make_core()
         run(core, make_task("low/0", cores=4000, checkpointable=True))
         gang = [make_task("g/0", cores=3000, workload=Workload.GANG, urgency=Urgency.URGENT)]
@@ -99,7 +99,7 @@
         assert [command.task_id for command in batch.checkpoints] == ["low/0"]
 
     @given(st.lists(st.sampled_from("ab"), min_size=1, max_size=40))
-    def test_two_gangs_over_two_owners_both_start_in_the_end(self, order: list[str]) -> None:
+    def test_two_gangs_over_two_owners_both_start_eventually(self, order: list[str]) -> None:
         """Each needs all of both owners; never a part of a gang, and no deadlock."""
         room = Resources(cores_milli=4000, memory_mb=4096)
         owners = [make_core(make_worker("w1", capacity=room)), make_core(make_worker("w2"))]
--- a/tests/test_job_shard.py
+++ b/tests/test_job_shard.py
@@ -4,7 +4,7 @@
 
 from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.job_shard import JobShard
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport, first_attempt
 from galenastall.protocol.task_rows import pack_reports, unpack_reports
 from galenastall.state.ids import Epoch, HostId, JobId, Offset, TaskId, TeamPath
@@ -18,7 +18,7 @@
 
 def make_summary(*, workers: int = 3, memory: int = 4096) -> CapacitySummary:
     one = Resources(cores_milli=16000, memory_mb=memory)
-    hole = (Hole(by="memory", free=one),)
+    hole = (LargestAmount(by="memory", free=one),)
     whole = Resources(cores_milli=16000 * workers, memory_mb=memory * workers)
     return CapacitySummary(
         workers=workers, capacity=whole, free=whole, holes=hole, largest_worker=hole
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from galenastall.coordination.ownership.ownership import OwnershipCore
-from galenastall.coordination.placement.leases import CLOCK_SKEW_S, LeaseBook
+from galenastall.coordination.placement.leases import CLOCK_SKEW_S, LeaseTable
 from galenastall.coordination.requests.team_rates import TeamRate, TeamRates
 from galenastall.node.memory_watch import MemoryWatch
 from galenastall.node.settings.settings_mapping import (
@@ -71,17 +71,17 @@
 
     def test_a_new_owner_waits_for_leases_of_an_old_value(self) -> None:
         timings = make_worker_timings(tree(ownership={"lease_s": 4.0, "renew_s": 2.0}))
-        book = LeaseBook(
+        book = LeaseTable(
             lease_s=timings.lease_s,
             renew_every_s=timings.renew_every_s,
-            peer_word_s=1000.0,
+            peer_report_max_age_s=1000.0,
             longest_lease_s=timings.longest_lease_s,
         )
         book.add(W1, 0.0)
-        book.hear_peer(PEER, (), 0.0)
+        book.note_peer_renewals(PEER, (), 0.0)
         assert book.grant(W1, 0.0) == 4.0
-        assert not book.has_lapsed(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S)
-        assert book.has_lapsed(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S + 0.1)
+        assert not book.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S)
+        assert book.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S + 0.1)
 
     def test_permits(self) -> None:
         section = {"permits": {"longest_s": 5.0}}
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,7 +18,7 @@
 
 
 class TestStarts:
-    def test_unanswered_start_keeps_its_room_until_a_listing_after_the_settle_time(self) -> None:
+    def test_unanswered_start_stays_reserved_until_a_listing_after_the_settle_time(self) -> None:
         core = make_core()
         core.enqueue([make_task("a/0", cores=4000)], 0.0)
         assert started(core.decide(0.0, 10)) == ["a/0"]
--- a/tests/test_placement_machine.py
+++ b/tests/test_placement_machine.py
@@ -135,8 +135,8 @@
             del self.running_by_worker[worker][task_id]
         self.core.on_command_answer(task_id, worker, kind, known, self.now)
 
-    @rule(worker=workers, ok=st.booleans(), is_heard=st.booleans(), data=st.data())
-    def finish(self, worker: HostId, ok: bool, is_heard: bool, data: st.DataObject) -> None:
+    @rule(worker=workers, ok=st.booleans(), is_reported=st.booleans(), data=st.data())
+    def finish(self, worker: HostId, ok: bool, is_reported: bool, data: st.DataObject) -> None:
         here = self.running_by_worker[worker]
         if not here:
             return
@@ -150,7 +150,7 @@
             run_s=5.0,
         )
         self.finished_by_worker[worker].append(end)
-        if is_heard and worker in self.owned:
+        if is_reported and worker in self.owned:
             self.core.on_finished(worker, [end], self.now)
 
     @rule(worker=workers)
@@ -177,7 +177,7 @@
     @rule(worker=workers, state=st.sampled_from(list(WorkerState)))
     def change_state(self, worker: HostId, state: WorkerState) -> None:
         self.core.set_worker_state(worker, state)
-        if state is WorkerState.SILENT and worker in self.owned:
+        if state is WorkerState.UNRESPONSIVE and worker in self.owned:
             self.silent.add(worker)
         else:
             self.silent.discard(worker)
@@ -230,7 +230,7 @@
         assert len(seen) == len(set(seen))
 
     @invariant()
-    def books_agree(self) -> None:
+    def tables_agree(self) -> None:
         """Teams are charged what the ledgers hold, and what runs is in its worker's ledger."""
         reserved = NOTHING
         for worker in self.owned:
--- a/tests/test_placement_operations.py
+++ b/tests/test_placement_operations.py
@@ -60,7 +60,7 @@
             costs.append(count_calls(partial(core.decide, 0.0, 20)))
         assert costs[1] <= 2 * costs[0]
 
-    def test_a_queue_without_room_costs_nothing_to_look_at_again(self) -> None:
+    def test_a_blocked_queue_costs_nothing_to_rescan(self) -> None:
         core, _ = queue_of(8000)
         for _ in range(100):
             core.decide(0.0, 10)
--- a/tests/test_placement_rules.py
+++ b/tests/test_placement_rules.py
@@ -19,13 +19,13 @@
 from galenastall.state.resources import Resources
 from galenastall.state.work import TaskPhase, TaskSpec, Urgency, Workload
 from placement_builders import (
-    ROOM,
+    DEFAULT_CAPACITY,
     W1,
     W2,
     FakeListing,
-    broken_off,
     commanded,
     ended,
+    interrupted,
     listed,
     make_core,
     make_task,
@@ -54,7 +54,9 @@
             (make_task("v/0", workload=Workload.GANG, checkpointable=True), None),
         ],
     )
-    def test_who_makes_way_and_how(self, victim: TaskSpec, kind: CommandKind | None) -> None:
+    def test_preemption_victims_and_commands(
+        self, victim: TaskSpec, kind: CommandKind | None
+    ) -> None:
         core = make_core()
         run(core, victim)
         core.enqueue([urgent()], 1.0)
@@ -80,7 +82,7 @@
                 names = commanded(decision, command)
                 assert all(classes[TaskId(name)] > newcomer for name in names)
 
-    def test_the_room_is_kept_for_the_urgent_task_and_the_victim_waits_again(self) -> None:
+    def test_freed_capacity_is_kept_for_the_urgent_task_and_the_victim_is_requeued(self) -> None:
         core = make_core()
         run(core, make_task("v/0", cores=4000, checkpointable=True))
         core.enqueue([urgent()], 1.0)
@@ -118,7 +120,9 @@
         ("share", "kind"),
         [(0.5, None), (0.86, CommandKind.THROTTLE), (0.93, CommandKind.CHECKPOINT)],
     )
-    def test_answers_grow_with_pressure(self, share: float, kind: CommandKind | None) -> None:
+    def test_commands_escalate_with_memory_pressure(
+        self, share: float, kind: CommandKind | None
+    ) -> None:
         core = make_core()
         run(core, make_task("a/0", memory=2048, checkpointable=True), make_task("b/0", memory=1024))
         used = Resources(memory_mb=int(4096 * share))
@@ -149,7 +153,7 @@
         core.on_usage(W1, Resources(memory_mb=1000), {}, 2.0)
         assert started(core.decide(2.0, 10)) == ["next/0"]
 
-    def test_what_is_really_used_is_reserved(self) -> None:
+    def test_reservations_grow_to_measured_usage(self) -> None:
         core = make_core()
         run(core, make_task("a/0", memory=1000))
         core.on_usage(W1, Resources(memory_mb=3000), {TaskId("a/0"): Resources(memory_mb=3000)}, 1)
@@ -171,7 +175,7 @@
         answer = CommandAnswer.DONE
         phase = core.on_command_answer(once.task_id, W1, CommandKind.STOP, answer, 2.0)
         assert phase is TaskPhase.RUNNING
-        report = core.on_listing(W1, FakeListing(finished=(broken_off("once/0", "stopped"),)), 3.0)
+        report = core.on_listing(W1, FakeListing(finished=(interrupted("once/0", "stopped"),)), 3.0)
         [end] = report.ended
         assert end.advice is EndAdvice.RETRY
         assert end.detail == "stopped: w1 is expected to use 4050 of 4096 MB"
@@ -197,7 +201,7 @@
         core = make_core()
         run(core, make_task("once/0", memory=1024, idempotent=False, checkpointable=True))
         assert commanded(self.press(core), CommandKind.CHECKPOINT) == ["once/0"]
-        core.on_finished(W1, [broken_off("once/0", detail)], 2.0)
+        core.on_finished(W1, [interrupted("once/0", detail)], 2.0)
         core.on_usage(W1, Resources(), {}, 3.0)
         assert started(core.decide(3.0, 10)) == (["once/0"] if is_again else [])
 
@@ -266,7 +270,7 @@
         [end] = core.on_finished(HostId(where), [ended(name, ok=False)], now)
         return end.advice
 
-    def test_different_jobs_failing_on_one_worker_speak_against_the_worker(self) -> None:
+    def test_failures_of_different_jobs_quarantine_the_worker(self) -> None:
         core = make_core()
         for index in range(3):
             run(core, make_task(f"job{index}/0"))
@@ -280,11 +284,11 @@
         assert started(core.decide(32.0, 10)) == ["next/1"]
 
     @pytest.mark.parametrize("detail", ["lease_lapsed", "stopped", "checkpointed"])
-    def test_what_was_broken_off_speaks_against_nobody(self, detail: str) -> None:
+    def test_interrupted_runs_count_against_nobody(self, detail: str) -> None:
         core = make_core()
         for index in range(4):
             run(core, make_task(f"job{index}/0"))
-            [end] = core.on_finished(W1, [broken_off(f"job{index}/0", detail)], 1.0)
+            [end] = core.on_finished(W1, [interrupted(f"job{index}/0", detail)], 1.0)
             assert end.advice is EndAdvice.RETRY
         assert core.quarantined() == ()
 
@@ -351,7 +355,7 @@
     def test_learning_never_makes_a_task_larger_than_the_largest_worker(self) -> None:
         core = make_core()
         self.learn(core, Resources(cores_milli=9000, memory_mb=9000))
-        assert self.reserved(core, make_task("x/0", kind="pack")) == ROOM
+        assert self.reserved(core, make_task("x/0", kind="pack")) == DEFAULT_CAPACITY
 
     def test_what_the_job_itself_used_counts_before_its_kind(self) -> None:
         core = make_core()
@@ -362,7 +366,7 @@
             core.on_finished(W1, [ended(f"x/{index}", peak=peak)], 1.0)
         assert self.reserved(core, make_task("x/2", kind="pack")).memory_mb == 840
 
-    def test_kinds_and_teams_are_apart(self) -> None:
+    def test_kinds_and_teams_are_learned_separately(self) -> None:
         core = make_core()
         self.learn(core, Resources(cores_milli=500, memory_mb=2000))
         for task in (make_task("x/0", kind="other"), make_task("y/0", kind="pack", team="else")):
@@ -394,7 +398,7 @@
 
 
 class TestDrain:
-    def test_what_can_go_on_elsewhere_does(self) -> None:
+    def test_checkpointable_tasks_of_a_drained_worker_move(self) -> None:
         core = make_core(make_worker("w1"), make_worker("w2"))
         [where] = run(core, make_task("x/0", checkpointable=True)).values()
         run(core, make_task("y/0"))
@@ -414,7 +418,7 @@
         assert [end.advice for end in report.ended] == [EndAdvice.DONE]
         assert started(core.decide(1.0, 10)) == []
 
-    def test_a_second_copy_takes_room_and_is_stopped(self) -> None:
+    def test_a_duplicate_run_takes_capacity_and_is_stopped(self) -> None:
         core = make_core(make_worker("w1"), make_worker("w2"))
         task = make_task("x/0", cores=4000)
         [first] = run(core, task).values()
--- a/tests/test_start_horizon.py
+++ b/tests/test_start_horizon.py
@@ -35,15 +35,15 @@
         assert horizon.left_s(W, epoch=Epoch(2), now=0.0) is None
         assert horizon.left_s(HostId("w1"), epoch=Epoch(3), now=0.0) is None
 
-    def test_the_last_owners_word_shortens_the_wait_of_this_epoch_only(self) -> None:
+    def test_the_last_owners_answer_shortens_the_wait_of_this_epoch_only(self) -> None:
         horizon = owning(5, until=20.0)
-        horizon.learn(W, epoch=Epoch(4), until=1.0)
+        horizon.shorten(W, epoch=Epoch(4), until=1.0)
         assert horizon.inherited_until(W) == 20.0
-        horizon.learn(W, epoch=Epoch(5), until=8.0)
-        horizon.learn(W, epoch=Epoch(5), until=12.0)
+        horizon.shorten(W, epoch=Epoch(5), until=8.0)
+        horizon.shorten(W, epoch=Epoch(5), until=12.0)
         assert horizon.inherited_until(W) == 8.0
 
-    def test_the_own_earlier_calls_are_known_without_a_word(self) -> None:
+    def test_own_earlier_calls_are_known_without_a_query(self) -> None:
         horizon = owning(3)
         horizon.begin(W, epoch=Epoch(5), last_epoch=Epoch(3), until=40.0)
         assert horizon.inherited_until(W) == 0.0
--- a/tests/test_team_queue.py
+++ b/tests/test_team_queue.py
@@ -165,7 +165,7 @@
         assert at is not None
         assert 60.0 <= at <= 60.0 + run_s + 1.0
 
-    def test_short_batch_tasks_use_the_room_meanwhile_and_long_ones_do_not(self) -> None:
+    def test_short_batch_tasks_backfill_promised_capacity_and_long_ones_do_not(self) -> None:
         core = make_core(settings=self.SETTINGS)
         run(core, make_task("running/0", cores=2000, run_s=100.0))
         core.enqueue([make_task("large/0", cores=4000)], 0.0)
--- a/tests/test_worker_index.py
+++ b/tests/test_worker_index.py
@@ -40,7 +40,7 @@
 
 class TestWorkerIndex:
     @given(st.lists(shapes, max_size=60), shapes, st.data())
-    def test_agrees_with_looking_at_all(
+    def test_search_agrees_with_a_full_scan(
         self, capacities: list[Resources], need: Resources, data: st.DataObject
     ) -> None:
         index, workers = index_of(capacities)
@@ -50,9 +50,9 @@
                 index.drop(worker)
             elif change == "promise":
                 worker.promised = Resources(cores_milli=data.draw(st.integers(0, 2000)))
-                worker.refresh_room()
+                worker.update_available()
                 index.put(worker)
-        fitting = {w.slot for w in workers if index.get(w.worker_id) and w.has_room(need)}
+        fitting = {w.slot for w in workers if index.get(w.worker_id) and w.can_fit(need)}
         found = index.candidates(need, 5)
         assert len(found) <= 16
         assert {worker.slot for worker in found} <= fitting
@@ -72,7 +72,7 @@
 
 class TestPolicies:
     @pytest.mark.parametrize("policy", PLACEMENT_POLICIES.names())
-    def test_every_policy_finds_the_only_room_there_is(self, policy: str) -> None:
+    def test_every_policy_finds_the_only_worker_that_fits(self, policy: str) -> None:
         settings = PlacementSettings(policies_by_class=dict.fromkeys(default_policies(), policy))
         small = [make_worker(f"w{i:02}", capacity=Resources(cores_milli=10)) for i in range(40)]
         core = make_core(*small, make_worker("w99"), settings=settings)
@@ -85,7 +85,7 @@
         assert set(plain.values()) == {"b"}
         assert run(core, make_task("y/0", accelerators=1)) == {"y/0": "a"}
 
-    def test_the_tightest_worker_is_taken_so_that_large_holes_stay(self) -> None:
+    def test_the_tightest_fit_keeps_large_workers_free(self) -> None:
         core = make_core(make_worker("a"), make_worker("b"))
         first = run(core, make_task("x/0", cores=3000, memory=3000))
         assert run(core, make_task("x/1")) == {"x/1": first["x/0"]}
