--- a/src/galenastall/coordination/placement/__init__.py
+++ b/src/galenastall/coordination/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which owned worker runs which task."""
+"""Placement of tasks on the workers that this entry host owns."""
--- a/src/galenastall/coordination/placement/assigned_tasks.py
+++ b/src/galenastall/coordination/placement/assigned_tasks.py
@@ -1,8 +1,8 @@
-"""What a worker owner was given by job shards, and what it still has to tell them.
+"""Tasks that job shards assigned to a worker owner, and the reports still due to the shards.
 
-Assignments are valid only while their shard's owner is heard: a queued task whose shard was not
-heard in time, or has a newer owner, is dropped before it can start. So a shard's next owner knows
-after that time that nothing queued is left at entry hosts that it can't reach.
+Assignments are valid only while heartbeats of their shard's owner arrive: a queued task whose shard
+owner was not heard in time, or was replaced, is dropped before it can start. So a shard's next
+owner knows after that time that nothing is still queued at entry hosts that it can't reach.
 """
 
 from collections import OrderedDict
@@ -20,14 +20,14 @@
 from galenastall.state.work import TaskSpec
 
 MAX_FINISHED_ATTEMPTS: Final = 50_000
-"""Attempts that are over and remembered, so that a late assignment does not start them again."""
+"""Finished attempts remembered, so that a late assignment does not start them again."""
 REPEAT_S: Final = 1.0
-"""When an ending report that is not settled is sent again, in seconds."""
+"""Time after which an unsettled report of a task's end is sent again, in seconds."""
 
 
 @dataclass(kw_only=True, slots=True)
 class ShardContact:
-    """What was last heard of a shard's owner."""
+    """The last known owner of a shard."""
 
     owner: HostId
     epoch: Epoch
@@ -37,7 +37,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class AssignedTask:
-    """One task here, and the latest word on it."""
+    """An assigned task and its latest report."""
 
     report: TaskReport
     shard: int
@@ -50,7 +50,7 @@
     """Tasks of all shards at this worker owner."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without tasks."""
         self._shards: dict[int, ShardContact] = {}
         self._by_task: dict[TaskId, AssignedTask] = {}
         self._unsent: dict[int, dict[TaskId, None]] = {}
@@ -58,7 +58,7 @@
         self._finished_attempts: OrderedDict[TaskId, int] = OrderedDict()
 
     def note_owner(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
-        """Take the word of a shard's owner; False from one that has a successor."""
+        """Record a message from a shard's owner; False if it was replaced by a later one."""
         known = self._shards.get(shard)
         if known is None:
             contact = ShardContact(owner=owner, epoch=epoch, valid_until=valid_until)
@@ -72,12 +72,12 @@
         return True
 
     def epoch_of(self, shard: int) -> Epoch:
-        """Return the highest epoch heard of a shard."""
+        """Return the highest known epoch of a shard."""
         known = self._shards.get(shard)
         return known.epoch if known else Epoch(0)
 
     def owner_of(self, shard: int) -> HostId | None:
-        """Return the owner last heard of a shard."""
+        """Return the last known owner of a shard."""
         known = self._shards.get(shard)
         return known.owner if known else None
 
@@ -90,10 +90,10 @@
         return contact is not None and now < contact.valid_until
 
     def accept(self, shard: int, tasks: Sequence[TaskSpec]) -> tuple[list[TaskSpec], list[TaskId]]:
-        """Take assignments; return those that are new and to be queued, and those refused.
+        """Accept assignments; return the new ones, to be queued, and the refused ones.
 
-        Refused is what has an earlier attempt here that may still run. An assignment that came
-        before is neither.
+        A task is refused while an earlier attempt here may still run. A repeated assignment is
+        in neither list.
         """
         new: list[TaskSpec] = []
         refused: list[TaskId] = []
@@ -114,7 +114,7 @@
         if task.task_id in self._by_task:
             self._forget(task.task_id)
         report = TaskReport(task_id=task.task_id, attempt=task.attempt, kind=ReportKind.QUEUED)
-        # A task that was just accepted needs no report: the answer to the assignment says it.
+        # A task just accepted needs no report: the response to the assignment says so.
         self._by_task[task.task_id] = AssignedTask(
             report=report, shard=shard, task=task, is_unsent=False
         )
@@ -124,9 +124,9 @@
         return self._by_task.get(task_id)
 
     def note(self, report: TaskReport, *, shard: int, task: TaskSpec | None = None) -> None:
-        """Take the latest word on a task; it is sent with the next reports.
+        """Record the latest report of a task, to be sent with the next batch.
 
-        Words on an attempt that is over are passed over.
+        Reports of finished attempts are ignored.
         """
         known = self._by_task.get(report.task_id)
         if known is None:
@@ -143,13 +143,13 @@
             self._ending.setdefault(known.shard, {})[report.task_id] = None
 
     def set_without_report(self, task_id: TaskId, kind: ReportKind) -> None:
-        """Change the word on a task without telling: a start is on its way, or did not leave."""
+        """Change a task's status without a report: a start is under way, or was not sent."""
         known = self._by_task.get(task_id)
         if known is not None and known.report.kind not in ENDING_KINDS:
             known.report = replace(known.report, kind=kind)
 
     def find_invalid(self, now: float) -> list[TaskSpec]:
-        """Return the queued tasks of shards that were not heard in time; unqueue them."""
+        """Return the queued tasks of shards whose owner was not heard in time."""
         late = {shard for shard, contact in self._shards.items() if contact.valid_until <= now}
         if not late:
             return []
@@ -160,18 +160,18 @@
         ]
 
     def has_unsent(self) -> bool:
-        """Return whether some word was not yet sent, or some end not settled."""
+        """Return whether some report was not sent yet, or some end not settled."""
         return any(self._unsent.values()) or any(self._ending.values())
 
     def is_newer(self, task_id: TaskId, attempt: int) -> bool:
-        """Return whether a later assignment of the task than that of `attempt` is here."""
+        """Return whether the task has a later assignment here than that of `attempt`."""
         known = self._by_task.get(task_id)
         if known is None:
             return False
         return known.report.attempt // ATTEMPTS_PER_ASSIGNMENT > attempt // ATTEMPTS_PER_ASSIGNMENT
 
     def is_over(self, task_id: TaskId, attempt: int) -> bool:
-        """Return whether the shard's owner has settled this attempt, or moved past it."""
+        """Return whether the shard's owner has settled this attempt, or assigned a later one."""
         known = self._by_task.get(task_id)
         if known is not None and known.report.attempt > attempt:
             return True
@@ -180,9 +180,9 @@
     def take_reports(
         self, now: float, *, skip: Container[int] = (), limit: int = 512
     ) -> dict[int, list[TaskReport]]:
-        """Return by shard what changed, and endings that were not settled for a while.
+        """Return by shard the new reports, and ends unsettled for `REPEAT_S`.
 
-        Shards in `skip` have a batch under way and are left alone.
+        Shards in `skip` have a batch in flight and are left out.
         """
         taken: dict[int, list[TaskReport]] = {}
         for shard in {*self._unsent, *self._ending}:
@@ -212,14 +212,14 @@
                 self._mark_unsent(known, report.task_id)
 
     def settle(self, reports: Iterable[TaskReport]) -> list[TaskReport]:
-        """Forget attempts whose end the shard's owner keeps now; return those that were here."""
+        """Forget attempts whose end the shard's owner has stored; return those that were here."""
         settled: list[TaskReport] = []
         for report in reports:
             known = self._by_task.get(report.task_id)
             if known is None:
                 continue
             if report.kind is ReportKind.ORPHANED and known.report == report:
-                # Not over: the worker may come back to this owner with the same attempt.
+                # Not finished: this host may own the worker again, with the same attempt.
                 self._remove(report.task_id)
                 continue
             if report.kind not in ENDING_KINDS:
@@ -231,14 +231,14 @@
         return settled
 
     def settle_ids(self, attempts: Iterable[tuple[TaskId, int]]) -> list[TaskReport]:
-        """Forget ended attempts by task and number, as `settle`."""
+        """Like `settle`, by task and attempt number."""
         known = ((self._by_task.get(task_id), attempt) for task_id, attempt in attempts)
         return self.settle(
             each.report for each, attempt in known if each and each.report.attempt == attempt
         )
 
     def census(self, shard: int) -> tuple[TaskReport, ...]:
-        """Return the latest word on all tasks of a shard."""
+        """Return the latest reports of all tasks of a shard."""
         return tuple(each.report for each in self._by_task.values() if each.shard == shard)
 
     def queued_of(self, shard: int) -> list[TaskSpec]:
@@ -250,7 +250,7 @@
         ]
 
     def forget(self, task_id: TaskId) -> None:
-        """Drop a task that the shard's owner knows to be no longer here."""
+        """Drop a task that its shard's owner no longer counts as assigned here."""
         if task_id in self._by_task:
             self._forget(task_id)
 
--- a/src/galenastall/coordination/placement/estimates.py
+++ b/src/galenastall/coordination/placement/estimates.py
@@ -1,11 +1,11 @@
-"""Learn from what ended how much tasks of a team and kind use and how long they run.
+"""Learn from ended tasks how much tasks of a team and kind use and how long they run.
 
 Declared sizes are often far off. A reservation is the larger of declared and learned, so learning
-never takes away what a caller asked for. What a job's own tasks used counts before what others of
-its team and kind did, since tasks of one job are alike and a kind's quantile is wide.
+never reserves less than the caller asked for. Usage of a job's own tasks takes precedence over that
+of others of its team and kind, since tasks of one job are alike and a kind's quantile is wide.
 
 Histograms are logarithmic and decayed, some hundred bytes each: a full HDR histogram of the same
-range takes 16 KB, too much for three a kind at 260 teams.
+range takes 16 KB, too much for three per kind at 260 teams.
 """
 
 from collections import OrderedDict
@@ -18,31 +18,31 @@
 from galenastall.state.work import FinishedTask, TaskSpec, Workload
 
 STEPS_PER_DOUBLING: Final = 8
-"""Buckets to a power of two: a quantile is at most 9% too high."""
+"""Buckets per power of two: a quantile is at most 9% too high."""
 HALVE_AT: Final = 512
 """Samples after which all counts are halved, so that old ones fade."""
 REFRESH_EVERY: Final = 8
-"""New samples after which quantiles are worked out again."""
+"""New samples after which quantiles are recomputed."""
 MIN_SAMPLES: Final = 8
-"""Fewer teach nothing."""
+"""Samples of a kind below which nothing is learned from it."""
 THINNING_AFTER: Final = 128
-"""Samples of a kind after which only every `THINNED`th is counted, to save time."""
+"""Samples of a kind after which only every `THINNING_FACTOR`th is counted, to save time."""
 THINNING_FACTOR: Final = 4
 SIZE_QUANTILE: Final = 0.95
 RUN_QUANTILE: Final = 0.9
 MAX_KINDS: Final = 4096
-"""Teams' kinds remembered; the least recently used goes first."""
+"""Kinds remembered, over all teams; the least recently used is evicted."""
 MAX_JOBS: Final = 8192
-"""Jobs remembered; the least recently used goes first."""
+"""Jobs remembered; the least recently used is evicted."""
 MIN_JOB_SAMPLES: Final = 2
-"""Ended tasks of a job after which its own usage counts."""
+"""Ended tasks of a job after which its own usage is used."""
 JOB_MARGIN: Final = 1.05
-"""How much above the largest of a job's own peaks is reserved."""
+"""Factor on the largest peak of a job's own tasks that is reserved."""
 FLOOR_MARGIN: Final = 1.25
-"""How much above what an overrunning task was seen to use is reserved at its next attempt: it was
-stopped while it grew, so that what was seen is less than it needs."""
+"""Factor on the measured usage of an overrunning task that is reserved at its next attempt: it was
+stopped while it grew, so that it needs more than was measured."""
 MAX_FLOORS: Final = 8192
-"""Tasks remembered that overran; the oldest goes first."""
+"""Overrunning tasks remembered; the oldest is evicted."""
 
 
 K = TypeVar("K")
@@ -50,7 +50,7 @@
 
 
 class DecayedHistogram:
-    """Counts of positive values in logarithmic buckets, in which old samples fade."""
+    """Counts of positive values in logarithmic buckets; old samples decay."""
 
     __slots__ = ("_counts_by_bucket", "_total")
 
@@ -60,7 +60,7 @@
         self._total = 0.0
 
     def record(self, value: float) -> None:
-        """Count a value; those of zero and below count as the smallest."""
+        """Count a value; zero and negative values count in bucket 0."""
         bucket = round(log2(value) * STEPS_PER_DOUBLING) if value > 0 else 0
         self._counts_by_bucket[bucket] = self._counts_by_bucket.get(bucket, 0.0) + 1.0
         self._total += 1.0
@@ -68,7 +68,7 @@
             self._halve()
 
     def quantile(self, share: float) -> float:
-        """Return an upper bound of the value below which `share` (0 to 1) lie; 0 if empty."""
+        """Return an upper bound of the `share` (0 to 1) quantile; 0 if empty."""
         seen = 0.0
         highest = 0
         for bucket, count in sorted(self._counts_by_bucket.items()):
@@ -125,7 +125,7 @@
         self.size: Resources | None = None
 
     def observe(self, memory_mb: int) -> None:
-        """Count what a running task uses at once: waiting for ends would place more like it."""
+        """Count a running task's usage at once: until it ends, more like it would be placed."""
         if memory_mb <= self.memory and self.size is not None:
             return
         self.memory = max(self.memory, memory_mb)
@@ -143,17 +143,17 @@
 
 
 class Estimates:
-    """Learned sizes and run times, by job and by team and kind; unlabelled tasks teach nothing."""
+    """Learned sizes and run times, by job and by team and kind; tasks without kind are ignored."""
 
     def __init__(self, *, quantile: float = SIZE_QUANTILE) -> None:
-        """Start without having learned anything."""
+        """Start without samples; `quantile` of the measured peaks (0 to 1) is the learned size."""
         self.quantile = quantile
         self._peaks_by_job: OrderedDict[JobId, _JobPeaks] = OrderedDict()
         self._floors_by_task: OrderedDict[TaskId, int] = OrderedDict()
         self._learned_by_kind: OrderedDict[tuple[TeamPath, str], _Learned] = OrderedDict()
 
     def record(self, task: TaskSpec, end: FinishedTask) -> None:
-        """Learn from a task that ended; one whose peak was not measured teaches nothing."""
+        """Learn from a task that ended; one whose peak was not measured is ignored."""
         if not task.kind or (not end.peak.memory_mb and not end.peak.cores_milli):
             return
         kind = (task.team, task.kind)
@@ -161,11 +161,11 @@
         _get_or_create(self._peaks_by_job, task.job_id, _JobPeaks, MAX_JOBS).record(end.peak)
 
     def raise_floor(self, task: TaskSpec, used: Resources, largest: Resources) -> None:
-        """Remember what an overrunning task was seen to use, for its next attempt.
+        """Remember the measured usage of an overrunning task, for its next attempt.
 
-        The margin goes no further than `most`, the largest worker; what was seen counts whole, so
+        The margin is capped at `largest`, the largest worker, but the measured usage is not, so
         that a task that needs more than any worker has is found impossible. Gangs get no margin:
-        it could keep all of one from ever fitting at once.
+        it could keep all tasks of a gang from ever fitting at once.
         """
         margin = 1.0 if task.workload is Workload.GANG else FLOOR_MARGIN
         seen = max(used.memory_mb, min(int(used.memory_mb * margin), largest.memory_mb))
@@ -181,20 +181,20 @@
             peaks.observe(used.memory_mb)
 
     def drop_floor(self, task_id: TaskId) -> None:
-        """Forget a task that ended."""
+        """Forget the measured usage of a task that ended."""
         self._floors_by_task.pop(task_id, None)
 
     def need(self, task: TaskSpec) -> Resources:
-        """Return the least that a task needs: declared, or what an earlier attempt used."""
+        """Return the minimum that a task needs: declared, or measured at an earlier attempt."""
         floor_mb = self._floors_by_task.get(task.task_id, 0)
         if floor_mb <= task.resources.memory_mb:
             return task.resources
         return task.resources.at_least(Resources(memory_mb=floor_mb))
 
     def amount(self, task: TaskSpec, largest: Resources) -> Resources:
-        """Return what to reserve: the larger of needed and learned, the latter up to `most`.
+        """Return what to reserve: the larger of needed and learned, the latter up to `largest`.
 
-        `most` is the largest worker: learning must not make a task impossible.
+        `largest` is the largest worker: learning must not make a task impossible.
         """
         declared = self.need(task)
         size = self._learned_size(task)
@@ -224,7 +224,7 @@
 
 
 def _get_or_create(entries: OrderedDict[K, V], key: K, make: Callable[[], V], limit: int) -> V:
-    """Return the entry, made if there is none, as the most recent of at most `most`."""
+    """Return the entry, created if missing, as the most recent of at most `limit`."""
     entry = entries.get(key)
     if entry is None:
         entry = entries[key] = make()
--- a/src/galenastall/coordination/placement/explanations.py
+++ b/src/galenastall/coordination/placement/explanations.py
@@ -1,4 +1,4 @@
-"""Say in sentences where a task is or why it waits, and sum up free capacity for other owners."""
+"""Explain in sentences where a task is or why it waits; summarise capacity for other owners."""
 
 from collections.abc import Iterable
 
@@ -29,7 +29,7 @@
 
 
 def summarise(tables: PlacementTables, now: float) -> CapacitySummary:
-    """Return free totals and the largest holes of the workers that may be given new tasks."""
+    """Return totals and largest free amounts of the workers that may be given new tasks."""
     workers = [worker for worker in tables.workers_by_id.values() if worker.is_open]
     capacities = [worker.ledger.capacity for worker in workers]
     available = [
@@ -62,7 +62,7 @@
         f"attempt {task.attempt}, with {amount} reserved."
     )
     if placed.phase is TaskPhase.UNKNOWN:
-        yield "Its start had no answer, so its room stays reserved until a listing settles it."
+        yield "Its start had no answer, so its capacity stays reserved until a listing settles it."
     if placed.is_cancelled:
         yield "It was cancelled and is being stopped."
     elif placed.ending is not None:
--- a/src/galenastall/coordination/placement/feasibility.py
+++ b/src/galenastall/coordination/placement/feasibility.py
@@ -1,4 +1,4 @@
-"""Say why a task can never run on a set of workers, and what the largest one is."""
+"""Explain why a task can never run on a set of workers, and name the largest worker."""
 
 from collections.abc import Iterable
 
@@ -9,8 +9,8 @@
 def find_obstacle(need: Resources, capacities: Iterable[Resources]) -> str | None:
     """Return why `need` fits none of the workers even when idle, or None if it fits one.
 
-    The sentence names what is missing and the largest worker. No workers at all is no obstacle,
-    since that says nothing about the task.
+    The text names the need and the largest worker. An empty set of workers is no obstacle, since
+    that says nothing about the task.
     """
     if need.is_negative():
         return f"resources: {describe_amount(need)} has a negative amount"
@@ -37,7 +37,7 @@
 
 
 class CapacityShapes:
-    """The different capacities of the owned workers, and how many have each; few in a fleet."""
+    """The distinct capacities of the owned workers with their counts; a fleet has few."""
 
     def __init__(self) -> None:
         """Start with no workers."""
@@ -46,13 +46,13 @@
         self._shapes: tuple[Resources, ...] = ()
 
     def add(self, capacity: Resources) -> None:
-        """Count a worker in."""
+        """Add a worker's capacity."""
         shape = _shape(capacity)
         self._counts_by_shape[shape] = self._counts_by_shape.get(shape, 0) + 1
         self._update()
 
     def remove(self, capacity: Resources) -> None:
-        """Count a worker out that was counted in."""
+        """Remove the capacity of a worker that was added."""
         shape = _shape(capacity)
         self._counts_by_shape[shape] -= 1
         if not self._counts_by_shape[shape]:
@@ -87,6 +87,6 @@
 
 
 def describe_amount(amount: Resources) -> str:
-    """Return an amount in words, for refusals and explanations."""
+    """Return an amount as text, for refusals and explanations."""
     text = f"{amount.cores_milli / 1000:g} cores and {amount.memory_mb} MB"
     return f"{text} and {amount.accelerators} accelerators" if amount.accelerators else text
--- a/src/galenastall/coordination/placement/gang_holds.py
+++ b/src/galenastall/coordination/placement/gang_holds.py
@@ -1,8 +1,8 @@
-"""Hold room for all tasks of a gang, for a bounded time, or for none of them.
+"""Hold capacity for all tasks of a gang, for a bounded time, or for none of them.
 
-A gang that spans owners is held owner by owner in host id order, each hold with an end, so that two
-gangs can't wait for each other for ever. Of the gangs that find no room only one at a time, the
-first by class and id, keeps room promised between its tries; the order is the same at every owner.
+A gang that spans owners is held owner by owner in host id order, and each hold expires, so that two
+gangs can't deadlock. Of the gangs that don't fit, only the first by class and id keeps capacity
+promised between its attempts; that order is the same at every owner.
 """
 
 from collections.abc import Callable, Container, Iterable, Sequence
@@ -23,14 +23,14 @@
 from galenastall.state.work import TaskPhase, TaskSpec
 
 RETRY_S = 1.0
-"""When to ask again for a hold that found no room, in seconds."""
+"""Time after which a hold that found no capacity may be retried, in seconds."""
 
 
 class GangHolds:
     """The holds of this owner."""
 
     def __init__(self, *, tables: PlacementTables, placer: Placer) -> None:
-        """Hold in these tables, by the placer's choice of workers."""
+        """Reserve in these tables on the workers that the placer chooses."""
         self._tables = tables
         self._placer = placer
         self._holds_by_id: dict[HoldId, Hold] = {}
@@ -40,7 +40,7 @@
     def hold(
         self, gang_id: str, tasks: Sequence[TaskSpec], now: float, until: float
     ) -> Result[Hold, StepError]:
-        """Hold room for all tasks until `until`, in wall seconds."""
+        """Hold capacity for all tasks until `until`, in wall seconds."""
         error = self._find_error(gang_id, tasks)
         if error is not None:
             return Failure(error)
@@ -49,18 +49,18 @@
         self._drop_promises(gang_id, now, kept={task.task_id for task in tasks})
         held, missing = self._hold_all(tasks, self._placer.amount_of, now)
         if missing is not None:
-            # The shard's owner planned with what the tasks need, not with what is learned here.
+            # The shard's owner planned with the tasks' needs, not with the sizes learned here.
             self._forget(held)
             held, missing = self._hold_all(tasks, self._tables.estimates.need, now)
         if missing is not None:
             self._on_no_capacity(gang_id, tasks, held, now)
             need = self._tables.estimates.need(missing)
-            detail = f"{missing.task_id}: no room for {describe_amount(need)}"
+            detail = f"{missing.task_id}: no free capacity for {describe_amount(need)}"
             return Failure(_error(gang_id, Reason.OVERLOADED, detail))
         return Success(self._keep(gang_id, held, until))
 
     def start(self, hold_id: HoldId, now: float) -> Result[list[Placed], StepError]:
-        """Move all tasks of a hold to starting; none if any of them can't."""
+        """Move all tasks of a hold to starting, or none if any of them can't start."""
         hold = self._holds_by_id.get(hold_id)
         if hold is None or hold.until <= now:
             return Failure(_error(hold_id, Reason.NOT_FOUND, "expired or released"))
@@ -76,7 +76,7 @@
         return Success(startable)
 
     def extend(self, hold_id: HoldId, now: float, until: float) -> bool:
-        """Let a hold stand until `until`; False if it is not whole any more or was released."""
+        """Extend a hold to `until`; False if it is no longer complete or was released."""
         hold = self._holds_by_id.get(hold_id)
         if hold is None or hold.until <= now:
             return False
@@ -87,7 +87,7 @@
         return True
 
     def release(self, hold_id: HoldId) -> bool:
-        """Free a hold that was not started; return whether there was one."""
+        """Release a hold that was not started; return whether there was one."""
         hold = self._holds_by_id.pop(hold_id, None)
         if hold is None:
             return False
@@ -98,7 +98,7 @@
         return True
 
     def expire(self, now: float) -> tuple[HoldId, ...]:
-        """Free the holds whose time is over, and promises too; return the holds' ids."""
+        """Release expired holds and promises; return the ids of the holds."""
         for promise in self._tables.promises.ended(now):
             self._tables.drop_promise(promise.task_id)
         if self._waiting_gang and not self._tables.promises.of_gang(self._waiting_gang[1]):
@@ -127,7 +127,7 @@
     def _hold_all(
         self, tasks: Sequence[TaskSpec], amount_of: Callable[[TaskSpec], Resources], now: float
     ) -> tuple[list[Placed], TaskSpec | None]:
-        """Return what was held and the first task for which there was no room, if any."""
+        """Return what was held and the first task that did not fit, if any."""
         held: list[Placed] = []
         for task in sorted(tasks, key=_size, reverse=True):
             placed = self._hold_one(task, amount_of(task), now)
@@ -152,7 +152,7 @@
             return None
         placed = self._reserve(task, worker, amount, now)
         if placed is not None:
-            placed.why = f"all of its gang found room at once and {self._placer.why}"
+            placed.why = f"all of its gang fit at once and {self._placer.why}"
         return placed
 
     def _reserve(
@@ -180,7 +180,7 @@
         held: Sequence[Placed],
         now: float,
     ) -> None:
-        """Free what was held, and keep room promised if this is the first gang that waits."""
+        """Release what was held, and promise capacity if this is the first waiting gang."""
         for placed in held:
             self._tables.forget(placed)
         rank = (int(tasks[0].urgency), gang_id)
@@ -206,7 +206,10 @@
                 return
 
     def _seek_capacity(self, gang_id: str, task: TaskSpec, now: float) -> bool:
-        """Seek room for one task; if none is foreseen, the gang must not block others."""
+        """Preempt or promise for one task; False if no capacity is foreseen for it.
+
+        The gang must then not block others.
+        """
         amount = self._placer.amount_of(task)
         return self._placer.preempt_or_promise(task, amount, now, gang_id=gang_id) is not None
 
@@ -225,7 +228,7 @@
         self._tables.make_promise(promise)
 
     def _drop_promises(self, gang_id: str, now: float, kept: Container[TaskId] = ()) -> None:
-        """End a gang's promises but for the tasks in `kept`."""
+        """Drop a gang's promises except for the tasks in `kept`."""
         promises = self._tables.promises.of_gang(gang_id)
         dropped = [promise.task_id for promise in promises if promise.task_id not in kept]
         for task_id in dropped:
--- a/src/galenastall/coordination/placement/leases.py
+++ b/src/galenastall/coordination/placement/leases.py
@@ -1,8 +1,8 @@
-"""Task leases of owned workers: when to renew, and when a silent worker's have provably lapsed.
+"""Task leases of owned workers: when to renew, and when an unresponsive worker's have expired.
 
-Any entry host of the data centre may renew tasks that run, so that an owner's death kills nothing.
-An owner therefore calls leases lapsed only while every other entry host has just said that it
-renews nothing on that worker.
+Any entry host of the data centre may renew leases of running tasks, so that an owner's death kills
+nothing. An owner therefore treats leases as expired only while every other entry host has recently
+reported that it renews nothing on that worker.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,17 +17,17 @@
 
 @dataclass(kw_only=True, slots=True)
 class WorkerLease:
-    """What this entry host knows of the leases on one worker; wall seconds."""
+    """Lease times of one worker as known to this entry host, in wall seconds."""
 
     latest_until: float
-    """No lease that was given or seen ends later."""
+    """Upper bound of the ends of all leases that were granted or listed."""
     answered_at: float
     renewed_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerRenewals:
-    """What a peer last said of the workers whose tasks it renews for others."""
+    """A peer's last report of the workers on which it renews leases for other owners."""
 
     at: float
     renewing: frozenset[HostId]
@@ -44,9 +44,9 @@
         peer_report_max_age_s: float,
         longest_lease_s: float = 0.0,
     ) -> None:
-        """`peer_word_s`: how fresh a peer's word must be to prove that it renews nothing.
+        """`peer_report_max_age_s`: oldest peer report that still proves that it renews nothing.
 
-        `longest_lease_s`: what any other entry host may have given, whatever it was told to give.
+        `longest_lease_s`: upper bound of the leases of any entry host, whatever its settings.
         """
         self._longest_lease_s = longest_lease_s
         self.apply(lease_s=lease_s, renew_every_s=renew_every_s)
@@ -55,13 +55,13 @@
         self._renewals_by_peer: dict[HostId, PeerRenewals] = {}
 
     def apply(self, *, lease_s: float, renew_every_s: float) -> None:
-        """Give leases of another length from now on; what was given stays in mind."""
+        """Grant leases of another length from now on; leases granted before still count."""
         self._lease_s = lease_s
         self._renew_every_s = renew_every_s
         self._longest_s = max(lease_s, self._longest_lease_s)
 
     def add(self, worker: HostId, now: float) -> None:
-        """Begin with a worker: leases that another gave may end as late as one given now."""
+        """Add a worker: leases of earlier owners may end as late as the longest one granted now."""
         self._by_worker[worker] = WorkerLease(latest_until=now + self._longest_s, answered_at=now)
 
     def remove(self, worker: HostId) -> None:
@@ -69,7 +69,7 @@
         self._by_worker.pop(worker, None)
 
     def grant(self, worker: HostId, now: float) -> float:
-        """Return the end of a lease that is given now, and keep it in mind before it is sent."""
+        """Return the end of a lease granted now, recorded before the lease is sent."""
         until = now + self._lease_s
         lease = self._by_worker.get(worker)
         if lease is not None:
@@ -77,7 +77,7 @@
         return until
 
     def note_listing(self, worker: HostId, lease_untils: Iterable[float], now: float) -> None:
-        """Take note that a worker answered and of the leases that it listed."""
+        """Record that a worker answered, and the ends of the leases that it listed."""
         lease = self._by_worker.get(worker)
         if lease is not None:
             lease.answered_at = now
@@ -89,7 +89,7 @@
         return lease is not None and now >= lease.renewed_at + self._renew_every_s
 
     def note_renewal(self, worker: HostId, now: float) -> None:
-        """Take note that a renewal was answered."""
+        """Record that a renewal succeeded."""
         lease = self._by_worker.get(worker)
         if lease is not None:
             lease.renewed_at = now
@@ -100,14 +100,14 @@
         return now - lease.answered_at if lease else 0.0
 
     def note_peer_renewals(self, peer: HostId, renewing: Iterable[HostId], now: float) -> None:
-        """Take a peer's word on what it renews for others."""
+        """Record a peer's report of the workers on which it renews for other owners."""
         self._renewals_by_peer[peer] = PeerRenewals(at=now, renewing=frozenset(renewing))
 
     def has_expired(self, worker: HostId, roster: Iterable[HostId], now: float) -> bool:
-        """Return whether nothing can run on the worker any more.
+        """Return whether all leases on the worker have expired, so that nothing runs there.
 
-        A peer that was not heard of late keeps the answer at no, and restarts the wait when its
-        word names the worker, since its renewals may reach what ours don't.
+        False while any peer's report is missing or too old. A report that names the worker restarts
+        the wait, since the peer's renewals may reach a worker that this host can't.
         """
         lease = self._by_worker.get(worker)
         if lease is None:
@@ -124,5 +124,5 @@
         return now > lease.latest_until + CLOCK_SKEW_S
 
     def renewals(self) -> Mapping[HostId, PeerRenewals]:
-        """Return the last word of each peer."""
+        """Return the last report of each peer."""
         return self._renewals_by_peer
--- a/src/galenastall/coordination/placement/overrun.py
+++ b/src/galenastall/coordination/placement/overrun.py
@@ -1,10 +1,10 @@
-"""Answer memory overruns before a worker is full: throttle, then checkpoint, then stop.
+"""React to memory overruns before a worker is full: throttle, then checkpoint, then stop.
 
-A task that can neither be checkpointed nor run again is only throttled while it keeps to what was
-reserved for it; one that overruns is stopped last of all, and then ends as failed.
+A task that can neither be checkpointed nor run again is never stopped while it stays within its
+reservation; one that overruns is stopped last of all, and then ends as failed.
 
-Usage lags, so what counts is the last report plus its growth since the one before. A worker under
-pressure gets nothing new until its usage has fallen well below the first threshold.
+Usage reports lag, so the expected usage is the last report plus its growth since the one before. A
+worker under memory pressure gets nothing new until its usage is well below the first threshold.
 """
 
 from collections.abc import Iterable, Iterator
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OverrunSettings:
-    """Shares of a worker's memory, 0 to 1, at which something is done."""
+    """Shares of a worker's memory, 0 to 1, at which each action is taken."""
 
     throttle_at: float = 0.85
     checkpoint_at: float = 0.92
@@ -26,12 +26,12 @@
     relaxed_below: float = 0.80
     """Usage below which the worker gets new tasks again."""
     throttled_share: float = 0.5
-    """What a throttled task is left of its reservation."""
+    """Share of its reservation that a throttled task may use."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OverrunAction:
-    """What to do to one task."""
+    """A command for one task, with its reason."""
 
     placed: Placed
     command: CommandKind
@@ -46,7 +46,7 @@
 
 
 def is_overrun(worker: Worker, placed: Iterable[Placed]) -> bool:
-    """Return whether anything uses more memory than was granted; else the ledger suffices."""
+    """Return whether the worker or a task exceeds its reserved memory; else the ledger suffices."""
     reserved = worker.ledger.capacity.memory_mb - worker.ledger.free_memory
     return worker.used.memory_mb > reserved or any(excess_of(task) > 0 for task in placed)
 
@@ -54,7 +54,7 @@
 def find_overruns(
     worker: Worker, placed: Iterable[Placed], settings: OverrunSettings
 ) -> list[OverrunAction]:
-    """Return what to do about a worker whose memory runs out; nothing below the thresholds."""
+    """Return the actions for a worker whose memory runs out: throttles, then ends if needed."""
     capacity = worker.ledger.capacity.memory_mb
     expected = expected_memory(worker)
     candidates = [task for task in placed if task.phase is TaskPhase.RUNNING]
@@ -80,14 +80,17 @@
 def _endings(
     candidates: list[Placed], surplus: int, cause: str, *, may_stop: bool
 ) -> Iterator[OverrunAction]:
-    """End tasks until `surplus` MB will be free: lowest class first, then overrunning ones."""
-    for task in sorted(candidates, key=_by_claim):
+    """End tasks until `surplus` MB will be free: lowest class first, then overrunning ones.
+
+    Tasks that can neither be checkpointed nor run again come last.
+    """
+    for task in sorted(candidates, key=_ending_order):
         if surplus <= 0:
             return
         if task.ending in ENDINGS:
             surplus -= task.used.memory_mb
             continue
-        if _is_lost_for_good(task) and excess_of(task) <= 0:
+        if _is_unrecoverable(task) and excess_of(task) <= 0:
             continue
         if task.can_checkpoint:
             yield OverrunAction(placed=task, command=CommandKind.CHECKPOINT, cause=cause)
@@ -98,15 +101,15 @@
         surplus -= task.used.memory_mb
 
 
-def _is_lost_for_good(placed: Placed) -> bool:
+def _is_unrecoverable(placed: Placed) -> bool:
     return not placed.task.idempotent and not placed.can_checkpoint
 
 
-def _by_claim(placed: Placed) -> tuple[bool, int, bool, bool, int]:
+def _ending_order(placed: Placed) -> tuple[bool, int, bool, bool, int]:
     task = placed.task
     is_shared = task.workload is not Workload.BATCH
     return (
-        _is_lost_for_good(placed),
+        _is_unrecoverable(placed),
         -task.urgency,
         is_shared,
         excess_of(placed) <= 0,
--- a/src/galenastall/coordination/placement/pending_commands.py
+++ b/src/galenastall/coordination/placement/pending_commands.py
@@ -1,4 +1,4 @@
-"""Commands that wait for the next decision, and their grouping by worker."""
+"""Commands queued for the next decision, and their grouping by worker."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -27,10 +27,10 @@
 
 
 class PendingCommands:
-    """At most one ending command and one throttle a task; a stop replaces a checkpoint."""
+    """At most one ending command and one throttle per task; a stop replaces a checkpoint."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without commands."""
         self._endings_by_task: OrderedDict[TaskId, tuple[Placed, CommandKind, str]] = OrderedDict()
         self._throttles_by_task: OrderedDict[TaskId, tuple[Placed, float, str]] = OrderedDict()
         self._duplicates: OrderedDict[tuple[HostId, TaskId], Worker] = OrderedDict()
@@ -40,7 +40,7 @@
         self._endings_by_task[placed.task.task_id] = (placed, CommandKind.STOP, cause)
 
     def checkpoint(self, placed: Placed, cause: str) -> None:
-        """Checkpoint a task with the next decision, unless a stop is due already."""
+        """Checkpoint a task with the next decision, unless an ending command is queued already."""
         task_id = placed.task.task_id
         self._endings_by_task.setdefault(task_id, (placed, CommandKind.CHECKPOINT, cause))
 
@@ -49,21 +49,21 @@
         self._throttles_by_task[placed.task.task_id] = (placed, share, cause)
 
     def stop_duplicate(self, worker: Worker, task_id: TaskId) -> None:
-        """Stop a second copy of a task that is placed elsewhere."""
+        """Stop a duplicate run of a task that is placed on another worker."""
         self._duplicates[worker.worker_id, task_id] = worker
 
     def forget_task(self, task_id: TaskId) -> None:
-        """Drop what is due for a task that left its worker."""
+        """Drop the commands for a task that left its worker."""
         self._endings_by_task.pop(task_id, None)
         self._throttles_by_task.pop(task_id, None)
 
     def forget_worker(self, worker_id: HostId) -> None:
-        """Drop what is due on a worker that is no longer owned."""
+        """Drop the duplicate stops for a worker that is no longer owned."""
         for key in [key for key in self._duplicates if key[0] == worker_id]:
             del self._duplicates[key]
 
     def take(self, starts: Iterable[Placed], now: float) -> tuple[WorkerCommands, ...]:
-        """Return everything due, with these starts, one batch a worker."""
+        """Return and clear all queued commands, with these starts, one batch per worker."""
         batches: dict[HostId, _Batch] = {}
         if self._endings_by_task:
             self._take_endings(batches, now)
@@ -71,7 +71,10 @@
             self._take_throttles(batches)
         for (worker_id, task_id), worker in self._duplicates.items():
             stop = StopTask(
-                worker_id=worker_id, epoch=worker.epoch, task_id=task_id, cause="second copy"
+                worker_id=worker_id,
+                epoch=worker.epoch,
+                task_id=task_id,
+                cause="it runs on another worker too",
             )
             _batch(batches, worker).stops.append(stop)
         self._duplicates.clear()
@@ -122,7 +125,7 @@
 
 
 def start_of(placed: Placed) -> StartTask:
-    """Return the start of a task whose room is taken."""
+    """Return the start command of a task whose capacity is reserved."""
     worker = placed.worker
     return StartTask(
         worker_id=worker.worker_id,
--- a/src/galenastall/coordination/placement/placement.py
+++ b/src/galenastall/coordination/placement/placement.py
@@ -1,8 +1,8 @@
 """Decide which owned worker runs which task: the pure core of a worker owner.
 
-It takes typed events with a time and returns typed commands. Room is taken in an exact ledger
-before a start is commanded and given back only on proof: a worker's word that the task ended or
-was refused, or a listing after the time in which an unanswered start could take effect.
+It takes typed events with a time and returns typed commands. Capacity is reserved in an exact
+ledger before a start is commanded and released only on proof: the worker reports that the task
+ended or was refused, or a listing requested once the start can no longer take effect omits it.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -57,7 +57,7 @@
         self._now = 0.0
 
     def apply_settings(self, settings: PlacementSettings) -> None:
-        """Use other settings from the next decision on; the queue's order stays as it began."""
+        """Use other settings from the next decision on; the queue order can't be changed."""
         self._tables.settings = settings
         self._tables.quarantine.settings = settings.quarantine
         self._tables.estimates.quantile = settings.learned_quantile
@@ -67,7 +67,7 @@
     def add_worker(
         self, worker: ListedHost, epoch: Epoch, running: Sequence[RunningTask], now: float
     ) -> ReconcileReport:
-        """Take a worker into the ledger with what its listing shows, after activation."""
+        """Add a worker with the tasks that its listing shows, once its ownership is active."""
         known = self._tables.workers_by_id.get(worker.host_id)
         if known is None:
             known = self._tables.add_worker(worker, epoch)
@@ -89,9 +89,9 @@
         return described
 
     def set_worker_state(self, worker_id: HostId, state: WorkerState) -> None:
-        """Say whether a worker may get new tasks; unknown workers are passed over.
+        """Set whether a worker may get new tasks; unknown workers are ignored.
 
-        Quarantine that the core itself decided stands beside this and ends by a probe.
+        Quarantine decided by the core is independent of this state and ends with a good probe.
         """
         worker = self._tables.workers_by_id.get(worker_id)
         if worker is None or worker.state is state:
@@ -104,10 +104,10 @@
             self._tables.drop_promise(promise.task_id)
 
     def drain_worker(self, worker_id: HostId) -> None:
-        """Give a worker nothing new and let its tasks move; may be asked for again and again.
+        """Give a worker nothing new and move its tasks; idempotent.
 
-        What can be checkpointed goes on elsewhere, services that may run again are stopped since
-        they would never end by themselves, and the rest runs out.
+        Checkpointable tasks continue elsewhere, services that may run again are stopped since they
+        would never end on their own, and all other tasks run to their end.
         """
         self.set_worker_state(worker_id, WorkerState.LEAVING)
         worker = self._tables.workers_by_id.get(worker_id)
@@ -122,11 +122,11 @@
                 self._tables.pending.stop(placed, f"{worker_id} is drained")
 
     def set_reserved_elsewhere(self, reserved_by_team: Mapping[TeamPath, Resources]) -> None:
-        """Say what teams have reserved with other owners, so that quotas hold over all of them."""
+        """Set what teams have reserved with other owners, so that quotas span all owners."""
         self._tables.queue.set_elsewhere(reserved_by_team)
 
     def enqueue(self, tasks: Sequence[TaskSpec], now: float) -> None:
-        """Let tasks wait for a place; those already waiting or placed here are passed over."""
+        """Queue tasks; those already queued or placed here are ignored."""
         tables = self._tables
         for task in tasks:
             if task.task_id in tables.placed_by_task:
@@ -141,7 +141,7 @@
             )
 
     def cancel(self, task_ids: Iterable[TaskId], now: float) -> Mapping[TaskId, CancelVerdict]:
-        """Give up tasks at constant cost each; call it before deciding in the same window."""
+        """Cancel tasks at constant cost each; call it before `decide` in the same window."""
         return {task_id: self._cancel(task_id) for task_id in task_ids}
 
     def decide(self, now: float, limit: int) -> Decision:
@@ -169,10 +169,10 @@
     def on_start_answer(
         self, task_id: TaskId, worker_id: HostId, answer: StartAnswer, now: float
     ) -> TaskPhase:
-        """Take in what became of a start; return where the task now stands.
+        """Apply the outcome of a start; return the task's phase.
 
-        WAITING: it waits again. CANCELLED: it never started and its cancellation is final. DONE:
-        nothing is known of such a start any more.
+        WAITING: it is queued again. CANCELLED: it never started and its cancellation is final.
+        DONE: the core no longer knows such a start.
         """
         return self._reconciler.start_answer(task_id, worker_id, answer, now)
 
@@ -184,28 +184,28 @@
         answer: CommandAnswer,
         now: float,
     ) -> TaskPhase:
-        """Take in what became of a checkpoint, throttle or stop.
+        """Apply the outcome of a checkpoint, throttle or stop; return the task's phase.
 
-        Answer DONE only if the worker says that the task has ended. WAITING: it made way and waits
-        again as its next attempt. CANCELLED: its cancellation is final. Otherwise it stands where
-        it stood; a command without effect is repeated after a listing that still shows the task.
+        Pass DONE only if the worker reports that the task has ended. WAITING: it was preempted and
+        is queued as its next attempt. CANCELLED: its cancellation is final. Otherwise the phase is
+        unchanged; a command without effect is repeated after a listing that still shows the task.
         """
         return self._reconciler.command_answer(task_id, worker_id, command, answer)
 
     def on_finished(
         self, worker_id: HostId, finished: Sequence[FinishedTask], now: float
     ) -> tuple[EndedTask, ...]:
-        """Take in ended tasks; ends of tasks that are not placed or waiting here are passed over.
+        """Apply ended tasks; ends of tasks that are neither placed nor queued here are ignored.
 
-        After a takeover such ends may belong to a task that this owner never knew: hand the
-        listing's own ends to the job's shard as well.
+        After a takeover such ends may belong to a task that this owner never knew, so the caller
+        must also report the listing's own ends to the job's shard.
         """
         return tuple(self._reconciler.finished(worker_id, finished, now))
 
     def on_listing(
         self, worker_id: HostId, listing: Listing, now: float, asked_at: float | None = None
     ) -> ReconcileReport:
-        """Reconcile with a worker's listing that was asked for at `asked_at` (`now` if None)."""
+        """Reconcile with a worker's listing that was requested at `asked_at` (`now` if None)."""
         worker = self._tables.workers_by_id.get(worker_id)
         if worker is None:
             return ReconcileReport()
@@ -222,7 +222,7 @@
         used_by_task: Mapping[TaskId, Resources],
         now: float,
     ) -> None:
-        """Take in measured usage of a worker and of its tasks; act before memory runs out."""
+        """Apply measured usage of a worker and its tasks; relieve memory before it runs out."""
         tables = self._tables
         worker = tables.workers_by_id.get(worker_id)
         if worker is None:
@@ -240,17 +240,17 @@
     def hold(
         self, gang_id: str, tasks: Sequence[TaskSpec], now: float, until: float
     ) -> Result[Hold, StepError]:
-        """Hold room for all of a gang's tasks here until `until`, or for none.
+        """Hold capacity for all of a gang's tasks here until `until`, or for none of them.
 
-        A gang's tasks are not enqueued. OVERLOADED: no room now, ask again after the time given;
-        the first gang that waits keeps room promised meanwhile. REFUSED: a task fits no worker of
+        A gang's tasks are not enqueued. OVERLOADED: no capacity now, retry after the time given;
+        the first waiting gang keeps capacity promised meanwhile. REFUSED: a task fits no worker of
         this owner. CONFLICT: a task is already placed. INVALID: no tasks.
         """
         self._tables.apply_freed_capacity(now)
         return self._holds.hold(gang_id, tasks, now, until)
 
     def extend_hold(self, hold_id: HoldId, now: float, until: float) -> bool:
-        """Let a hold stand until `until`; False if it can't be started any more.
+        """Extend a hold to `until`; False if it can't be started any more.
 
         A gang over several owners extends all its holds before it starts the first, so that none
         expires between two starts.
@@ -261,7 +261,7 @@
         """Return the starts of all tasks of a hold.
 
         NOT_FOUND: it expired or was released. CONFLICT: a task was cancelled or its worker may not
-        start anything any more; then the whole hold is released.
+        start anything any more; then the hold is released completely.
         """
         started = self._holds.start(hold_id, now)
         if isinstance(started, Failure):
@@ -270,11 +270,11 @@
         return Success(Decision(by_worker=commands))
 
     def release_hold(self, hold_id: HoldId) -> bool:
-        """Free a hold that was not started; return whether there was one."""
+        """Release a hold that was not started; return whether there was one."""
         return self._holds.release(hold_id)
 
     def summary(self) -> CapacitySummary:
-        """Return free totals and the largest holes, for others to choose this owner by."""
+        """Return free totals and largest free amounts, by which others choose this owner."""
         return summarise(self._tables, self._now)
 
     def reserved_by_team(self) -> Mapping[TeamPath, Resources]:
@@ -282,12 +282,12 @@
         return self._tables.queue.reserved_by_team()
 
     def raised_need_mb(self, task: TaskSpec) -> int:
-        """Return the MB that an earlier attempt was seen to need, 0 if no more than declared."""
+        """Return the MB measured at an earlier attempt, 0 if no more than declared."""
         need_mb = self._tables.estimates.need(task).memory_mb
         return need_mb if need_mb > task.resources.memory_mb else 0
 
     def quarantined(self) -> tuple[HostId, ...]:
-        """Return the workers that the core keeps under quarantine."""
+        """Return the workers that the core has quarantined."""
         return tuple(self._tables.quarantined_by_id)
 
     def explain(self, task_id: TaskId) -> tuple[str, ...]:
--- a/src/galenastall/coordination/placement/placement_commands.py
+++ b/src/galenastall/coordination/placement/placement_commands.py
@@ -1,7 +1,7 @@
 """Typed commands, answers and reports of the placement core.
 
-The driver that owns the sockets carries out the commands, one batched call a worker and kind, and
-feeds what it heard back. All times are wall seconds, as leases and deadlines are.
+The driver that owns the sockets sends the commands, one batched call per worker and kind, and feeds
+the answers back. All times are wall seconds, as leases and deadlines are.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 from galenastall.state.work import FinishedTask, RunningTask, TaskPhase, TaskSpec
 
 HoldId = NewType("HoldId", str)
-"""A gang's hold on capacity of one owner."""
+"""Id of a gang's hold on capacity of one owner."""
 
 
 class WorkerState(StrEnum):
@@ -22,19 +22,19 @@
 
     LIVE = "live"
     LEAVING = "leaving"
-    """Runs what it has and gets nothing new."""
+    """Runs its tasks to their end and gets nothing new."""
     UNRESPONSIVE = "silent"
-    """Doesn't answer: what it has stays reserved, it gets nothing new."""
+    """Doesn't answer: its tasks stay reserved, it gets nothing new."""
     QUARANTINED = "quarantined"
     """Failed too many different jobs; gets single probes only."""
 
 
 class StartAnswer(StrEnum):
-    """What is known of a start that was sent."""
+    """Outcome of a start command, as known to its sender."""
 
     STARTED = "started"
     REFUSED = "refused"
-    """Proved not started: refused by the worker, or never left this process."""
+    """Provably not started: refused by the worker, or never sent by this process."""
     UNKNOWN = "unknown"
     """No answer: it may run, so its capacity stays reserved."""
 
@@ -48,7 +48,7 @@
 
 
 class CommandAnswer(StrEnum):
-    """What is known of a command that was sent."""
+    """Outcome of a checkpoint, throttle or stop, as known to its sender."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -56,7 +56,7 @@
 
 
 class CancelVerdict(StrEnum):
-    """What a cancellation found."""
+    """Where a cancellation found the task."""
 
     NEVER_STARTED = "never_started"
     STOPPING = "stopping"
@@ -66,7 +66,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a task is given up without ever being started again."""
+    """Why a task will not be started again."""
 
     IMPOSSIBLE = "impossible"
     """Larger than every worker of this owner, or than its team's quota."""
@@ -83,12 +83,12 @@
     task: TaskSpec
     reserved: Resources
     why: str = ""
-    """Why there, for the time line."""
+    """Why that worker was chosen, for the time line."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CheckpointTask:
-    """Save a task's state and stop it; it waits again once the answer is in."""
+    """Save a task's state and stop it; it is queued again once the answer arrives."""
 
     worker_id: HostId
     epoch: Epoch
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ThrottleTask:
-    """Limit a task to `share` (0 to 1) of what was reserved."""
+    """Limit a task to `share` (0 to 1) of its reservation."""
 
     worker_id: HostId
     epoch: Epoch
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StopTask:
-    """Stop a task for good or, when preempted, until it is placed again."""
+    """Stop a task: finally, or when preempted, until it is placed again."""
 
     worker_id: HostId
     epoch: Epoch
@@ -131,24 +131,24 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refusal:
-    """A task that the core has given up; final."""
+    """A task that the core refuses for good."""
 
     task: TaskSpec
     reason: RefusalReason
     detail: str
     need: Resources
-    """What it needs: declared, or what an earlier attempt was seen to use."""
+    """What it needs: declared, or measured at an earlier attempt."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Decision:
-    """What to do now."""
+    """The commands and results of one decision."""
 
     by_worker: tuple[WorkerCommands, ...] = ()
     refusals: tuple[Refusal, ...] = ()
     expired_holds: tuple[HoldId, ...] = ()
     more: bool = False
-    """Whether the limit was reached and another decision would place more at once."""
+    """Whether the limit was reached, so that another decision may place more right away."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -166,27 +166,27 @@
 
     DONE = "done"
     RETRY = "retry"
-    """It failed; enqueue it again with the next attempt number."""
+    """It failed; it may be retried with the next attempt number."""
     GIVE_UP = "give_up"
     """Its job is bad: it failed on several different workers."""
     REQUEUED = "requeued"
-    """It was stopped to make way and waits again here, as its next attempt."""
+    """It was preempted and is queued again here, as its next attempt."""
     CANCELLED = "cancelled"
     """It ended after its cancellation."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndedTask:
-    """A task that ended, for the first time that the core hears of it."""
+    """An end of a task that the core had not known before."""
 
     task: TaskSpec
     worker_id: HostId
     ok: bool
     advice: EndAdvice
     detail: str = ""
-    """For GIVE_UP the history of failures: workers and what they said."""
+    """For GIVE_UP the history of failures: workers and their error details."""
     worker_change: str = ""
-    """Set when this end put the worker under quarantine or took it out."""
+    """Set when this end put the worker into quarantine or took it out."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -194,16 +194,16 @@
     """What a listing changed."""
 
     adopted: tuple[TaskId, ...] = ()
-    """Run there and were not known here."""
+    """Run there and were not known to this owner."""
     confirmed: tuple[TaskId, ...] = ()
-    """Starts without an answer that turned out to run."""
+    """Unanswered starts that turned out to run."""
     requeued: tuple[TaskId, ...] = ()
-    """Proved not running any more, wait again: unanswered starts, preempted tasks."""
+    """Provably no longer running and queued again: unanswered starts, preempted tasks."""
     lapsed: tuple[TaskSpec, ...] = ()
     """Were sent or ran and are not listed; not queued again, the driver decides."""
     ended: tuple[EndedTask, ...] = ()
     duplicates: tuple[TaskId, ...] = ()
-    """Known at another worker as well; the copy listed here will be stopped."""
+    """Placed on another worker as well; the run listed here will be stopped."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -218,7 +218,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LargestAmount:
-    """The largest single free room, seen by one resource."""
+    """The amount of the one worker that has the most of one resource."""
 
     by: str
     """`cores`, `memory` or `accelerators`: the resource in which it is the largest."""
@@ -227,14 +227,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CapacitySummary:
-    """What other entry hosts need to choose this one for a task; a few hundred bytes."""
+    """What other entry hosts need to choose this owner for a task; a few hundred bytes."""
 
     workers: int
     capacity: Resources
     free: Resources
     holes: tuple[LargestAmount, ...]
     largest_worker: tuple[LargestAmount, ...]
-    """Largest whole capacity by resource; larger tasks are impossible here."""
+    """Largest total capacity of a worker by resource; larger tasks are impossible here."""
     waiting_by_class: Mapping[str, int] = field(default_factory=dict)
     """Queue length by urgency (`urgent`, `normal`, `backfill`)."""
     running: int = 0
@@ -247,20 +247,20 @@
 
     weight: float = 1.0
     quota: Resources | None = None
-    """Most that it may have reserved at once; None for no limit."""
+    """Maximum that it may have reserved at once; None for no limit."""
 
 
 class Listing(Protocol):
-    """What a worker said that it runs; the protocol layer's WorkerListing fits."""
+    """A worker's report of what it runs; the protocol layer's WorkerListing implements it."""
 
     @property
     def running(self) -> tuple[RunningTask, ...]:
-        """What runs."""
+        """The running tasks."""
 
     @property
     def finished(self) -> tuple[FinishedTask, ...]:
-        """What ended and was not acknowledged."""
+        """The ended tasks that were not acknowledged yet."""
 
     @property
     def used(self) -> Resources:
-        """Measured usage of the whole worker; lags."""
+        """Measured usage of the whole worker; it lags."""
--- a/src/galenastall/coordination/placement/placement_settings.py
+++ b/src/galenastall/coordination/placement/placement_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the placement core; operators change them in the shared tree."""
+"""Settings of the placement core; operators change them in the shared settings tree."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,61 +12,61 @@
 from galenastall.state.work import TaskSpec, Urgency, Workload
 
 URGENT_CLASS: Final = "urgent"
-"""Class of urgent tasks of any workload; other tasks go by their workload's name."""
+"""Class of urgent tasks of any workload; other tasks have their workload's name as class."""
 
 DEFAULT_POLICY: Final = "leftover"
 
 
 def class_of(task: TaskSpec) -> str:
-    """Return the name under which settings choose a policy for this task."""
+    """Return the class by which settings choose a placement policy for this task."""
     return URGENT_CLASS if task.urgency is Urgency.URGENT else task.workload.value
 
 
 def default_policies() -> dict[str, str]:
-    """Return the policy that each class has unless settings say otherwise."""
+    """Return the default policy of each class."""
     names = (URGENT_CLASS, *(workload.value for workload in Workload))
     return dict.fromkeys(names, DEFAULT_POLICY)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlacementSettings:
-    """What operators may set; every default is meant to be usable."""
+    """Settings that operators may change; every default is meant to be usable."""
 
     policies_by_class: Mapping[str, str] = field(default_factory=default_policies)
     """Placement policy by class: `urgent`, `service`, `batch`, `gang`."""
     teams_by_path: Mapping[TeamPath, TeamShare] = field(default_factory=dict)
     default_share: TeamShare = field(default_factory=TeamShare)
-    """For teams that the tree doesn't name."""
+    """For teams that the settings tree doesn't name."""
     queue_order: str = "fair"
     """`fair`: urgent by deadline, then teams by share; `fifo`: by arrival, as a baseline."""
     is_learning: bool = True
     """Whether reservations follow learned sizes where these are larger than declared."""
     learned_quantile: float = SIZE_QUANTILE
-    """Quantile of measured peaks that a learned size stands for, 0 to 1."""
+    """Quantile of measured peaks that is used as learned size, 0 to 1."""
     is_preempting: bool = True
     """Whether urgent tasks may have lower classes checkpointed or stopped."""
     starvation_s: float = 600.0
-    """After this wait a task goes ahead of all but urgent ones and has a worker drained for it."""
+    """Wait after which a task precedes all but urgent ones and is promised a worker's capacity."""
     backfill_starvation_s: float | None = None
     """The same for backfill; None for `starvation_s`."""
     overdue_every: int = 8
-    """At least one of so many placements goes to a starving task, whatever is urgent."""
+    """At least one of this many placements goes to a starving task, even if urgent ones wait."""
     start_settle_s: float = 15.0
-    """Time after which an unanswered start that a worker doesn't list can't take effect any more:
-    its not-after time, its longest delay in the network and the skew between clocks."""
+    """Time after which an unanswered start that a worker doesn't list can no longer take effect:
+    its not-after time plus the longest network delay and the skew between clocks."""
     command_retry_s: float = 5.0
-    """When to repeat a stop or checkpoint that had no effect yet."""
+    """Time after which a stop or checkpoint without effect is repeated."""
     refusal_pause_s: float = 1.0
     """How long a worker that refused a start gets nothing new."""
     gang_promise_s: float = 10.0
-    """How long room stays promised to a gang that could not be held whole and asks again."""
+    """How long capacity stays promised to a gang that could not be held completely and retries."""
     quarantine: QuarantineSettings = field(default_factory=QuarantineSettings)
     overrun: OverrunSettings = field(default_factory=OverrunSettings)
     remembered_ends: int = 50_000
-    """Ended tasks kept, so that a late cancellation is told that they were done."""
+    """Ended tasks remembered, so that a late cancellation of one is answered with ALREADY_DONE."""
 
     def starvation_of(self, urgency: Urgency) -> float:
-        """Return after how many seconds a waiting task of this class is starving."""
+        """Return the seconds after which a waiting task of this class is starving."""
         if urgency is Urgency.BACKFILL and self.backfill_starvation_s is not None:
             return self.backfill_starvation_s
         return self.starvation_s
--- a/src/galenastall/coordination/placement/placement_state.py
+++ b/src/galenastall/coordination/placement/placement_state.py
@@ -1,7 +1,7 @@
-"""What the placement core knows of its workers and of the tasks on them.
+"""State of the placement core: its workers and the tasks on them.
 
-Plain mutable classes with slots, since these are touched on every placement; only the core holds
-them, everything that it hands out is frozen.
+Plain mutable classes with slots for speed, since every placement touches them; only the core holds
+them, and everything that it returns is frozen.
 """
 
 from dataclasses import dataclass
@@ -29,8 +29,8 @@
 class Worker:
     """An owned worker with its ledger.
 
-    `room_*` is what the ledger has free less what is promised to tasks that wait for this worker;
-    policies look only at room.
+    `available_*` is what the ledger has free minus what is promised to tasks that wait for this
+    worker; policies consider only that.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         self.update_available()
 
     def update_available(self) -> None:
-        """Work out room again after the ledger or the promises changed."""
+        """Recompute `available_*` after the ledger or the promises changed."""
         ledger = self.ledger
         promised = self.promised
         self.available_cores = ledger.free_cores - promised.cores_milli
@@ -87,7 +87,7 @@
         self.available_accelerators = ledger.free_accelerators - promised.accelerators
 
     def can_fit(self, amount: Resources) -> bool:
-        """Return whether `amount` fits besides what is promised."""
+        """Return whether `amount` fits beside what is promised to other tasks."""
         return (
             amount.cores_milli <= self.available_cores
             and amount.memory_mb <= self.available_memory
@@ -107,7 +107,7 @@
 
     @property
     def may_be_probed(self) -> bool:
-        """Whether it may be given a probe while under quarantine."""
+        """Whether it may be given a probe while quarantined."""
         return self.state is WorkerState.LIVE and not self.is_under_memory_pressure
 
 
@@ -134,7 +134,7 @@
     def __init__(
         self, *, task: TaskSpec, worker: Worker, entry: LedgerEntry, now: float, since: float
     ) -> None:
-        """Record where the task is, from when on, and since when it had waited."""
+        """`now`: time of the placement; `since`: when the task began to wait."""
         self.task = task
         self.worker = worker
         self.entry = entry
@@ -153,11 +153,11 @@
 
     @property
     def phase(self) -> TaskPhase:
-        """Where the task stands."""
+        """The task's phase, as its ledger entry has it."""
         return PHASE_NAMES[self.entry.phase]
 
     def describe(self) -> PlacedTask:
-        """Return a frozen picture for the outside."""
+        """Return a frozen snapshot for callers of the core."""
         return PlacedTask(
             task=self.task,
             worker_id=self.worker.worker_id,
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndRecord:
-    """What is remembered of a task that ended."""
+    """The outcome of a task that ended."""
 
     task_id: TaskId
     worker_id: HostId
--- a/src/galenastall/coordination/placement/placement_tables.py
+++ b/src/galenastall/coordination/placement/placement_tables.py
@@ -1,7 +1,7 @@
 """The placement core's shared tables, kept consistent by the few operations that change them.
 
-Every change of a ledger goes through here, so that the index, the teams' shares, the replica counts
-and the promises always agree with the ledgers.
+A ledger is changed by these operations, or directly and followed by `refresh`, so that the index,
+the shares of teams, the replica counts and the promises always agree with the ledgers.
 """
 
 from collections import OrderedDict
@@ -27,18 +27,18 @@
 from galenastall.state.work import RunningTask, TaskSpec
 
 MAX_FAILED_SHAPES: Final = 32
-"""Smallest shapes remembered as having no room; more are tried again instead."""
+"""Smallest shapes remembered as not fitting; beyond this, shapes are simply tried again."""
 
 
 class FailedShapes:
-    """Shapes for which no room was found, until room grows that would do."""
+    """Shapes that no worker could fit, each kept until enough capacity is freed for it."""
 
     def __init__(self) -> None:
         """Start with none."""
         self._shapes: list[tuple[int, int, int]] = []
 
     def covers(self, amount: Resources) -> bool:
-        """Return whether something no larger found no room."""
+        """Return whether a shape no larger than `amount` is known not to fit."""
         cores, memory, accelerators = amount.cores_milli, amount.memory_mb, amount.accelerators
         for shape in self._shapes:
             if cores >= shape[0] and memory >= shape[1] and accelerators >= shape[2]:
@@ -46,7 +46,7 @@
         return False
 
     def add(self, amount: Resources) -> None:
-        """Remember a shape that found no room."""
+        """Remember a shape that did not fit."""
         new = (amount.cores_milli, amount.memory_mb, amount.accelerators)
         self._shapes = [
             shape
@@ -57,7 +57,7 @@
             self._shapes.append(new)
 
     def on_capacity_freed(self, freed: tuple[int, int, int]) -> None:
-        """Forget the shapes that such room might fit."""
+        """Forget the shapes that the freed amount might fit."""
         if self._shapes:
             self._shapes = [
                 shape
@@ -67,7 +67,7 @@
 
 
 class PlacementTables:
-    """Workers, tasks on them, tasks that wait, and what follows from these."""
+    """Workers, the tasks on them, the waiting tasks, and everything derived from these."""
 
     def __init__(self, *, settings: PlacementSettings, seed: int) -> None:
         """Start with nothing; `seed` fixes all random choices."""
@@ -92,7 +92,7 @@
         self._slots = 0
 
     def add_worker(self, host: ListedHost, epoch: Epoch) -> Worker:
-        """Take in a worker with an empty ledger."""
+        """Add a worker with an empty ledger."""
         self._slots += 1
         worker = Worker(host=host, epoch=epoch, slot=self._slots)
         self.workers_by_id[host.host_id] = worker
@@ -103,7 +103,7 @@
         return worker
 
     def remove_worker(self, worker: Worker) -> list[Placed]:
-        """Forget a worker and everything on it; return what was on it."""
+        """Forget a worker and its tasks; return the tasks."""
         for promise in self.promises.on_worker(worker.worker_id):
             self.promises.drop(promise.task_id)
         here = [self.placed_by_task.get(task_id) for task_id in worker.ledger.tasks()]
@@ -122,7 +122,7 @@
         return lost
 
     def refresh(self, worker: Worker, *, freed: bool) -> None:
-        """Bring the index up to date after a worker's ledger, promises or state changed."""
+        """Update the index after a worker's ledger, promises or state changed."""
         worker.update_available()
         if not worker.is_open:
             self.index.drop(worker)
@@ -133,7 +133,7 @@
         self._note_freed_capacity(worker)
 
     def apply_freed_capacity(self, now: float) -> None:
-        """Let what had no room be tried again where room grew; open paused workers."""
+        """Retry what did not fit where capacity was freed since; reopen paused workers."""
         for worker_id in [w for w, until in self._paused_until_by_id.items() if until <= now]:
             del self._paused_until_by_id[worker_id]
             worker = self.workers_by_id[worker_id]
@@ -148,13 +148,13 @@
             self._largest_freed = None
 
     def pause(self, worker: Worker, now: float) -> None:
-        """Give a worker nothing new for a moment, since it refused a start."""
+        """Give a worker nothing new for `refusal_pause_s`, since it refused a start."""
         worker.is_paused = True
         self._paused_until_by_id[worker.worker_id] = now + self.settings.refusal_pause_s
         self.refresh(worker, freed=False)
 
     def set_quarantined(self, worker: Worker, *, quarantined: bool) -> None:
-        """Put a worker under quarantine or take it out."""
+        """Put a worker into quarantine or take it out."""
         worker.is_quarantined = quarantined
         if quarantined:
             self.quarantined_by_id[worker.worker_id] = worker
@@ -174,13 +174,13 @@
         now: float,
         since: float,
     ) -> Placed | None:
-        """Take room for a task, if the ledger has it."""
+        """Reserve capacity for a task; None if the ledger doesn't have it."""
         if not worker.ledger.reserve(task.task_id, amount, phase):
             return None
         return self._enter(task, worker, now, since)
 
     def adopt(self, worker: Worker, listed: RunningTask, now: float) -> Placed:
-        """Record a task that already runs, whether it fits or not."""
+        """Record a task that already runs, even if it overcommits the worker."""
         task = listed.task
         waiting = self.leave_queue(task.task_id)
         worker.ledger.adopt(task.task_id, listed.reserved)
@@ -200,7 +200,7 @@
         return True
 
     def forget(self, placed: Placed) -> None:
-        """Free a task's room: it is proved not to run, or its worker is not ours any more."""
+        """Release a task's capacity: it provably doesn't run, or its worker is no longer owned."""
         task = placed.task
         worker = placed.worker
         worker.ledger.release(task.task_id)
@@ -213,7 +213,7 @@
         self.refresh(worker, freed=True)
 
     def requeue(self, placed: Placed, *, next_attempt: bool) -> None:
-        """Let a task wait again, ahead of its team's others, with the wait it already had."""
+        """Queue a task again, ahead of its team's others, with its original waiting time."""
         task = placed.task
         if placed.used.memory_mb > placed.granted_mb:
             self.estimates.raise_floor(task, placed.used, self.capacities.most)
@@ -222,23 +222,23 @@
         self.queue.add(task, placed.since, first=True)
 
     def leave_queue(self, task_id: TaskId) -> Waiting | None:
-        """Take a task out of the queue, with the promise made to it."""
+        """Dequeue a task and drop its promise."""
         self.drop_promise(task_id)
         return self.queue.remove(task_id)
 
     def make_promise(self, promise: Promise) -> None:
-        """Keep room for a waiting task."""
+        """Promise a worker's capacity to a waiting task."""
         self.promises.add(promise)
         self.refresh(promise.worker, freed=False)
 
     def drop_promise(self, task_id: TaskId) -> None:
-        """Give back what was promised to a task, if anything."""
+        """Drop a task's promise, if it has one."""
         worker = self.promises.drop(task_id)
         if worker is not None:
             self.refresh(worker, freed=True)
 
     def remember_end(self, placed: Placed, *, ok: bool, detail: str) -> None:
-        """Keep an end for a while, for late cancellations and explanations."""
+        """Remember an ended task for late cancellations and explanations."""
         task_id = placed.task.task_id
         self.estimates.drop_floor(task_id)
         self.ends_by_task[task_id] = EndRecord(
@@ -260,7 +260,7 @@
         return [by_task[task_id] for task_id in worker.ledger.tasks() if task_id in by_task]
 
     def _note_freed_capacity(self, worker: Worker) -> None:
-        """Remember what is free there, promised or not, since backfill may use what is promised."""
+        """Note what is free there, promised or not, since backfill may use promised capacity."""
         ledger = worker.ledger
         largest = self._largest_freed or (0, 0, 0)
         self._largest_freed = (
--- a/src/galenastall/coordination/placement/placer.py
+++ b/src/galenastall/coordination/placement/placer.py
@@ -1,4 +1,4 @@
-"""Place one waiting task, or see to it that room comes: preemption, then a promise."""
+"""Place one waiting task, or free capacity for it: by preemption, else by a promise on a worker."""
 
 from math import inf
 from typing import Final
@@ -21,27 +21,27 @@
 from galenastall.state.work import TaskSpec, Urgency, Workload
 
 WORKERS_EXAMINED: Final = 6
-"""Workers looked at for victims or for a promise, drawn at random."""
+"""Workers examined for preemption victims or a promise, drawn at random."""
 CAPACITY_SEARCHES_PER_DECISION: Final = 2
-"""Tasks for which victims or a promise are sought in one decision; the next takes on more."""
+"""Tasks for which victims or a promise are sought in one decision; the rest wait for the next."""
 VICTIM_SEARCH_INTERVAL_S: Final = 1.0
-"""When an urgent task without victims looks for some again, on other workers."""
+"""Time after which victims for an urgent task are sought again, on other workers."""
 PREEMPTION_TIME_S: Final = 10.0
-"""When room asked for by preemption is expected, in seconds."""
+"""Time after which capacity freed by preemption is expected, in seconds."""
 PROMISE_SLACK_S: Final = 30.0
-"""How long past its expected time an urgent task's promise stands; others' stand longer, for the
-time after which they starve, so that wrong estimates don't move them from worker to worker."""
+"""How long an urgent task's promise outlasts its expected time. Other promises outlast theirs by
+the starvation time, so that wrong estimates don't move them from worker to worker."""
 DEFAULT_RUN_S: Final = 600.0
-"""Remaining run time taken for batch tasks of which none is known."""
+"""Remaining run time assumed for batch tasks whose run time is unknown."""
 PROMISES_PER_WORKER: Final = 4
-"""Promises made to urgent tasks, for each worker; a quarter of that many to starving ones."""
+"""Limit of promises to urgent tasks, per worker; starving tasks get a sixteenth of the total."""
 
 
 class Placer:
     """Finds a worker for a task; all state is in the tables."""
 
     def __init__(self, *, tables: PlacementTables) -> None:
-        """Place from and into these tables."""
+        """Read and change these tables."""
         self._tables = tables
         self._policies_by_class: dict[str, PlacementPolicy] = {}
         self._searches_left = 0
@@ -52,7 +52,7 @@
         self.use_policies()
 
     def use_policies(self) -> None:
-        """Make the policies that the settings name; raises UnknownNameError for others."""
+        """Create the policies that the settings name; raises UnknownNameError for unknown ones."""
         tables = self._tables
         self._policies_by_class = {
             name: PLACEMENT_POLICIES.get(policy)(
@@ -61,16 +61,16 @@
             for name, policy in tables.settings.policies_by_class.items()
         }
         self._explanations_by_class = {
-            name: f"policy {policy} of class {name} chose it among the workers with room"
+            name: f"policy {policy} of class {name} chose it among the workers with capacity"
             for name, policy in tables.settings.policies_by_class.items()
         }
 
     def begin(self) -> None:
-        """Start a decision: allow its share of preemptions and promises."""
+        """Start a decision with its full allowance of capacity searches."""
         self._searches_left = CAPACITY_SEARCHES_PER_DECISION
 
     def place(self, waiting: Waiting, now: float) -> Placed | None:
-        """Reserve room for a waiting task and take it out of the queue, or note why not."""
+        """Reserve capacity for a waiting task and dequeue it, or record why it still waits."""
         tables = self._tables
         task = waiting.task
         if tables.quarantine.is_bad_job(task.job_id):
@@ -96,8 +96,8 @@
     def amount_of(self, task: TaskSpec) -> Resources:
         """Return what to reserve for a task: the larger of needed and learned.
 
-        Learning must not make a task wait for ever: what no worker or no quota holds is not asked
-        for beyond the need.
+        A learned size that exceeds every worker or the quota is ignored in favour of the need, so
+        that learning can't make a task wait indefinitely.
         """
         tables = self._tables
         need = tables.estimates.need(task)
@@ -112,7 +112,7 @@
         return need if tables.capacities.obstacle(amount) is not None else amount
 
     def find(self, task: TaskSpec, amount: Resources, now: float) -> Worker | None:
-        """Return the worker that the class's policy chooses, or None if none has room."""
+        """Return the worker that the class's policy chooses, or None if none has capacity."""
         tables = self._tables
         if tables.quarantined_by_id:
             probed = self._probe(task, amount, now)
@@ -133,7 +133,7 @@
     def preempt_or_promise(
         self, task: TaskSpec, amount: Resources, now: float, *, gang_id: str = ""
     ) -> Promise | None:
-        """See to it that a task gets room: end lower classes, or let a worker empty."""
+        """Free capacity for a task: preempt lower classes, or promise it a worker's capacity."""
         tables = self._tables
         drawn = tables.index.draw(4 * WORKERS_EXAMINED, accelerated=amount.accelerators > 0)
         workers = [worker for worker in drawn if amount.fits_in(worker.ledger.capacity)]
@@ -178,11 +178,11 @@
             return None
         if not promise.worker.ledger.fits(amount):
             return None
-        self.why = "room there was promised to it while it waited"
+        self.why = "capacity there was promised to it while it waited"
         return promise.worker
 
     def _probe(self, task: TaskSpec, amount: Resources, now: float) -> Worker | None:
-        """Return a quarantined worker that is due to be tried, if this task may be risked."""
+        """Return a quarantined worker that is due for a probe, if this task may be the probe."""
         if not task.idempotent or task.urgency is Urgency.URGENT:
             return None
         if task.workload is not Workload.BATCH:
@@ -206,7 +206,7 @@
         worker = tables.promises.backfill(amount, now + run_s)
         if worker is None or worker.worker_id in tables.quarantine.workers_to_avoid(task.job_id):
             return None
-        self.why = "it ends before the task that the room is promised to needs it"
+        self.why = "it ends before the task that the capacity is promised to needs it"
         return worker
 
     def _on_no_capacity(self, waiting: Waiting, amount: Resources, now: float) -> None:
@@ -230,7 +230,7 @@
         waiting.reason = WaitReason.NO_CAPACITY if promise is None else WaitReason.PROMISED
 
     def _may_retry_preemption(self, task: TaskSpec, promise: Promise, now: float) -> bool:
-        """Whether an urgent task that waits for a worker to empty should look for victims again."""
+        """Whether an urgent task with a promise should search for preemption victims again."""
         if task.urgency is not Urgency.URGENT or promise.is_preempting:
             return False
         return now - promise.made_at >= VICTIM_SEARCH_INTERVAL_S
@@ -250,7 +250,7 @@
         if plan is None:
             return None
         for victim in plan.victims:
-            cause = f"makes way for {task.task_id}"
+            cause = f"it is preempted for {task.task_id}"
             if victim.command is CommandKind.CHECKPOINT:
                 tables.pending.checkpoint(victim.placed, cause)
             else:
@@ -286,7 +286,7 @@
         return promise
 
     def _expected_fit_at(self, worker: Worker, amount: Resources, now: float) -> float:
-        """Return when a worker is expected to have room, in wall seconds; inf if not foreseen."""
+        """Return when a worker is expected to fit `amount`, in wall seconds; inf if unknown."""
         free = worker.ledger.free - worker.promised
         if amount.fits_in(free):
             return now
@@ -311,7 +311,7 @@
         return now + max(left, 1.0)
 
     def _refuse_over_quota(self, task: TaskSpec) -> None:
-        """Refuse a task for which a quota would not do even with nothing else reserved."""
+        """Refuse a task that exceeds a quota even with nothing else reserved."""
         need = self._tables.estimates.need(task)
         exceeded = self._tables.queue.exceeded_quota(task.team, need)
         if exceeded is None or need.fits_in(exceeded[1]):
--- a/src/galenastall/coordination/placement/policies.py
+++ b/src/galenastall/coordination/placement/policies.py
@@ -1,4 +1,4 @@
-"""Registry of placement policies: which of the workers with room gets a task.
+"""Registry of placement policies: which of the workers with capacity gets a task.
 
 `first_fit` and `random` are the baselines that every other policy is compared with.
 """
@@ -16,28 +16,28 @@
 from galenastall.state.work import TaskSpec, Workload
 
 RANDOM_TRIES: Final = 16
-"""Workers drawn before the random policy looks at all."""
+"""Workers drawn before the random policy scans all of them."""
 CANDIDATES: Final = 12
 """Workers scored for a task."""
 SPREAD_CANDIDATES: Final = 32
-"""Workers scored for a service's replica, since tight ones may all be in one rack."""
+"""Workers sampled for a service's replica, since the tightest ones may all be in one rack."""
 IMBALANCE_WEIGHT: Final = 1.0
-"""How much a leftover of one resource without the other counts against a worker."""
+"""Weight of the difference between leftover cores and leftover memory in a worker's score."""
 RACK_WEIGHT: Final = 4.0
 WORKER_WEIGHT: Final = 16.0
-"""Replicas on the rack and on the worker outweigh any leftover."""
+"""Replicas on the rack and on the worker outweigh any leftover capacity."""
 
 
 class PlacementPolicy(Protocol):
-    """Chooses a worker; has no state but the index it looks at."""
+    """Chooses a worker; has no state except the index that it reads."""
 
     def __init__(self, *, index: WorkerIndex, spread: ReplicaSpread, rng: Random) -> None:
-        """Look at this index; `rng` makes all random choices."""
+        """Read this index; `rng` makes all random choices."""
 
     def choose(
         self, *, task: TaskSpec, amount: Resources, avoid: Container[HostId]
     ) -> Worker | None:
-        """Return a worker with room for `amount` that is not in `avoid`, or None."""
+        """Return a worker with capacity for `amount` that is not in `avoid`, or None."""
 
 
 PLACEMENT_POLICIES: Final[Registry[type[PlacementPolicy]]] = Registry(kind="placement policy")
@@ -45,16 +45,16 @@
 
 @PLACEMENT_POLICIES.register("first_fit")
 class FirstFit:
-    """Take the first worker by id that has room; a baseline, linear in workers."""
+    """Choose the first worker by id that fits; a baseline, linear in workers."""
 
     def __init__(self, *, index: WorkerIndex, spread: ReplicaSpread, rng: Random) -> None:
-        """Look at this index in order."""
+        """Scan this index in id order."""
         self._index = index
 
     def choose(
         self, *, task: TaskSpec, amount: Resources, avoid: Container[HostId]
     ) -> Worker | None:
-        """Return the first worker with room."""
+        """Return the first worker that fits."""
         for worker in self._index.in_order():
             if worker.can_fit(amount) and worker.worker_id not in avoid:
                 return worker
@@ -63,7 +63,7 @@
 
 @PLACEMENT_POLICIES.register("random")
 class RandomFit:
-    """Take any worker with room; a baseline."""
+    """Choose any worker that fits; a baseline."""
 
     def __init__(self, *, index: WorkerIndex, spread: ReplicaSpread, rng: Random) -> None:
         """Draw from this index."""
@@ -73,7 +73,7 @@
     def choose(
         self, *, task: TaskSpec, amount: Resources, avoid: Container[HostId]
     ) -> Worker | None:
-        """Return a worker drawn among those with room."""
+        """Return a worker drawn from those that fit."""
         few = self._index.sample(amount, RANDOM_TRIES)
         fitting = [worker for worker in few if worker.worker_id not in avoid]
         if not fitting:
@@ -87,10 +87,10 @@
 
 @PLACEMENT_POLICIES.register("leftover")
 class LeastLeftover:
-    """Take the worker that would have the least and the most even room left.
+    """Choose the worker that would have the least and most balanced capacity left.
 
-    A tight fit keeps large holes whole for large tasks and empties workers that are little used;
-    an even leftover keeps cores from being stranded without memory, or memory without cores.
+    A tight fit keeps large free capacity for large tasks and lets little-used workers become idle;
+    a balanced leftover keeps cores from being stranded without memory, or memory without cores.
     Replicas of a service go to the racks and workers with the fewest of them.
     """
 
--- a/src/galenastall/coordination/placement/preemption.py
+++ b/src/galenastall/coordination/placement/preemption.py
@@ -1,8 +1,8 @@
-"""Choose which tasks of lower classes make way for an urgent one, at the least loss.
+"""Choose which tasks of lower classes to preempt for a task of a higher one, at the least loss.
 
-Only lower classes, checkpoint before stop, never a task that can't be run again, never a member of
-a gang (one stopped member wastes them all). A set of victims is chosen on each of a few workers and
-the cheapest set is taken.
+Only lower classes, checkpoint before stop, never a task that can neither be checkpointed nor run
+again, never a member of a gang (one stopped member wastes them all). A set of victims is chosen on
+each of a few workers, and the cheapest set is preempted.
 """
 
 from collections.abc import Iterable
@@ -16,19 +16,19 @@
 from galenastall.state.work import TaskSpec, Workload
 
 CHECKPOINT_COST_S: Final = 5.0
-"""Core-seconds that a checkpoint and a restart are reckoned to lose, for each core."""
+"""Core-seconds per core that a checkpoint and a restart are assumed to lose."""
 SERVICE_COST_S: Final = 600.0
-"""Core-seconds added for stopping a service's replica, which callers notice."""
+"""Core-seconds added for preempting a service's replica, which its callers notice."""
 ENDINGS: Final = frozenset({CommandKind.STOP, CommandKind.CHECKPOINT})
-"""Commands after which a task's room is coming."""
+"""Commands that free a task's capacity once they take effect."""
 
 Loss = tuple[bool, int, float]
-"""Whether it has to be stopped, its class with the lowest first, core-seconds of work lost."""
+"""Sort key: must be stopped rather than checkpointed, class (lowest first), core-seconds lost."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Victim:
-    """A task to make way, and how."""
+    """A task to preempt, and the command that does so."""
 
     placed: Placed
     command: CommandKind
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PreemptionPlan:
-    """What to end on one worker so that a task fits there."""
+    """The tasks to preempt on one worker so that another task fits there."""
 
     worker: Worker
     victims: tuple[Victim, ...]
@@ -46,7 +46,7 @@
 
 
 def loss_of(placed: Placed, task: TaskSpec, now: float) -> Loss | None:
-    """Return what it would lose to have `placed` make way for `task`, or None if it must not."""
+    """Return the loss if `placed` is preempted for `task`, or None if it must not be."""
     other = placed.task
     if other.urgency <= task.urgency or placed.ending is not None:
         return None
@@ -64,9 +64,9 @@
 def plan_on(
     worker: Worker, placed: Iterable[Placed], task: TaskSpec, amount: Resources, now: float
 ) -> PreemptionPlan | None:
-    """Return the cheapest victims found on this worker that make room, or None if none do.
+    """Return the cheapest victims found on this worker that free enough, or None.
 
-    What is promised to others there is not counted as room; what is ending already is.
+    Capacity promised to others there is not counted as free; that of ending tasks is.
     """
     free = worker.ledger.free - worker.promised
     losses: list[tuple[Loss, int, Placed]] = []
@@ -82,9 +82,9 @@
     for loss, _, other in losses:
         if amount.fits_in(free):
             break
-        gives = other.entry.amount
-        if _helps(gives, amount, free):
-            free = free + gives
+        released = other.entry.amount
+        if _helps(released, amount, free):
+            free = free + released
             command = CommandKind.STOP if loss[0] else CommandKind.CHECKPOINT
             chosen.append(Victim(placed=other, command=command, cost=loss[2]))
     if not amount.fits_in(free):
@@ -112,12 +112,12 @@
     return PreemptionPlan(worker=worker, victims=tuple(kept), cost=cost)
 
 
-def _helps(gives: Resources, amount: Resources, free: Resources) -> bool:
+def _helps(released: Resources, amount: Resources, free: Resources) -> bool:
     missing = amount - free
     return (
-        (missing.cores_milli > 0 and gives.cores_milli > 0)
-        or (missing.memory_mb > 0 and gives.memory_mb > 0)
-        or (missing.accelerators > 0 and gives.accelerators > 0)
+        (missing.cores_milli > 0 and released.cores_milli > 0)
+        or (missing.memory_mb > 0 and released.memory_mb > 0)
+        or (missing.accelerators > 0 and released.accelerators > 0)
     )
 
 
--- a/src/galenastall/coordination/placement/promises.py
+++ b/src/galenastall/coordination/placement/promises.py
@@ -1,8 +1,8 @@
-"""Room promised to tasks that wait for one worker to empty.
+"""Promises: capacity of one worker reserved in advance for a waiting task.
 
-A promise takes room away from all others on that worker until the task starts there, so that small
-tasks can't for ever take what a large or urgent one waits for. A task that is expected to end
-before the promised start may still use the room meanwhile (backfill).
+Until the task starts there, promised capacity is withheld from all other tasks, so that small tasks
+can't keep taking what a large or urgent one waits for. A task that is expected to end before the
+promised start may still use it meanwhile (backfill).
 """
 
 from galenastall.coordination.placement.placement_state import Worker
@@ -11,7 +11,7 @@
 
 
 class Promise:
-    """Room on one worker for one waiting task."""
+    """Capacity of one worker promised to one waiting task."""
 
     __slots__ = (
         "amount",
@@ -36,7 +36,7 @@
         gang_id: str = "",
         is_preempting: bool = False,
     ) -> None:
-        """Record the room, when it is expected to be free and when the promise ends."""
+        """`expected_at`: when the amount is expected to be free; `until`: when the promise ends."""
         self.task_id = task_id
         self.worker = worker
         self.amount = amount
@@ -56,7 +56,7 @@
         self._by_worker: dict[HostId, dict[TaskId, Promise]] = {}
 
     def add(self, promise: Promise) -> None:
-        """Take the room away from others; raises ValueError if the task has a promise."""
+        """Withhold the capacity from others; raises ValueError if the task has a promise."""
         if promise.task_id in self._by_task:
             raise ValueError(f"{promise.task_id}: a task has one promise at most")
         self._by_task[promise.task_id] = promise
@@ -64,7 +64,7 @@
         promise.worker.promised = promise.worker.promised + promise.amount
 
     def drop(self, task_id: TaskId) -> Worker | None:
-        """End a task's promise; return the worker whose room grew, or None."""
+        """Drop a task's promise; return the worker whose capacity it freed, or None."""
         promise = self._by_task.pop(task_id, None)
         if promise is None:
             return None
@@ -85,7 +85,7 @@
         return tuple(self._by_worker.get(worker_id, {}).values())
 
     def ended(self, now: float) -> list[Promise]:
-        """Return the promises whose time is over."""
+        """Return the expired promises."""
         return [promise for promise in self._by_task.values() if promise.until <= now]
 
     def gang_ids(self) -> set[str]:
@@ -97,7 +97,7 @@
         return [promise for promise in self._by_task.values() if promise.gang_id == gang_id]
 
     def backfill(self, amount: Resources, ends_at: float) -> Worker | None:
-        """Return a worker with free room that will be free again before it is needed."""
+        """Return a worker that fits `amount` and expects no promised start before `ends_at`."""
         for promises in self._by_worker.values():
             worker = next(iter(promises.values())).worker
             if not worker.is_open or not worker.ledger.fits(amount):
--- a/src/galenastall/coordination/placement/quarantine.py
+++ b/src/galenastall/coordination/placement/quarantine.py
@@ -1,9 +1,9 @@
-"""Tell a bad worker from a bad job by where failures meet.
+"""Tell a bad worker from a bad job by how failures are distributed.
 
-Failures of several different jobs on one worker, with no success there since, speak against the
+Failures of several different jobs on one worker, with no success there since, indicate a bad
 worker: it is quarantined and given single probes until one succeeds. Failures of one job on several
-different workers, with no success anywhere, speak against the job: it is given up with its history.
-A quarantined worker's failures are taken back from the jobs that had them.
+different workers, with no success anywhere, indicate a bad job: it is given up with its history.
+When a worker is quarantined, its failures no longer count against their jobs.
 """
 
 from collections import OrderedDict
@@ -14,26 +14,26 @@
 from galenastall.state.ids import HostId, JobId, TaskId
 
 MAX_JOBS: Final = 20_000
-"""Jobs whose failures are remembered; the least recently failed goes first."""
+"""Jobs remembered; the one with the least recent end of a task is evicted."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QuarantineSettings:
-    """When to speak against a worker or a job."""
+    """Thresholds above which a worker, job or task counts as bad."""
 
     jobs_per_worker: int = 3
-    """Different jobs that failed on a worker since its last success."""
+    """Different jobs failed on a worker since its last success, to quarantine it."""
     workers_per_job: int = 3
-    """Different workers on which a job failed that never succeeded."""
+    """Different workers on which a job failed that never succeeded, to give it up."""
     attempts_per_task: int = 5
-    """Failed attempts of one task, whatever else of its job succeeds."""
+    """Failed attempts of one task after which it is given up, even if its job's others succeed."""
     probe_every_s: float = 30.0
-    """First wait before a probe; doubles with each probe that fails."""
+    """First wait before a probe; doubles with each failed probe."""
     probe_at_most_s: float = 960.0
 
 
 class HealthVerdict(StrEnum):
-    """What an end of a task changed."""
+    """What the end of a task changed in the health of its worker, job or itself."""
 
     NOTHING = "nothing"
     WORKER_QUARANTINED = "worker_quarantined"
@@ -72,7 +72,7 @@
         self._jobs_by_id: OrderedDict[JobId, _JobHealth] = OrderedDict()
 
     def on_success(self, worker_id: HostId, job_id: JobId, task_id: TaskId) -> HealthVerdict:
-        """Take in a task that ended well."""
+        """Record a task that succeeded on a worker."""
         job = self._job(job_id)
         job.has_succeeded = True
         job.failures_by_task.pop(task_id, None)
@@ -84,7 +84,7 @@
     def on_failure(
         self, worker_id: HostId, job_id: JobId, task_id: TaskId, detail: str, now: float
     ) -> HealthVerdict:
-        """Take in a task that failed on a worker."""
+        """Record a task that failed on a worker."""
         worker = self._workers_by_id.setdefault(worker_id, _WorkerHealth())
         if worker.next_probe_at is not None:
             self._on_probe_failed(worker, task_id, now)
@@ -115,7 +115,7 @@
         return frozenset() if job is None else job.details_by_worker
 
     def history(self, job_id: JobId) -> str:
-        """Return on which workers the job failed and what was said."""
+        """Return the workers on which the job failed, with the error details."""
         job = self._jobs_by_id.get(job_id)
         if job is None:
             return ""
@@ -123,7 +123,7 @@
         return "; ".join(parts)
 
     def quarantined(self) -> tuple[HostId, ...]:
-        """Return the workers under quarantine."""
+        """Return the quarantined workers."""
         return tuple(
             worker_id
             for worker_id, worker in self._workers_by_id.items()
@@ -131,18 +131,18 @@
         )
 
     def is_probe_due(self, worker_id: HostId, now: float) -> bool:
-        """Return whether a quarantined worker may be given one task to try."""
+        """Return whether a quarantined worker may be given one task as a probe."""
         worker = self._workers_by_id.get(worker_id)
         if worker is None or worker.next_probe_at is None or worker.probe is not None:
             return False
         return now >= worker.next_probe_at
 
     def on_probe(self, worker_id: HostId, task_id: TaskId) -> None:
-        """Note the task that a quarantined worker was given."""
+        """Record the task that a quarantined worker was given as a probe."""
         self._workers_by_id[worker_id].probe = task_id
 
     def on_probe_lost(self, worker_id: HostId, task_id: TaskId) -> None:
-        """Allow another probe when a task left the worker without an end of its own."""
+        """Allow another probe when the probe left the worker without ending on its own."""
         worker = self._workers_by_id.get(worker_id)
         if worker is not None and worker.probe == task_id:
             worker.probe = None
--- a/src/galenastall/coordination/placement/queue_orders.py
+++ b/src/galenastall/coordination/placement/queue_orders.py
@@ -14,10 +14,10 @@
 
 @QUEUE_ORDERS.register("fifo")
 class ArrivalQueue(TeamQueue):
-    """The waiting tasks by arrival, each tried in turn; a baseline, linear in tasks."""
+    """The waiting tasks, tried in order of arrival; a baseline, linear in tasks."""
 
     def scan(self, now: float) -> Iterator[Waiting]:
-        """Return the first task of each job by arrival, and the next while they are placed."""
+        """Yield tasks in order of arrival; skip the rest of a job once one was not placed."""
         blocked: set[JobId] = set()
         for waiting in self.by_arrival():
             if waiting.task.job_id in blocked:
--- a/src/galenastall/coordination/placement/reconcile.py
+++ b/src/galenastall/coordination/placement/reconcile.py
@@ -1,4 +1,4 @@
-"""Bring the ledgers in line with what workers say: answers, ends, listings."""
+"""Reconcile the ledgers with what workers report: answers, ends, listings."""
 
 from collections.abc import Collection, Iterator, Sequence
 
@@ -24,11 +24,11 @@
 INTERRUPTED_ENDS = frozenset(
     {TaskEnd.STOPPED.value, TaskEnd.CHECKPOINTED.value, TaskEnd.LEASE_LAPSED.value}
 )
-"""Ends that speak neither against the task nor against the worker."""
+"""Interruptions that count neither against the task nor against the worker."""
 
 
 class _Missing:
-    """What became of tasks that a listing doesn't show."""
+    """Outcomes of tasks that a listing doesn't show."""
 
     __slots__ = ("ended", "lapsed", "requeued")
 
@@ -39,17 +39,17 @@
 
 
 class Reconciler:
-    """Feeds workers' words into the tables."""
+    """Applies workers' reports to the tables."""
 
     def __init__(self, *, tables: PlacementTables) -> None:
-        """Write to these tables."""
+        """Change these tables."""
         self._tables = tables
         self._duplicates_by_worker: dict[HostId, set[TaskId]] = {}
 
     def start_answer(
         self, task_id: TaskId, worker_id: HostId, answer: StartAnswer, now: float
     ) -> TaskPhase:
-        """Take in what became of a start; return where the task now stands."""
+        """Apply the outcome of a start; return the task's phase."""
         tables = self._tables
         placed = tables.placed_at(task_id, worker_id)
         if placed is None:
@@ -75,7 +75,7 @@
     def command_answer(
         self, task_id: TaskId, worker_id: HostId, command: CommandKind, answer: CommandAnswer
     ) -> TaskPhase:
-        """Take in what became of a checkpoint, throttle or stop."""
+        """Apply the outcome of a checkpoint, throttle or stop; return the task's phase."""
         tables = self._tables
         placed = tables.placed_at(task_id, worker_id)
         if placed is None:
@@ -90,13 +90,13 @@
             self._on_refused_ending(placed, command)
             return placed.phase
         if command is CommandKind.STOP and not placed.is_cancelled and not placed.task.idempotent:
-            return placed.phase  # it must not run again: the listing tells how it ended
+            return placed.phase  # it must not run again: the listing shows how it ended
         return self._on_proved_ended(placed)
 
     def finished(
         self, worker_id: HostId, finished: Sequence[FinishedTask], now: float
     ) -> Iterator[EndedTask]:
-        """Take in ends; those that say nothing new are passed over."""
+        """Apply ends of tasks; those that are known already are ignored."""
         for end in finished:
             placed = self._tables.placed_at(end.task_id, worker_id)
             if placed is not None and placed.task.attempt == end.attempt:
@@ -136,7 +136,7 @@
     def listing(
         self, worker: Worker, listing: Listing, now: float, asked_at: float
     ) -> ReconcileReport:
-        """Take in a whole listing that was asked for at `asked_at`."""
+        """Apply a complete listing that was requested at `asked_at`."""
         ended = list(self.finished(worker.worker_id, listing.finished, now))
         report = self.running(worker, listing.running, now)
         listed = {entry.task.task_id for entry in listing.running}
@@ -211,7 +211,7 @@
     def _apply_verdict(self, worker: Worker, verdict: HealthVerdict) -> str:
         if verdict is HealthVerdict.WORKER_QUARANTINED:
             self._tables.set_quarantined(worker, quarantined=True)
-            return f"{worker.worker_id} is under quarantine: different jobs failed there"
+            return f"{worker.worker_id} is quarantined: different jobs failed there"
         if verdict is HealthVerdict.WORKER_RESTORED:
             self._tables.set_quarantined(worker, quarantined=False)
             return f"{worker.worker_id} is out of quarantine: a probe succeeded"
@@ -291,7 +291,7 @@
                 )
             )
             return
-        # An unseen end may have been any: that a checkpoint was asked for proves none was made.
+        # An unseen end may have been of any kind: a checkpoint command doesn't prove a checkpoint.
         if task.idempotent and (was_unknown or placed.ending in ENDINGS):
             tables.requeue(placed, next_attempt=True)
             missing.requeued.append(task.task_id)
@@ -300,7 +300,7 @@
 
 
 def raise_reservations_to_usage(tables: PlacementTables, worker: Worker) -> None:
-    """Reserve what overrunning tasks really use, as far as it fits."""
+    """Raise the reservations of overrunning tasks to their measured usage, if it fits."""
     for placed in tables.on_worker(worker):
         amount = placed.entry.amount
         if placed.used.memory_mb > placed.granted_mb:
--- a/src/galenastall/coordination/placement/replica_spread.py
+++ b/src/galenastall/coordination/placement/replica_spread.py
@@ -1,4 +1,4 @@
-"""Count a service's replicas by rack and worker, so that new ones go where the fewest are."""
+"""Count a service's replicas by rack and worker, so that new ones go where there are fewest."""
 
 from typing import TypeVar
 
@@ -17,14 +17,14 @@
 
 
 class ReplicaSpread:
-    """Replicas of each service, by where they are; other workloads are passed over."""
+    """Replicas of each service by rack and worker; other workloads are ignored."""
 
     def __init__(self) -> None:
         """Start with none."""
         self._counts_by_job: dict[JobId, _Counts] = {}
 
     def add(self, task: TaskSpec, worker_id: HostId, rack: str) -> None:
-        """Count a replica in."""
+        """Add a replica."""
         if task.workload is not Workload.SERVICE:
             return
         counts = self._counts_by_job.setdefault(task.job_id, _Counts())
@@ -32,7 +32,7 @@
         counts.by_worker[worker_id] = counts.by_worker.get(worker_id, 0) + 1
 
     def remove(self, task: TaskSpec, worker_id: HostId, rack: str) -> None:
-        """Count a replica out that was counted in."""
+        """Remove a replica that was added."""
         counts = self._counts_by_job.get(task.job_id)
         if task.workload is not Workload.SERVICE or counts is None:
             return
@@ -42,7 +42,7 @@
             del self._counts_by_job[task.job_id]
 
     def crowding(self, job_id: JobId, worker_id: HostId, rack: str) -> tuple[int, int]:
-        """Return how many replicas of the job the rack and the worker have."""
+        """Return the number of the job's replicas on the rack and on the worker."""
         counts = self._counts_by_job.get(job_id)
         if counts is None:
             return 0, 0
--- a/src/galenastall/coordination/placement/start_horizon.py
+++ b/src/galenastall/coordination/placement/start_horizon.py
@@ -1,8 +1,8 @@
 """Until when starts that were sent to a worker may still take effect there.
 
-A start that was delayed in the network may arrive after its sender was replaced, and a worker
-starts what it is given. So a new owner gives a worker nothing until the earlier owner's starts were
-all answered, or can no longer take effect.
+A start delayed in the network may arrive after its sender was replaced as owner, and a worker
+executes any start that it receives. So a new owner sends a worker nothing until the earlier owners'
+starts were all answered or can no longer take effect.
 """
 
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
     """The calls of this process that may still start tasks, by worker; times are wall seconds."""
 
     def __init__(self) -> None:
-        """Know of no worker yet."""
+        """Start without workers."""
         self._tenures_by_worker: dict[HostId, _Tenure] = {}
         self._calls = 0
 
@@ -30,9 +30,9 @@
     ) -> None:
         """Begin to own a worker.
 
-        `until` is when the starts of earlier owners are over at the latest. If this process was the
-        last owner itself, under `last_epoch`, its own unanswered calls say it better: the ledger
-        that counted them is gone.
+        `until` is the time after which no start of earlier owners can take effect. If this process
+        was the last owner, under `last_epoch`, its own inherited time and unanswered calls are used
+        instead; they must be, since the ledger that reserved capacity for those calls is gone.
         """
         known = self._tenures_by_worker.get(worker)
         if known is not None and known.epoch == last_epoch:
@@ -42,31 +42,31 @@
         self._tenures_by_worker[worker] = _Tenure(epoch, until)
 
     def shorten(self, worker: HostId, *, epoch: Epoch, until: float) -> None:
-        """Take the last owner's word on when its starts are over, unless this epoch is past."""
+        """Apply the last owner's answer on when its starts are over; ignored for other epochs."""
         tenure = self._tenures_by_worker.get(worker)
         if tenure is not None and tenure.epoch == epoch:
             tenure.inherited_until = min(tenure.inherited_until, until)
 
     def sent(self, worker: HostId, *, until: float) -> int:
-        """Note a call that is about to leave; return its number for `answered`."""
+        """Record a call that is about to be sent; return its number for `answered`."""
         self._calls += 1
         tenure = self._tenures_by_worker.setdefault(worker, _Tenure(Epoch(0), 0.0))
         tenure.untils_by_call[self._calls] = until
         return self._calls
 
     def answered(self, worker: HostId, call: int) -> None:
-        """Note that a call took effect or never will."""
+        """Record that a call took effect or never will."""
         self._tenures_by_worker[worker].untils_by_call.pop(call, None)
 
     def inherited_until(self, worker: HostId) -> float:
-        """Return when the starts of earlier owners are over at the latest."""
+        """Return the time after which no start of earlier owners can take effect."""
         tenure = self._tenures_by_worker.get(worker)
         return tenure.inherited_until if tenure is not None else 0.0
 
     def left_s(self, worker: HostId, *, epoch: Epoch, now: float) -> float | None:
-        """Return for how long starts up to `epoch` may still take effect.
+        """Return for how many seconds starts up to `epoch` may still take effect.
 
-        None if this process didn't own the worker under that very epoch, or owns it again.
+        None unless `epoch` is the last one under which this process owned the worker.
         """
         tenure = self._tenures_by_worker.get(worker)
         if tenure is None or tenure.epoch != epoch:
--- a/src/galenastall/coordination/placement/team_accounts.py
+++ b/src/galenastall/coordination/placement/team_accounts.py
@@ -1,4 +1,4 @@
-"""What teams have reserved, and what their shares and quotas allow them."""
+"""Reserved amounts, shares and quotas of the teams."""
 
 from collections.abc import Iterator, Mapping
 
@@ -9,7 +9,7 @@
 
 
 class TeamAccounts:
-    """The lines of all teams that were ever named, made when first asked for."""
+    """The accounts of all teams, each created when the team is first named."""
 
     def __init__(self, *, settings: PlacementSettings) -> None:
         """Start without teams; their shares and quotas come from the settings."""
@@ -25,7 +25,7 @@
             account.quota = share.quota
 
     def get(self, path: TeamPath) -> TeamAccount:
-        """Return a team's line, made with those of the teams above if it is new."""
+        """Return a team's account; create it and those of its ancestors if missing."""
         account = self._accounts_by_team.get(path)
         if account is None:
             parent_path, _, _ = path.rpartition("/")
@@ -36,7 +36,7 @@
         return account
 
     def set_elsewhere(self, reserved_by_team: Mapping[TeamPath, Resources]) -> None:
-        """Say what teams have reserved with other owners, for shares and quotas."""
+        """Set what teams have reserved with other owners, for shares and quotas."""
         for path in reserved_by_team:
             self.get(path)
         for account in self:
@@ -51,7 +51,7 @@
     def exceeded_quota(
         self, team: TeamPath, amount: Resources
     ) -> tuple[TeamPath, Resources] | None:
-        """Return the team and the quota that leave no room for `amount` more, if any does."""
+        """Return the team and quota that `amount` more would exceed, if any."""
         account = self.get(team).find_exceeded(amount)
         if account is None or account.quota is None:
             return None
@@ -74,7 +74,7 @@
 
 
 def with_descendants(account: TeamAccount) -> Iterator[TeamAccount]:
-    """Yield a team's line and those of all teams below it."""
+    """Yield a team's account and those of all teams below it."""
     yield account
     for children in account.children:
         yield from with_descendants(children)
--- a/src/galenastall/coordination/placement/team_gossip.py
+++ b/src/galenastall/coordination/placement/team_gossip.py
@@ -1,6 +1,7 @@
-"""Tell other worker owners what each team has reserved here, a few teams a beat.
+"""Exchange with other worker owners what each team has reserved, a few teams per heartbeat.
 
-Quotas hold over all owners of a data centre within the lag of this: it steers, it protects no host.
+Quotas hold over all owners of a data centre up to this exchange's lag; no host's capacity depends
+on them.
 """
 
 from collections.abc import Mapping
@@ -10,21 +11,21 @@
 from galenastall.state.resources import NOTHING, Resources
 
 CHANGED_PER_HEARTBEAT: Final = 6
-"""Teams told of because their amount changed, those that changed most first."""
+"""Teams sent because their amount changed, those that changed most first."""
 REPEATED_PER_HEARTBEAT: Final = 2
-"""Teams told of again in turn, in case a beat was lost."""
+"""Teams sent again in rotation, in case a heartbeat was lost."""
 
 
 class TeamGossip:
-    """Amounts by team, told and heard."""
+    """Reserved amounts by team, as sent to peers and received from them."""
 
     def __init__(self) -> None:
-        """Start with nothing told and nothing heard."""
+        """Start with nothing sent or received."""
         self._sent: dict[TeamPath, Resources] = {}
         self._received_by_peer: dict[HostId, dict[TeamPath, Resources]] = {}
 
     def take_updates(self, reserved: Mapping[TeamPath, Resources]) -> dict[TeamPath, Resources]:
-        """Return what to tell with the next beat."""
+        """Return the amounts to send with the next heartbeat, and count them as sent."""
         teams = {*reserved, *self._sent}
         changes = {
             team: _distance(reserved.get(team, NOTHING), self._sent.get(team, NOTHING))
@@ -35,20 +36,20 @@
         chosen += [team for team in self._sent if team not in chosen][:REPEATED_PER_HEARTBEAT]
         updates = {team: reserved.get(team, NOTHING) for team in chosen}
         for team, amount in updates.items():
-            # Told last, repeated last.
+            # Move the team to the end, since repeats start with the one sent longest ago.
             self._sent.pop(team, None)
             self._sent[team] = amount
         return updates
 
     def apply_updates(self, sender: HostId, updates: Mapping[TeamPath, Resources]) -> None:
-        """Take in a peer's word."""
+        """Apply the amounts received from a peer."""
         received = self._received_by_peer.setdefault(sender, {})
         received.update(updates)
         for team in [team for team, amount in received.items() if amount == NOTHING]:
             del received[team]
 
     def forget(self, sender: HostId) -> None:
-        """Drop what a peer said that is gone."""
+        """Drop the amounts of a peer that left."""
         self._received_by_peer.pop(sender, None)
 
     def reserved_elsewhere(self) -> dict[TeamPath, Resources]:
--- a/src/galenastall/coordination/placement/team_queue.py
+++ b/src/galenastall/coordination/placement/team_queue.py
@@ -1,8 +1,8 @@
 """Order of waiting tasks: urgent by deadline, starving by age, then teams by dominant share.
 
-All operations are O(log n) in tasks and teams. A scan tries a bounded number of tasks; teams none
-of whose tasks fit are parked until room grows that the smallest tried one would fit, so that a
-full data centre costs nothing to look at again and again.
+All operations are O(log n) in tasks and teams. A scan tries a bounded number of tasks; a team none
+of whose tasks fit is suspended until freed capacity could fit the smallest one tried, so that
+rescanning costs nothing while the data centre is full.
 """
 
 from collections.abc import Iterator, Mapping
@@ -26,17 +26,17 @@
 from galenastall.state.work import TaskSpec, Urgency
 
 URGENT_TRIES: Final = 32
-"""Urgent tasks tried in vain before a scan goes on to the teams."""
+"""Urgent tasks that may fail to fit before a scan goes on to the teams."""
 OVERDUE_TRIES: Final = 4
-"""Starving tasks tried in a scan."""
+"""Starving tasks that may fail to fit in a scan."""
 QUOTA_TRIES: Final = 8
-"""Urgent tasks of a team at its quota tried again when it gives something back."""
+"""Urgent tasks of a team at its quota that are retried when it releases capacity."""
 JOB_TRIES: Final = 16
-"""Jobs of one team tried before the team is parked."""
+"""Jobs of one team tried before the team is suspended."""
 TEAM_CLASSES: Final = (Urgency.NORMAL, Urgency.BACKFILL)
-"""Classes that go by teams' shares; all of a class goes before the next one."""
+"""Classes ordered by teams' shares; a class is scanned to its end before the next one."""
 SCAN_TRIES: Final = 128
-"""Tasks of one class tried in vain in one scan."""
+"""Tasks of one class that may fail to fit in one scan."""
 
 
 class TeamQueue:
@@ -59,26 +59,26 @@
         self._since_overdue = 0
 
     def apply_settings(self, settings: PlacementSettings) -> None:
-        """Use other weights, quotas and bounds from now on."""
+        """Use other weights, quotas and starvation times from now on."""
         self._settings = settings
         self._accounts.apply_settings(settings)
         for account in self._accounts:
             self._resume_all(account)
 
     def set_total(self, total: Resources) -> None:
-        """Say what all owned workers hold together; shares are shares of this."""
+        """Set the total capacity of all owned workers, of which shares are computed."""
         self._total = total
         for account in self._accounts:
             self._reorder(account)
 
     def set_elsewhere(self, reserved_by_team: Mapping[TeamPath, Resources]) -> None:
-        """Say what teams have reserved with other owners, for shares and quotas."""
+        """Set what teams have reserved with other owners, for shares and quotas."""
         self._accounts.set_elsewhere(reserved_by_team)
         for account in self._accounts:
             self._resume_all(account)
 
     def add(self, task: TaskSpec, since: float, *, first: bool = False) -> Waiting | None:
-        """Let a task wait; `first` puts it ahead of its team's others. None if it waits already."""
+        """Queue a task, ahead of its team's others if `first`; None if it is queued already."""
         if task.task_id in self._waiting_by_id:
             return None
         self._seq += 1
@@ -102,7 +102,7 @@
         return waiting
 
     def remove(self, task_id: TaskId) -> Waiting | None:
-        """Take a task out, placed or given up; None if it doesn't wait."""
+        """Dequeue a task that was placed or given up; None if it is not queued."""
         waiting = self._waiting_by_id.pop(task_id, None)
         if waiting is None:
             return None
@@ -123,19 +123,19 @@
         return self._waiting_by_id.get(task_id)
 
     def reason_of(self, waiting: Waiting) -> WaitReason:
-        """Return why a task waits; one that was not tried shares the reason of its job's first."""
+        """Return why a task waits; an untried task has the reason of the first task of its job."""
         if waiting.lane is not Lane.TEAM or waiting.reason is not WaitReason.NOT_TRIED:
             return waiting.reason
         return self._lane_of(waiting).first_of_job(waiting).reason
 
     def charge(self, team: TeamPath, amount: Resources) -> None:
-        """Count what was reserved for a team."""
+        """Add an amount reserved for a team."""
         account = self._accounts.get(team)
         account.add_reserved(amount, 1)
         self._reorder(account)
 
     def credit(self, team: TeamPath, amount: Resources) -> None:
-        """Count what a team gave back."""
+        """Subtract an amount that a team released."""
         account = self._accounts.get(team)
         account.add_reserved(amount, -1)
         highest = account.highest_quota_account()
@@ -146,13 +146,13 @@
             self._resume_all(other, urgent=QUOTA_TRIES)
 
     def allows(self, team: TeamPath, amount: Resources) -> bool:
-        """Return whether a team's quota, and those of the teams above, leave room for `amount`."""
+        """Return whether the quotas of a team and its ancestors allow `amount` more."""
         return self._accounts.get(team).find_exceeded(amount) is None
 
     def exceeded_quota(
         self, team: TeamPath, amount: Resources
     ) -> tuple[TeamPath, Resources] | None:
-        """Return the team and the quota that leave no room for `amount` more, if any does."""
+        """Return the team and quota that `amount` more would exceed, if any."""
         return self._accounts.exceeded_quota(team, amount)
 
     def share(self, team: TeamPath) -> float:
@@ -168,11 +168,11 @@
         return {urgency.name.lower(): count for urgency, count in self._counts_by_urgency.items()}
 
     def oldest(self) -> Waiting | None:
-        """Return the task that came first among those that wait."""
+        """Return the task that was queued first."""
         return next(iter(self._waiting_by_id.values()), None)
 
     def on_capacity_freed(self, freed: tuple[int, int, int]) -> None:
-        """Try parked teams again whose smallest tried task would fit such room."""
+        """Resume suspended teams whose smallest tried task would fit the freed amount."""
         if not self._suspended:
             return
         cores, memory, accelerators = freed
@@ -185,7 +185,7 @@
                 self._reorder_lane(lane)
 
     def scan(self, now: float) -> Iterator[Waiting]:
-        """Return tasks in the order in which to try them; the caller removes what it placed."""
+        """Yield tasks in the order in which to try them; the caller removes those it placed."""
         self._promote(now)
         if self._overdue and self._since_overdue >= self._settings.overdue_every - 1:
             yield from self._scan_overdue(now)
@@ -195,7 +195,7 @@
             yield from self._scan_teams(urgency)
 
     def by_arrival(self) -> list[Waiting]:
-        """Return all waiting tasks as they came."""
+        """Return all waiting tasks in order of arrival."""
         return list(self._waiting_by_id.values())
 
     def __len__(self) -> int:
@@ -264,7 +264,7 @@
             self._overdue[waiting.order] = waiting
 
     def _hold_at_quota(self, waiting: Waiting) -> None:
-        """Keep an urgent task aside until its team is below its quota again."""
+        """Set an urgent task aside until its team is below its quota again."""
         del self._urgent[waiting.order]
         waiting.lane = Lane.AT_QUOTA
         held = self._at_quota_by_team.setdefault(waiting.task.team, SortedDict())
@@ -277,7 +277,7 @@
             del self._at_quota_by_team[waiting.task.team]
 
     def _return_to_team(self, waiting: Waiting, now: float) -> None:
-        """Let a starving task wait as before: what its quota makes it wait is not starvation."""
+        """Return a starving task to its team's lane: waiting for a quota is not starvation."""
         del self._overdue[waiting.order]
         waiting.lane = Lane.TEAM
         due_at = now + self._settings.starvation_of(waiting.task.urgency)
@@ -326,7 +326,7 @@
         del self._suspended[lane.urgency, lane.account.path]
 
     def _resume_all(self, account: TeamAccount, *, urgent: int | None = None) -> None:
-        """Try all of a team's tasks again, and the first `urgent` of its urgent ones."""
+        """Retry all of a team's tasks, and the first `urgent` (None: all) of its urgent ones."""
         for lane in account.lanes_by_urgency.values():
             self._resume(lane)
             self._reorder_lane(lane)
--- a/src/galenastall/coordination/placement/waiting.py
+++ b/src/galenastall/coordination/placement/waiting.py
@@ -1,4 +1,4 @@
-"""A task that waits, and the tasks of one team in the order in which they go."""
+"""A waiting task, and the waiting tasks and reserved amounts of one team."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -12,12 +12,12 @@
 
 
 class WaitReason(StrEnum):
-    """Why the last try to place a task did not succeed."""
+    """Why the last attempt to place a task failed."""
 
     NOT_TRIED = "not tried yet"
-    NO_CAPACITY = "no worker has room"
+    NO_CAPACITY = "no worker has enough free capacity"
     QUOTA = "its team is at its quota"
-    PROMISED = "a worker is being emptied for it"
+    PROMISED = "capacity of a worker is promised to it"
 
 
 class Lane(StrEnum):
@@ -25,18 +25,18 @@
 
     URGENT = "urgent"
     AT_QUOTA = "at_quota"
-    """Urgent, and kept aside while its team is at its quota."""
+    """Urgent, and set aside while its team is at its quota."""
     OVERDUE = "overdue"
     TEAM = "team"
 
 
 class Waiting:
-    """One waiting task; `lane` is None once it left the queue."""
+    """One waiting task; `lane` is None once it has left the queue."""
 
     __slots__ = ("lane", "order", "reason", "seq", "since", "task")
 
     def __init__(self, *, task: TaskSpec, since: float, seq: int) -> None:
-        """Record since when it waits, in wall seconds, and its place among equals."""
+        """`since`: start of the wait in wall seconds; `seq`: tie-breaker in arrival order."""
         self.task = task
         self.since = since
         self.seq = seq
@@ -62,7 +62,7 @@
         self.tasks_by_job: OrderedDict[JobId, OrderedDict[TaskId, Waiting]] = OrderedDict()
 
     def add(self, waiting: Waiting, *, first: bool) -> None:
-        """Let a task wait behind, or ahead of, the team's others of its class."""
+        """Append a task to its job's, or put it and its job ahead of the others if `first`."""
         task = waiting.task
         tasks = self.tasks_by_job.get(task.job_id)
         if tasks is None:
@@ -73,7 +73,7 @@
             self.tasks_by_job.move_to_end(task.job_id, last=False)
 
     def remove(self, waiting: Waiting) -> None:
-        """Take out a task that waits here."""
+        """Remove a task that waits here."""
         job_id = waiting.task.job_id
         tasks = self.tasks_by_job[job_id]
         del tasks[waiting.task.task_id]
@@ -91,7 +91,7 @@
 
 
 class TeamAccount:
-    """What a team may have and has reserved, and its lanes of waiting tasks."""
+    """A team's weight, quota and reserved amounts, and its lanes of waiting tasks."""
 
     __slots__ = (
         "accelerators",
@@ -109,7 +109,7 @@
     )
 
     def __init__(self, *, path: TeamPath, share: TeamShare, parent: "TeamAccount | None") -> None:
-        """Start with nothing waiting or reserved; `above` is the team that this is part of."""
+        """Start with nothing waiting or reserved; `parent` is the team that this is part of."""
         self.path = path
         self.weight = share.weight
         self.quota = share.quota
@@ -129,7 +129,7 @@
         }
 
     def share_of(self, total: Resources) -> float:
-        """Return the dominant-resource share over the weight."""
+        """Return the dominant-resource share divided by the weight."""
         cores = self.cores + self.elsewhere.cores_milli
         memory = self.memory + self.elsewhere.memory_mb
         accelerators = self.accelerators + self.elsewhere.accelerators
@@ -143,7 +143,7 @@
         return share / self.weight
 
     def add_reserved(self, amount: Resources, sign: int) -> None:
-        """Count an amount in (1) or out (-1), here and in quotas of the teams above."""
+        """Add (`sign` 1) or subtract (-1) an amount here and in the totals of all ancestors."""
         self.cores += sign * amount.cores_milli
         self.memory += sign * amount.memory_mb
         self.accelerators += sign * amount.accelerators
@@ -154,7 +154,7 @@
             account = account.parent
 
     def find_exceeded(self, amount: Resources) -> "TeamAccount | None":
-        """Return the team, this or one above, whose quota leaves no room for `amount` more."""
+        """Return this team or the ancestor whose quota `amount` more would exceed."""
         account: TeamAccount | None = self
         while account is not None:
             if account.quota is not None:
@@ -165,7 +165,7 @@
         return None
 
     def highest_quota_account(self) -> "TeamAccount | None":
-        """Return the highest team with a quota among this and those above."""
+        """Return the topmost team with a quota among this one and its ancestors."""
         highest: TeamAccount | None = None
         account: TeamAccount | None = self
         while account is not None:
--- a/src/galenastall/coordination/placement/worker_index.py
+++ b/src/galenastall/coordination/placement/worker_index.py
@@ -1,9 +1,9 @@
-"""Find workers with room for a shape without looking at all of them.
+"""Find workers with capacity for a shape without scanning all of them.
 
 Workers are kept in a grid: by free accelerators, then by a logarithmic bucket of free cores, and
 within a bucket sorted by free memory. A search starts at the tightest bucket that may fit and stops
-at enough candidates, so its cost grows with the number of occupied buckets (at most four a power of
-two) and the logarithm of a bucket's length, not with the number of workers.
+at enough candidates, so its cost grows with the number of occupied buckets (at most four per power
+of two) and the logarithm of a bucket's length, not with the number of workers.
 """
 
 from bisect import bisect_left, insort
@@ -19,16 +19,16 @@
 from galenastall.state.resources import Resources
 
 NO_ACCELERATORS: Final = -1
-"""Level of workers that have none at all; others are filed by how many are free."""
+"""Level of workers without accelerators; that of others is their number of free accelerators."""
 
 _SINGLE_BUCKETS: Final = 4
-"""Amounts below this have a bucket each."""
+"""Each amount below this has its own bucket."""
 _BOUNDARY_SCAN: Final = 16
-"""Entries looked at in the bucket that only partly fits before larger buckets are tried."""
+"""Entries examined in the bucket that fits only in part, before larger buckets are tried."""
 
 
 def bucket_of(amount: int) -> int:
-    """Return the bucket of a free amount: four to a power of two, monotone in the amount."""
+    """Return the bucket of a free amount: four per power of two, monotone in the amount."""
     if amount < _SINGLE_BUCKETS:
         return max(amount, 0)
     bits = amount.bit_length()
@@ -38,7 +38,7 @@
 class _Grid:
     """The workers of one level, by bucket of free cores and then free memory.
 
-    Buckets are plain sorted lists: they are short enough for insertion to cost less than a tree.
+    Buckets are plain sorted lists, short enough for insertion to be cheaper than in a tree.
     """
 
     __slots__ = ("entries_by_bucket",)
@@ -61,7 +61,7 @@
 
 
 class WorkerIndex:
-    """The workers that may be given something, searchable by room; one entry a worker."""
+    """The workers that may be given tasks, searchable by available capacity; one entry each."""
 
     def __init__(self, *, rng: Random) -> None:
         """Start empty; `rng` draws the samples."""
@@ -75,7 +75,7 @@
         self._accelerated_by_slot: dict[int, Worker] = {}
 
     def put(self, worker: Worker) -> None:
-        """File a worker under its present room, or move it there."""
+        """Add a worker under its available capacity, or move it there."""
         slot = worker.slot
         level = worker.available_accelerators if worker.has_accelerators else NO_ACCELERATORS
         key = (level, bucket_of(worker.available_cores), (worker.available_memory, slot))
@@ -93,7 +93,7 @@
         self._keys_by_slot[slot] = key
 
     def drop(self, worker: Worker) -> None:
-        """Leave a worker out of all searches; one that is not filed is passed over."""
+        """Remove a worker from all searches; ignored if it is not in the index."""
         key = self._keys_by_slot.pop(worker.slot, None)
         if key is None:
             return
@@ -108,7 +108,9 @@
             self._positions_by_slot[last.slot] = position
 
     def candidates(self, amount: Resources, limit: int) -> list[Worker]:
-        """Return up to `limit` workers with room, tightest first; empty only if none has room.
+        """Return workers that fit, tightest first; empty only if none fits.
+
+        The search stops at `limit`, but the bucket that fits only in part may exceed it.
 
         Workers without accelerators come first, then those with the fewest free, so that
         accelerators stay free for the tasks that need them.
@@ -122,21 +124,21 @@
         return found
 
     def sample(self, amount: Resources, limit: int) -> list[Worker]:
-        """Return those with room among up to `limit` workers drawn at random."""
+        """Return those that fit among up to `limit` workers drawn at random."""
         drawn = self.draw(limit, accelerated=amount.accelerators > 0)
         return [worker for worker in drawn if worker.can_fit(amount)]
 
     def draw(self, limit: int, *, accelerated: bool = False) -> list[Worker]:
-        """Return up to `limit` different workers drawn at random, whatever their room."""
+        """Return up to `limit` different workers drawn at random, whether they fit or not."""
         drawn_from = list(self._accelerated_by_slot.values()) if accelerated else self._sampled
         return self._rng.sample(drawn_from, min(limit, len(drawn_from)))
 
     def in_order(self) -> Iterator[Worker]:
-        """Return all workers by id; for policies that are meant to look at all."""
+        """Return all workers in id order, for policies that scan all of them."""
         return iter(self._by_id.values())
 
     def get(self, worker_id: HostId) -> Worker | None:
-        """Return the worker if it is filed."""
+        """Return the worker if it is in the index."""
         worker: Worker | None = self._by_id.get(worker_id)
         return worker
 
--- a/src/galenastall/node/placement/held_gangs.py
+++ b/src/galenastall/node/placement/held_gangs.py
@@ -1,4 +1,4 @@
-"""A worker owner's side of gangs: holds by the gang's key, each started or released once."""
+"""A worker owner's side of gang starts: holds by gang key, each started or released once."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -31,7 +31,7 @@
 
 
 class HeldGangs:
-    """Answers holds and starts; repeated ones get the answer of the first."""
+    """Handles hold and start messages; a repeated one gets the same answer as the first."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         carry_out: Callable[[Decision], None],
         is_accepting: Callable[[], bool],
     ) -> None:
-        """`carry_out` sends the starts; `is_taking` is False while this entry host drains."""
+        """`carry_out` sends the starts; `is_accepting` is False while this entry host drains."""
         self._core = core
         self._assigned = assigned
         self._clock = clock
@@ -56,12 +56,12 @@
         link.take(GangRelease, self._on_release)
 
     def expired(self, holds: tuple[HoldId, ...]) -> None:
-        """Forget holds that the core has released."""
+        """Forget holds that the core has released as expired."""
         for key in [key for key, gang in self._held_by_key.items() if gang.hold_id in holds]:
             del self._held_by_key[key]
 
     def release_tasks(self, attempts: Iterable[TaskAttempt]) -> None:
-        """Release the holds that any of these attempts belong to; they can't be started then."""
+        """Release the holds to which any of these attempts belongs; they can't be started then."""
         stopped = set(attempts)
         for key, gang in list(self._held_by_key.items()):
             held = (TaskAttempt(task_id=task.task_id, attempt=task.attempt) for task in gang.tasks)
@@ -81,7 +81,7 @@
         if message.key in self._held_by_key:
             return JobWord(ok=True)
         if not self._is_accepting() or message.key in self._started or message.until <= now:
-            return JobWord(ok=False, detail="draining, started or too late")
+            return JobWord(ok=False, detail="draining, already started, or past the hold's end")
         tasks = tuple(unpack_tasks(message.groups))
         match self._core.hold(message.key, tasks, now, message.until):
             case Success(hold):
@@ -101,7 +101,7 @@
             return JobWord(ok=True)
         held = self._held_by_key.pop(message.key, None)
         if held is None:
-            return JobWord(ok=False, detail="not held, or no longer")
+            return JobWord(ok=False, detail="the gang is not held here, or its hold has ended")
         match self._core.start_hold(held.hold_id, now):
             case Success(decision):
                 self._remember(message.key)
--- a/src/galenastall/node/placement/known_workers.py
+++ b/src/galenastall/node/placement/known_workers.py
@@ -1,4 +1,4 @@
-"""Which workers there were: by the platform's list now, and by the log before."""
+"""Present and past workers, from the platform's host list and from the log."""
 
 from collections.abc import Callable, Mapping
 
@@ -20,7 +20,7 @@
         clock: Clock,
         vanished_s: float,
     ) -> None:
-        """`vanished_s`: how long a worker that left the list may still run tasks."""
+        """`vanished_s`: how long a worker may still run tasks after it left the list."""
         self._fold = fold
         self._listed = listed
         self._clock = clock
@@ -28,7 +28,7 @@
         self._seen_live: dict[HostId, float] = {}
 
     def note(self, now: float) -> None:
-        """Take in the list as it is now."""
+        """Update from the current host list."""
         for worker, host in self._listed().items():
             if host.state is not HostState.GONE:
                 self._seen_live[worker] = now
@@ -37,7 +37,7 @@
                 del self._seen_live[worker]
 
     def expected(self) -> set[HostId] | None:
-        """Return the workers on which tasks may run; None while the list is not known."""
+        """Return the workers on which tasks may run; None while the host list is unknown."""
         self.note(self._clock.wall())
         if not self._listed():
             return None
@@ -50,7 +50,7 @@
         return logged | self._seen_live.keys()
 
     def may_have_lost_ends(self, job: JobState) -> bool:
-        """Return whether a worker is gone that was there since the job was accepted."""
+        """Return whether a worker that may have run tasks of this job is gone."""
         since = job.spec.submitted_at
         for worker, gone_at in self._fold.gone_at_by_worker.items():
             if gone_at is not None and gone_at >= since:
@@ -60,7 +60,7 @@
         return False
 
     def changes(self) -> WorkersChanged | None:
-        """Return what the log does not hold yet of the list; None if nothing."""
+        """Return the changes of the host list that are not in the log yet; None if none."""
         if not self._listed():
             return None
         known = self._fold.gone_at_by_worker
--- a/src/galenastall/node/placement/peer_lease_renewer.py
+++ b/src/galenastall/node/placement/peer_lease_renewer.py
@@ -1,8 +1,8 @@
-"""Renew the leases of running tasks whose worker's owner is silent.
+"""Renew the leases of running tasks whose worker's owner is unresponsive.
 
-So the death of an owner kills no running work, also while nobody can take over because the log is
-down. A peer says so in its beats for a while before it renews, since the worker's owner, if it is
-only cut off from us, must not take the leases for lapsed.
+So an owner's death kills no running task, even while nobody can take over because the log is down.
+A peer announces it in its heartbeats for a while before it renews: an owner that is unreachable
+only from this host must not treat those leases as expired.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,7 +21,7 @@
 
 
 class PeerLeaseRenewer:
-    """Decides which workers of silent owners this entry host renews on, and does."""
+    """Chooses the workers of unresponsive owners on which this entry host renews, and renews."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
         self._started_at = clock.wall()
 
     def note_alive(self, host: HostId, now: float) -> None:
-        """Take note that an entry host is alive."""
+        """Record that an entry host is alive."""
         self._last_seen_at[host] = now
 
     def renewing(self) -> tuple[HostId, ...]:
-        """Return the workers of others that this entry host renews on, or will soon."""
+        """Return the workers of other owners on which this entry host renews, or will soon."""
         return tuple(self._since)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -87,7 +87,7 @@
                 chosen[worker] = self._since.get(worker, now)
         for worker in chosen.keys() - self._since.keys():
             self._events.record(
-                "lease.help", peer=worker, cause="its owner is silent; renewing for it"
+                "lease.help", peer=worker, cause="its owner is unresponsive; renewing for it"
             )
         self._since = chosen
 
@@ -104,7 +104,7 @@
             if not isinstance(listed, Success):
                 return
             tasks = [running.task.task_id for running in listed.unwrap().running]
-            # The list may have been long in coming: only a help that is still announced counts.
+            # The listing may have taken long: renew only while this is still announced to peers.
             if not tasks or worker not in self._since:
                 return
             await self._workers.renew(
--- a/src/galenastall/node/placement/start_settling.py
+++ b/src/galenastall/node/placement/start_settling.py
@@ -1,4 +1,4 @@
-"""Learn from a worker's last owner whether starts of its may still arrive there."""
+"""Find out from a worker's last owner until when its starts may still arrive there."""
 
 from typing import Protocol
 
@@ -13,17 +13,17 @@
 
 
 class Tenures(Protocol):
-    """Earlier owners according to the data centre's stream."""
+    """Earlier owners according to the data centre's ownership stream."""
 
     def is_first(self, *, ownable: OwnableId, epoch: Epoch) -> bool:
-        """Return whether nobody can have owned it before `epoch`."""
+        """Return whether `epoch` is certainly the first in which the ownable had an owner."""
 
     def previous(self, *, ownable: OwnableId, epoch: Epoch) -> tuple[Epoch, HostId] | None:
         """Return the epoch and owner before `epoch`, if known."""
 
 
 class StartSettling:
-    """Asks last owners, and answers those who come after."""
+    """Queries last owners, and answers the queries of later owners."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         link: JobLink,
         clock: Clock,
     ) -> None:
-        """Share `horizon` with what sends the starts."""
+        """`horizon` is shared with the sender of starts."""
         self._horizon = horizon
         self._tenures = tenures
         self._ownership = ownership
@@ -43,7 +43,7 @@
         link.answer(StartsLeftCall, self._on_call)
 
     def begin(self, worker: HostId, epoch: Epoch, *, settle_s: float) -> None:
-        """Begin to own a worker: whoever owned it before may have starts under way."""
+        """Begin to own a worker: earlier owners may have starts in flight."""
         ownable = make_ownable_id(OwnableKind.WORKER, worker)
         last = self._tenures.previous(ownable=ownable, epoch=epoch)
         is_first = self._tenures.is_first(ownable=ownable, epoch=epoch)
@@ -55,11 +55,11 @@
         )
 
     def is_settled(self, worker: HostId, *, at: float) -> bool:
-        """Return whether no earlier owner's start can take effect after a moment of wall time."""
+        """Return whether no earlier owner's start can take effect after wall time `at`."""
         return self._horizon.inherited_until(worker) <= at
 
     async def query_last_owner(self, worker: HostId, epoch: Epoch) -> None:
-        """Take the last owner's word if it lives, so that a planned handover costs no wait."""
+        """Query the last owner if it is alive, so that a planned handover needs no wait."""
         ownable = make_ownable_id(OwnableKind.WORKER, worker)
         last = self._tenures.previous(ownable=ownable, epoch=epoch)
         if last is None or self.is_settled(worker, at=self._clock.wall()):
@@ -74,7 +74,7 @@
             self._horizon.shorten(worker, epoch=epoch, until=until)
 
     async def _on_call(self, _sender: HostId, call: StartsLeftCall) -> StartsLeft:
-        """Answer for an epoch that is over here, since nothing more leaves under it."""
+        """Answer only for an epoch that is over here, as no more starts are sent under it."""
         ownable = make_ownable_id(OwnableKind.WORKER, call.worker_id)
         if self._ownership.may_act(ownable) is not None:
             return StartsLeft(left_s=None)
--- a/src/galenastall/node/placement/task_inbox.py
+++ b/src/galenastall/node/placement/task_inbox.py
@@ -1,4 +1,4 @@
-"""What shard owners ask of a worker owner: queue, stop, give back, and say what there is."""
+"""Messages of shard owners to a worker owner: assign, stop, recall, recover and explain tasks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class TaskInbox:
-    """Answers the messages of shard owners."""
+    """Handles the messages of shard owners."""
 
     def __init__(self, *, owner: Owner, gangs: HeldGangs, link: JobLink, clock: Clock) -> None:
         """`owner` holds the core and the assigned tasks."""
@@ -43,14 +43,14 @@
         link.answer(TaskExplain, self._on_explain)
 
     def return_tasks(self, tasks: Iterable[TaskSpec], why: str, now: float) -> None:
-        """Tell the shard that these queued tasks are no longer here; started ones stay."""
+        """Dequeue these tasks and report them as returned to their shard; started ones stay."""
         tasks_by_id = {task.task_id: task for task in tasks}
         for task_id, verdict in self._owner.core.cancel(tuple(tasks_by_id), now).items():
             if verdict in (CancelVerdict.NEVER_STARTED, CancelVerdict.NOT_HERE):
                 self._owner.note(tasks_by_id[task_id], ReportKind.RETURNED, detail=why)
 
     def note_owner(self, shard: int, owner: HostId, epoch: Epoch, valid_until: float) -> bool:
-        """Take the word of a shard's owner; a new owner's first word drops what is queued."""
+        """Record a message from a shard's owner; the first of a new owner drops queued tasks."""
         if epoch > self._owner.assigned.epoch_of(shard):
             now = self._clock.wall()
             queued = self._owner.assigned.queued_of(shard)
@@ -66,7 +66,7 @@
         if not self.note_owner(message.shard, sender, message.epoch, message.valid_until):
             return JobWord(ok=False, detail="the shard has a later owner")
         if self._owner.is_draining:
-            return JobWord(ok=False, detail="this entry host drains")
+            return JobWord(ok=False, detail="this entry host is draining")
         new, refused = self._owner.assigned.accept(message.shard, unpack_tasks(message.groups))
         self._owner.core.enqueue(new, self._clock.wall())
         self._owner.wake()
@@ -92,9 +92,9 @@
         if known is None or known.task is None:
             return
         if verdict is CancelVerdict.NEVER_STARTED:
-            self._owner.note(known.task, ReportKind.RETURNED, detail="it was still queued")
+            self._owner.note(known.task, ReportKind.RETURNED, detail="stopped while it was queued")
         elif verdict is CancelVerdict.NOT_HERE and known.report.kind is ReportKind.QUEUED:
-            self._owner.note(known.task, ReportKind.RETURNED, detail="it was not queued any more")
+            self._owner.note(known.task, ReportKind.RETURNED, detail="it was no longer queued")
 
     async def _on_recall(self, sender: HostId, message: TaskRecall) -> JobWord:
         if message.epoch < self._owner.assigned.epoch_of(message.shard):
@@ -108,7 +108,9 @@
             and self._owner.core.placed(each.task.task_id) is None
             and each.report.kind is ReportKind.QUEUED
         ]
-        self.return_tasks(queued, "its shard's owner has room for it elsewhere", self._clock.wall())
+        self.return_tasks(
+            queued, "its shard's owner has capacity for it elsewhere", self._clock.wall()
+        )
         return JobWord(ok=True)
 
     async def _on_recover(self, sender: HostId, message: ShardRecover) -> ShardCensus:
--- a/src/galenastall/node/placement/task_reporter.py
+++ b/src/galenastall/node/placement/task_reporter.py
@@ -1,4 +1,4 @@
-"""Send what a worker owner learns of tasks to the owners of their shards, in batches."""
+"""Send a worker owner's task reports to the owners of their shards, in batches."""
 
 from collections.abc import Callable, Iterable
 
@@ -21,7 +21,7 @@
 
 
 class TaskReporter:
-    """Keeps at most one batch a shard under way; what is not answered is sent again."""
+    """Keeps at most one batch per shard in flight; an unanswered batch is sent again."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         settled: Callable[[Iterable[TaskReport]], None],
         window_s: float,
     ) -> None:
-        """`settled` is told which ends are durable; `summary` is sent along with each batch."""
+        """`settled` is called with ends that are durable; `summary` is sent with each batch."""
         self._assigned = assigned
         self._link = link
         self._ownership = ownership
@@ -48,11 +48,11 @@
         link.take(TasksSettled, self._on_settled)
 
     def wake(self) -> None:
-        """Send what is new soon."""
+        """Send new reports soon."""
         self._due.set()
 
     async def progress(self) -> None:
-        """Return once some end was settled or some batch was answered."""
+        """Return once an end was settled or a batch was completed or failed."""
         await self._progress.wait()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
--- a/src/galenastall/node/placement/worker_commands.py
+++ b/src/galenastall/node/placement/worker_commands.py
@@ -24,12 +24,12 @@
 
 
 class ReportCallback(Protocol):
-    """Where words on tasks go."""
+    """Callback that records a task's status for its shard."""
 
     def __call__(
         self, task: TaskSpec, kind: ReportKind, worker: HostId = ..., detail: str = ...
     ) -> None:
-        """Take the latest word on a task."""
+        """Record the latest status of a task."""
 
 
 class WorkerCommander:
@@ -48,7 +48,7 @@
         requeued: Callable[..., None],
         wake: Callable[[], None],
     ) -> None:
-        """Use the owner's own ways to note, to check ownership and to find addresses."""
+        """Call back the worker owner to note status, check ownership and find addresses."""
         self._core = core
         self._workers = workers
         self._clock = clock
@@ -60,7 +60,7 @@
         self._wake = wake
 
     async def send(self, commands: WorkerCommands) -> None:
-        """Send all commands for a worker, one call a kind and share."""
+        """Send all commands for a worker, one call per kind and, for throttles, share."""
         stops = [each.task_id for each in commands.stops]
         checkpoints = [each.task_id for each in commands.checkpoints]
         shares: dict[float, list[TaskId]] = {}
@@ -118,19 +118,19 @@
         return CommandAnswer.UNKNOWN
     if answer.ok:
         return CommandAnswer.DONE
-    # A refused stop may mean "not running" or "not yet running": only a listing tells.
+    # A refused stop may mean "not running" or "not yet running": only a listing shows which.
     return CommandAnswer.UNKNOWN if kind is CommandKind.STOP else CommandAnswer.REFUSED
 
 
 def unanswered(step: str, worker: HostId, after_s: float) -> Answers:
-    """Return the failure of a call that was given up after `after_s` seconds."""
+    """Return the failure of a call that timed out after `after_s` seconds."""
     detail = f"no answer in {after_s} s"
     error = StepError(step=step, peer=worker, reason=Reason.TIMEOUT, detail=detail)
     return Failure(error)
 
 
 def record_endings(events: EventSink, commands: WorkerCommands) -> None:
-    """Record which tasks are to be ended or limited, and why."""
+    """Record events for the tasks to be ended or limited, with the causes."""
     for how, tasks in (
         ("stop", commands.stops),
         ("checkpoint", commands.checkpoints),
--- a/src/galenastall/node/placement/worker_service.py
+++ b/src/galenastall/node/placement/worker_service.py
@@ -1,7 +1,7 @@
-"""Owner of workers: queue what job shards assign, place it, and tell what became of it.
+"""Owner of workers: queue the tasks that job shards assign, place them, and report their status.
 
-Nothing is decided on a worker before it was listed and what it runs was adopted. Ownership, and the
-validity of each assignment, are asked for again right before a start leaves.
+No task is placed on a worker before it was listed and its running tasks were adopted. Ownership and
+the validity of each assignment are checked again right before a start is sent.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -73,7 +73,7 @@
         timings: WorkerTimings | None = None,
         events: EventSink | None = None,
     ) -> None:
-        """`hosts` returns the platform's list as last fetched; `shards` is the same everywhere."""
+        """`hosts` returns the last fetched host list; `shards`: count, the same on all hosts."""
         self.core = core
         self.assigned = AssignedTasks()
         self.watches_by_id: dict[HostId, WorkerWatch] = {}
@@ -89,7 +89,7 @@
         self._wake = trio.Event()
         self._is_draining = False
         self.drained: frozenset[HostId] = frozenset()
-        """Workers that operators drain."""
+        """Workers that operators are draining."""
         self._listing: HostListing | None = None
         self._listed: Mapping[HostId, ListedHost] = {}
         self._nursery: trio.Nursery | None = None
@@ -158,18 +158,20 @@
             await self._decide_loop()
 
     async def drain(self, *, timeout_s: float = 5.0) -> None:
-        """Give back what waits and tell the shards what is known; running tasks go on."""
+        """Return queued tasks and send all reports to the shards; running tasks continue."""
         self._is_draining = True
         now = self._clock.wall()
         for shard in range(self._shards):
-            self._inbox.return_tasks(self.assigned.queued_of(shard), "this entry host drains", now)
+            self._inbox.return_tasks(
+                self.assigned.queued_of(shard), "this entry host is draining", now
+            )
         self.reporter.wake()
         with trio.move_on_after(timeout_s):
             while self.assigned.has_unsent():
                 await self.reporter.progress()
 
     def apply_settings(self, timings: WorkerTimings, drained: frozenset[HostId]) -> None:
-        """Use other timings, and let the tasks of other workers move, from now on."""
+        """Use other timings and drain these workers from now on."""
         self._timings = timings
         self.leases.apply(lease_s=timings.lease_s, renew_every_s=timings.renew_every_s)
         self.peer_renewer.timings = timings
@@ -181,23 +183,23 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether nothing new is taken or started."""
+        """Whether this entry host accepts and starts no new tasks."""
         return self._is_draining
 
     def wake(self) -> None:
-        """Decide soon."""
+        """Run a decision soon."""
         self._wake.set()
 
-    def on_heartbeat(self, sender: HostId, beat: JobBeat) -> None:
-        """Take a shard owner's beat: its assignments stay valid."""
-        for each in beat.shards:
-            self._inbox.note_owner(each.shard, sender, each.epoch, beat.valid_until)
+    def on_heartbeat(self, sender: HostId, heartbeat: JobBeat) -> None:
+        """Apply a shard owner's heartbeat, which extends the validity of its assignments."""
+        for each in heartbeat.shards:
+            self._inbox.note_owner(each.shard, sender, each.epoch, heartbeat.valid_until)
         now = self._clock.wall()
-        self.leases.note_peer_renewals(sender, beat.renewing, now)
+        self.leases.note_peer_renewals(sender, heartbeat.renewing, now)
         self.peer_renewer.note_alive(sender, now)
 
     def listed_workers(self) -> Mapping[HostId, ListedHost]:
-        """Return this data centre's workers as the platform's list shows them."""
+        """Return this data centre's workers according to the platform's host list."""
         listing = self._hosts()
         if listing is not self._listing:
             self._listing = listing
@@ -212,16 +214,16 @@
         }
 
     def address_of(self, worker: HostId) -> str | None:
-        """Return a worker's address, or None if the list doesn't show it."""
+        """Return a worker's address, or None if the host list doesn't contain it."""
         host = self.listed_workers().get(worker)
         return host.address if host else None
 
     def may_act(self, worker: HostId, epoch: Epoch) -> bool:
-        """Return whether a command decided under this epoch may leave now."""
+        """Return whether a command decided under this epoch may be sent now."""
         return self._ownership.may_act(make_ownable_id(OwnableKind.WORKER, worker)) == epoch
 
     def may_renew(self, worker: HostId) -> bool:
-        """Return whether the log, as far as it was read, still names this host as the owner."""
+        """Return whether the log as read so far names this host as the worker's owner."""
         ownable = make_ownable_id(OwnableKind.WORKER, worker)
         return self._ownership.owner_of(ownable) == self._link.host_id
 
@@ -233,7 +235,7 @@
     def note(
         self, task: TaskSpec, kind: ReportKind, worker: HostId = NO_HOST, detail: str = ""
     ) -> None:
-        """Take the latest word on a task, for its shard."""
+        """Record the latest status of a task, for its shard."""
         report = TaskReport(
             task_id=task.task_id,
             attempt=task.attempt,
@@ -245,14 +247,14 @@
         self.note_report(report, task)
 
     def note_report(self, report: TaskReport, task: TaskSpec | None = None) -> None:
-        """Take a report for its task's shard."""
+        """Record a report for its task's shard."""
         job_id, _ = split_task_id(report.task_id)
         shard = shard_of(job_id, shards=self._shards)
         self.assigned.note(report, shard=shard, task=task)
         self.reporter.wake()
 
     def requeued(self, task_id: TaskId, *, is_next_attempt: bool) -> None:
-        """Take note that the core let a task wait again; gangs' tasks go back to their shard."""
+        """Handle a task that the core queued again; gang tasks are returned to their shard."""
         known = self.assigned.get(task_id)
         if known is None or known.task is None:
             return
@@ -266,17 +268,17 @@
             kind = ReportKind.STOPPED if is_next_attempt else ReportKind.RETURNED
             if is_next_attempt and self._give_up_if_too_large(known.task):
                 return
-            self.note(known.task, kind, detail="it broke off here")
+            self.note(known.task, kind, detail="it was interrupted here")
             return
         if is_next_attempt:
             self.events.record("worker.made_way", subjects=(task_id,))
-            self.note(task, ReportKind.QUEUED, detail="it made way and waits again")
+            self.note(task, ReportKind.QUEUED, detail="it was preempted and is queued again")
         else:
             self.assigned.set_without_report(task_id, ReportKind.QUEUED)
         self.wake()
 
     def _give_up_if_too_large(self, task: TaskSpec) -> bool:
-        """Tell its shard if a task was seen to need more than any listed worker has."""
+        """Report a task as failed for good if it needed more than any listed worker has."""
         need = task.resources.at_least(Resources(memory_mb=self.core.raised_need_mb(task)))
         obstacle = find_obstacle_on_hosts(need, self.listed_workers().values())
         if obstacle is None:
@@ -340,7 +342,7 @@
     def _decide(self) -> None:
         now = self._clock.wall()
         late = self.assigned.find_invalid(now)
-        self._inbox.return_tasks(late, "its shard's owner went silent", now)
+        self._inbox.return_tasks(late, "its shard's owner stopped sending heartbeats", now)
         for worker, watch in self.watches_by_id.items():
             self.core.set_worker_state(worker, watch.state(now))
             if watch.is_to_be_drained and self.may_act(worker, watch.epoch):
@@ -354,7 +356,7 @@
             self.wake()
 
     def _on_refusal(self, refusal: Refusal) -> None:
-        """Give a task up, or back if only this owner has no worker that is large enough."""
+        """Report a task as refused, or as returned if another owner's worker is large enough."""
         need = refusal.need
         owned = [
             host for worker, host in self.listed_workers().items() if worker in self.watches_by_id
--- a/src/galenastall/node/placement/worker_starts.py
+++ b/src/galenastall/node/placement/worker_starts.py
@@ -1,4 +1,4 @@
-"""Send the starts of one decision to a worker: one call, checked right before it leaves."""
+"""Send the starts of one decision to a worker in one call, checked right before sending."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     def __init__(
         self, *, owner: Owner, workers: WorkerService, clock: Clock, timings: WorkerTimings
     ) -> None:
-        """`owner` holds the core, the assigned tasks, the leases and the horizon of starts."""
+        """`owner` holds the core, the assigned tasks, the leases and the start horizon."""
         self._owner = owner
         self._workers = workers
         self._clock = clock
@@ -40,7 +40,7 @@
         """Replaced when operators change them."""
 
     async def start(self, commands: WorkerCommands) -> None:
-        """Send the starts that may still leave, and take in the answers."""
+        """Send the starts that are still valid, and apply the answers."""
         owner = self._owner
         worker = commands.worker_id
         valid: list[StartTask] = []
@@ -49,13 +49,19 @@
             if owner.assigned.is_valid(start.task.task_id, now):
                 valid.append(start)
             else:
-                self._on_start_answer(start, StartAnswer.REFUSED, "its shard went silent")
+                self._on_start_answer(
+                    start, StartAnswer.REFUSED, "its shard's owner stopped sending heartbeats"
+                )
         address = owner.address_of(worker)
         if not valid:
             return
         if address is None or not owner.may_act(worker, commands.epoch):
             for start in valid:
-                self._on_start_answer(start, StartAnswer.REFUSED, "this host may not act now")
+                self._on_start_answer(
+                    start,
+                    StartAnswer.REFUSED,
+                    "the worker's address is unknown or its ownership is unconfirmed",
+                )
             return
         result = await self._send_start(address, commands, valid)
         answers_by_task: dict[TaskId, TaskAnswer] = {}
@@ -104,7 +110,7 @@
         return result
 
     def _record_starts(self, commands: WorkerCommands, starts: list[StartTask]) -> None:
-        """Record one event for each reason, since most of a batch share one."""
+        """Record one event per reason, since most starts of a batch share one."""
         tasks_by_why: dict[str, list[TaskId]] = {}
         for start in starts:
             tasks_by_why.setdefault(start.why, []).append(start.task.task_id)
--- a/src/galenastall/node/placement/worker_watch.py
+++ b/src/galenastall/node/placement/worker_watch.py
@@ -28,7 +28,7 @@
     from galenastall.node.placement.worker_service import WorkerService as Owner
 
 IDLE_POLLS: Final = 2
-"""An idle worker is asked once in so many polls; silence counts from its last answer."""
+"""An idle worker is polled once in this many intervals; `silent_s` counts from its last answer."""
 KIND_BY_ADVICE = {
     EndAdvice.DONE: ReportKind.DONE,
     EndAdvice.RETRY: ReportKind.FAILED,
@@ -40,7 +40,7 @@
     TaskEnd.STOPPED.value: ReportKind.STOPPED,
     TaskEnd.CHECKPOINTED.value: ReportKind.LOST,
 }
-"""Ends that say nothing against the task: its work was broken off."""
+"""Interruptions, which don't count as failures of the task."""
 
 
 class WorkerWatch:
@@ -58,7 +58,7 @@
         timings: WorkerTimings,
         events: EventSink,
     ) -> None:
-        """`owner` holds the core, the assigned tasks, the leases and what settles."""
+        """`owner` holds the core, the assigned tasks, the leases and the start settling."""
         self.worker_id = worker_id
         self.epoch = epoch
         self.is_adopted = False
@@ -75,11 +75,11 @@
         self._poll_requested = trio.Event()
         self._acks: dict[TaskId, None] = {}
         self._known: WorkerListing | None = None
-        """The last whole listing, on which the next answer may build."""
+        """The last complete listing, to which the next answer may be a change."""
 
     @property
     def is_fully_known(self) -> bool:
-        """Whether this owner knows all that runs there."""
+        """Whether this owner knows all tasks that run there."""
         return (self.is_adopted and self._is_settled) or self.has_expired
 
     def cancel(self) -> None:
@@ -87,16 +87,16 @@
         self._scope.cancel()
 
     def poll_soon(self) -> None:
-        """Ask the worker soon."""
+        """Poll the worker soon."""
         self._poll_requested.set()
 
     def acknowledge(self, task_id: TaskId) -> None:
-        """Let the worker forget an ended task with the next poll."""
+        """Acknowledge an ended task with the next poll, so that the worker forgets it."""
         self._acks[task_id] = None
         self._poll_requested.set()
 
     def state(self, now: float) -> WorkerState:
-        """Return whether new tasks may go there."""
+        """Return whether the worker may get new tasks, and if not, why."""
         if not self._is_settled or not self._owner.may_act(self.worker_id, self.epoch):
             return WorkerState.UNRESPONSIVE
         if self._owner.leases.silent_s(self.worker_id, now) > self.timings.silent_after_s:
@@ -108,9 +108,9 @@
 
     @property
     def is_to_be_drained(self) -> bool:
-        """Whether operators drain the worker, or the platform's list says that it leaves.
+        """Whether operators drain the worker, or the host list marks it as leaving.
 
-        A worker that the list merely doesn't show keeps its tasks: lists have gaps.
+        A worker that is merely missing from the list keeps its tasks: lists have gaps.
         """
         if self.worker_id in self._owner.drained:
             return True
@@ -140,7 +140,7 @@
 
     @property
     def _is_idle(self) -> bool:
-        """Whether nothing that can end was there at the last answer, nor was started since."""
+        """Whether the last answer had no running or ended tasks, and none was placed since."""
         known = self._known
         if known is None or known.running or known.finished or not self.is_fully_known:
             return False
@@ -192,7 +192,7 @@
         report = owner.core.on_listing(self.worker_id, listing, now, asked_at)
         self._take_report(report, listing)
         self._take_finished(listing)
-        # Only a listing asked for after all earlier owners' starts shows everything there.
+        # Only a listing requested after all earlier owners' starts were over is complete.
         self._is_settled |= owner.settling.is_settled(self.worker_id, at=asked_at)
         owner.wake()
 
@@ -205,12 +205,15 @@
         for ended in report.ended:
             self._take_ended(ended)
         for task in report.lapsed:
-            owner.note(task, ReportKind.LOST, self.worker_id, "it is not listed any more")
+            owner.note(task, ReportKind.LOST, self.worker_id, "the worker no longer lists it")
         for task_id in report.requeued:
             owner.requeued(task_id, is_next_attempt=True)
         for task_id in report.duplicates:
             self._events.record(
-                "worker.duplicate", peer=self.worker_id, subjects=(task_id,), cause="two copies"
+                "worker.duplicate",
+                peer=self.worker_id,
+                subjects=(task_id,),
+                cause="it runs on another worker too",
             )
 
     def _take_ended(self, ended: EndedTask) -> None:
@@ -233,7 +236,7 @@
         self._owner.note_report(report, ended.task)
 
     def _take_finished(self, listing: WorkerListing) -> None:
-        """Report ends that the core knew nothing of, and forget those that are settled."""
+        """Report ends that are unknown to the core, and acknowledge those that are settled."""
         for end in listing.finished:
             if self._owner.assigned.is_over(end.task_id, end.attempt):
                 self._acks[end.task_id] = None
@@ -261,7 +264,7 @@
         tasks = []
         for task_id in self._acks:
             current = placed(task_id)
-            # The worker forgets by task, so a newer run there must end first.
+            # Acknowledgements name the task, not the attempt, so a newer run there must end first.
             if current is None or current.worker_id != self.worker_id:
                 tasks.append(task_id)
         if not tasks:
@@ -283,7 +286,7 @@
             return
         self.has_expired = True
         self._events.record(
-            "worker.lapsed", peer=self.worker_id, cause="all leases there have run out"
+            "worker.lapsed", peer=self.worker_id, cause="all leases there have expired"
         )
         empty = WorkerListing(running=(), finished=())
         report = owner.core.on_listing(self.worker_id, empty, now, now)
@@ -294,7 +297,7 @@
             known = self._owner.assigned.get(placed.task.task_id)
             if known is not None and known.report.kind is ReportKind.RUNNING:
                 self._owner.note(
-                    placed.task, ReportKind.UNKNOWN, self.worker_id, "its worker is silent"
+                    placed.task, ReportKind.UNKNOWN, self.worker_id, "its worker is unresponsive"
                 )
 
 
