--- a/tests/placement_builders.py
+++ b/tests/placement_builders.py
@@ -1,4 +1,4 @@
-"""Short ways to make workers, tasks and cores for the placement tests."""
+"""Builders of workers, tasks and cores for the placement tests."""
 
 from dataclasses import dataclass, field
 
@@ -132,7 +132,7 @@
 
 
 def run(core: PlacementCore, *tasks: TaskSpec, now: float = 0.0) -> dict[str, str]:
-    """Enqueue tasks, decide, and answer that all starts succeeded."""
+    """Enqueue tasks, decide, and report all starts as succeeded; return the worker by task."""
     core.enqueue(tasks, now)
     decision = core.decide(now, 1000)
     where = places(decision)
--- a/tests/test_gang_holds.py
+++ b/tests/test_gang_holds.py
@@ -1,4 +1,4 @@
-"""Gangs over two owners: all or none, and two gangs never wait for each other for ever."""
+"""Gangs are held completely or not at all, and two gangs over two owners never deadlock."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,7 +30,7 @@
         self.is_started = False
 
     def step(self, now: float) -> None:
-        """Hold the next part; start all once all are held, release all if one can't be held."""
+        """Hold the next part; start all parts once held, or release all if one can't be held."""
         if self.is_started:
             return
         core, tasks = self.parts[len(self.held)]
@@ -100,9 +100,9 @@
 
     @given(st.lists(st.sampled_from("ab"), min_size=1, max_size=40))
     def test_two_gangs_over_two_owners_both_start_eventually(self, order: list[str]) -> None:
-        """Each needs all of both owners; never a part of a gang, and no deadlock."""
-        room = Resources(cores_milli=4000, memory_mb=4096)
-        owners = [make_core(make_worker("w1", capacity=room)), make_core(make_worker("w2"))]
+        """Each gang needs all capacity of both owners; none runs in part and none deadlocks."""
+        capacity = Resources(cores_milli=4000, memory_mb=4096)
+        owners = [make_core(make_worker("w1", capacity=capacity)), make_core(make_worker("w2"))]
         gangs = {
             name: Starter(name, [(core, gang_of(f"{name}{i}", 1)) for i, core in enumerate(owners)])
             for name in "ab"
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""The placement core as its driver uses it."""
+"""Starts, cancellations and gangs through the placement core's public methods."""
 
 from returns.result import Success
 
--- a/tests/test_placement_machine.py
+++ b/tests/test_placement_machine.py
@@ -1,4 +1,4 @@
-"""No overcommit and no task in two places under any sequence of events and faults."""
+"""Workers are never overcommitted and no task runs twice, under any events and faults."""
 
 from collections.abc import Callable
 
@@ -41,7 +41,7 @@
 
 
 class PlacementMachine(RuleBasedStateMachine):
-    """The core against workers that start what they are given, whether it fits or not."""
+    """The core against workers that execute every start, whether it fits or not."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -184,7 +184,7 @@
 
     @rule(worker=workers)
     def lose_and_take_over(self, worker: HostId) -> None:
-        """Lose a worker; the next owner waits out the settle time, lists, and adopts."""
+        """Lose a worker; the next owner waits for the settle time, lists, and adopts."""
         self.core.remove_worker(worker)
         self.owned.discard(worker)
         self.silent.discard(worker)
@@ -231,7 +231,7 @@
 
     @invariant()
     def tables_agree(self) -> None:
-        """Teams are charged what the ledgers hold, and what runs is in its worker's ledger."""
+        """Teams are charged what the ledgers hold, and tasks are in their own worker's ledger."""
         reserved = NOTHING
         for worker in self.owned:
             for placed in self.core.on_worker(worker):
--- a/tests/test_placement_operations.py
+++ b/tests/test_placement_operations.py
@@ -1,4 +1,4 @@
-"""Costs counted in calls, not in time: cancellations, decisions, a full queue."""
+"""Cost of cancellations, decisions and a blocked queue, in function calls rather than time."""
 
 import sys
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 def count_calls(action: Callable[[], object]) -> int:
-    """Return how many Python and C functions `action` calls."""
+    """Return the number of Python and C function calls that `action` makes."""
     calls = 0
 
     def on_event(frame: FrameType, event: str, argument: Any) -> None:
--- a/tests/test_placement_rules.py
+++ b/tests/test_placement_rules.py
@@ -1,4 +1,4 @@
-"""Preemption, overruns, quarantine, estimates and impossible jobs, through the core."""
+"""Preemption, overruns, quarantine, estimates, impossible tasks, drains and reconciliation."""
 
 import pytest
 from hypothesis import given
@@ -131,7 +131,7 @@
         core.on_usage(W1, used, by_task, 2.0)
         decision = core.decide(2.0, 10)
         for command in CommandKind:
-            # Throttling stands beside whatever harder answer the pressure calls for.
+            # Overrunning tasks are throttled in addition to any stronger command.
             hit = kind is not None and command in (kind, CommandKind.THROTTLE)
             assert bool(commanded(decision, command)) is hit
 
--- a/tests/test_start_horizon.py
+++ b/tests/test_start_horizon.py
@@ -1,4 +1,4 @@
-"""Starts that an earlier owner sent: until when they may still arrive."""
+"""How long a new owner waits for starts that earlier owners sent and that may still arrive."""
 
 from galenastall.coordination.placement.start_horizon import StartHorizon
 from galenastall.state.ids import Epoch, HostId
--- a/tests/test_team_queue.py
+++ b/tests/test_team_queue.py
@@ -144,7 +144,7 @@
         assert "old/0" in order
 
     def test_a_large_task_starts_though_small_ones_never_stop_coming(self) -> None:
-        """Bound: the starvation time, and the longest run on the worker that empties for it."""
+        """Bound: the starvation time plus the longest run on the worker promised to it."""
         run_s = 10.0
         core = make_core(settings=self.SETTINGS)
         run(core, *[make_task(f"s0/{i}", run_s=run_s) for i in range(4)])
--- a/tests/test_worker_index.py
+++ b/tests/test_worker_index.py
@@ -1,4 +1,4 @@
-"""Search by room agrees with looking at every worker; policies choose as they say."""
+"""Index search agrees with a scan of all workers; policies choose as documented."""
 
 from random import Random
 
