--- a/src/galenastall/coordination/cell/fitting.py
+++ b/src/galenastall/coordination/cell/fitting.py
@@ -1,11 +1,11 @@
-"""Which executors fit a step best; pure choices over their ledgers and what is kept there."""
+"""Chooses the executors that fit a step best; pure functions of their ledgers and reservations."""
 
 from collections.abc import Iterable
 from heapq import heapify, heappop, heappush
 
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import StepRun
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.state.cell.jobs import Step
 
@@ -13,14 +13,14 @@
 
 
 def may_host(executor: Executor, step: Step, service: str) -> bool:
-    """Whether the executor is of the service and carries the label that the step requires."""
+    """Whether the executor belongs to the service and has the label that the step requires."""
     if executor.info.service != service:
         return False
     return not step.label or step.label in executor.info.labels
 
 
 def may_add(executor: Executor, step: StepRun) -> bool:
-    """Whether one more task of the step may share the executor."""
+    """Whether the step's limit per executor allows one more of its tasks on the executor."""
     most = step.step.most_per_executor
     if most <= 0:
         return True
@@ -29,18 +29,18 @@
 
 
 def choose(
-    usable: Iterable[Executor], step: StepRun, task: TaskRun, plan: RoomPlan
+    usable: Iterable[Executor], step: StepRun, task: TaskRun, plan: ReservationPlan
 ) -> Executor | None:
-    """Return the executor with the least room left that has some, near the data if possible.
+    """Return the best-fit executor, close to the data if possible; None if the task fits nowhere.
 
-    One on which the task has failed, stood still or been refused is the last choice: few attempts
-    are allowed, and the fault may be the executor's.
+    An executor on which the task has failed, stalled or been refused is the last choice: few
+    attempts are allowed, and the fault may be the executor's.
     """
     best: Executor | None = None
     best_key: Preference | None = None
     plan.begin_search()
     for executor in usable:
-        if not plan.room_for(executor, step.step, 1) or not may_add(executor, step):
+        if not plan.startable_count(executor, step.step, 1) or not may_add(executor, step):
             continue
         key = _preference(executor, step, plan, is_avoided=executor.executor_id in task.avoided)
         if best_key is None or key < best_key:
@@ -49,13 +49,13 @@
 
 
 class SingleChoices:
-    """Chooses for the tasks of one step in turn as `choose` does, and looks at each executor once.
+    """Chooses for a step's tasks one by one as `choose` does, but evaluates each executor once.
 
-    Only the executor that was chosen last has changed since.
+    Only the executor that was chosen last is evaluated again: no other one has changed.
     """
 
-    def __init__(self, usable: Iterable[Executor], step: StepRun, plan: RoomPlan) -> None:
-        """Look at all executors once."""
+    def __init__(self, usable: Iterable[Executor], step: StepRun, plan: ReservationPlan) -> None:
+        """Evaluate all executors once."""
         self._usable = list(usable)
         self._step = step
         self._plan = plan
@@ -65,12 +65,12 @@
             self._rank(executor)
 
     def choose(self, task: TaskRun) -> Executor | None:
-        """Return the executor for a task; the one returned before has been given its task."""
+        """Return the executor for a task; the previously returned one must have its task by now."""
         if self._last is not None:
             self._rank(self._last)
             self._last = None
         if task.avoided or not self._ranked:
-            # What a task avoids is its own, and a search in vain tells how much room is kept.
+            # Avoided executors differ by task, and a failed search counts the withheld slots.
             return self._choose_alone(task)
         self._last = heappop(self._ranked)[1]
         return self._last
@@ -84,7 +84,7 @@
         return chosen
 
     def _rank(self, executor: Executor) -> None:
-        if not self._plan.room_for(executor, self._step.step, 1):
+        if not self._plan.startable_count(executor, self._step.step, 1):
             return
         if may_add(executor, self._step):
             preference = _preference(executor, self._step, self._plan, is_avoided=False)
@@ -92,14 +92,14 @@
 
 
 def choose_for_gang(
-    usable: list[Executor], step: StepRun, count: int, plan: RoomPlan
+    usable: list[Executor], step: StepRun, count: int, plan: ReservationPlan
 ) -> list[Executor] | None:
     """Return an executor for each member, on one rack if that is wanted and possible."""
     if not step.step.wants_one_rack:
         return _fill(usable, step, count, plan)
     avoided = _avoided(step)
     sound = [e for e in usable if e.executor_id not in avoided]
-    # A rack that holds the gang without executors that it avoids goes before the first that fits.
+    # Prefer a rack that holds the gang without the executors that it avoids.
     for candidates in (sound, usable) if avoided else (usable,):
         for rack in sorted({e.info.rack for e in candidates}):
             chosen = _fill([e for e in candidates if e.info.rack == rack], step, count, plan)
@@ -113,14 +113,14 @@
 
 
 def _fill(
-    usable: list[Executor], step: StepRun, count: int, plan: RoomPlan
+    usable: list[Executor], step: StepRun, count: int, plan: ReservationPlan
 ) -> list[Executor] | None:
     plan.begin_search()
     fitting_by_id = {e.executor_id: _fitting(e, step, count, plan) for e in usable}
-    # Most gangs that wait don't fit: preferences are worked out for those only that do.
+    # Most waiting gangs don't fit, so preferences are computed only for those that do.
     fitting = sum(fitting_by_id.values())
     if fitting < count:
-        plan.lacking = count - fitting
+        plan.missing_slots = count - fitting
         return None
     avoided = _avoided(step)
 
@@ -135,23 +135,23 @@
     return chosen
 
 
-def _fitting(executor: Executor, step: StepRun, count: int, plan: RoomPlan) -> int:
-    """Return how many members of a gang an executor takes now, `count` at the highest."""
-    fitting = plan.room_for(executor, step.step, count)
+def _fitting(executor: Executor, step: StepRun, count: int, plan: ReservationPlan) -> int:
+    """Return how many members of a gang, up to `count`, an executor can start now."""
+    fitting = plan.startable_count(executor, step.step, count)
     most = step.step.most_per_executor
     return min(fitting, most) if most > 0 else fitting
 
 
 def _preference(
-    executor: Executor, step: StepRun, plan: RoomPlan, *, is_avoided: bool
+    executor: Executor, step: StepRun, plan: ReservationPlan, *, is_avoided: bool
 ) -> Preference:
-    doubtful = 1 if is_avoided or executor.consecutive_failures > 1 else 0
+    suspect = 1 if is_avoided or executor.consecutive_failures > 1 else 0
     rack = step.step.data_rack
-    far = 1 if rack and rack != executor.info.rack else 0
+    off_rack = 1 if rack and rack != executor.info.rack else 0
     need = step.step.need
     capacity = executor.info.capacity
     cores_left = (executor.free.cores_milli - need.cores_milli) / max(capacity.cores_milli, 1)
     memory_left = (executor.free.memory_mb - need.memory_mb) / max(capacity.memory_mb, 1)
     uneven = abs(cores_left - memory_left)
-    kept = 1 if plan.was_kept(executor) and not step.step.is_gang else 0
-    return (doubtful, far, kept, cores_left + memory_left + uneven, executor.executor_id)
+    reserved = 1 if plan.was_reserved(executor) and not step.step.is_gang else 0
+    return (suspect, off_rack, reserved, cores_left + memory_left + uneven, executor.executor_id)
--- a/src/galenastall/coordination/cell/pacing.py
+++ b/src/galenastall/coordination/cell/throttling.py
@@ -1,36 +1,38 @@
-"""Slow fillers down where they harm the tasks that serve beside them, and speed them up again."""
+"""Throttles fillers that harm the serving tasks on their executor, and speeds them up again."""
 
 from typing import Final
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.commands import PaceOrder
+from galenastall.coordination.cell.commands import ThrottleOrder
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import StepRun
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 
 FULL_PERCENT: Final = 100
-TOO_CLOSE: Final = 0.85
-"""Share of a target at which fillers are halved: a tail is a rough figure of half a second."""
-WELL_BELOW: Final = 0.6
-"""Share of a target below which fillers may speed up by a step."""
+THROTTLE_ABOVE: Final = 0.85
+"""Share of a latency target above which fillers are halved: a tail is a rough estimate over half a
+second."""
+RAISE_BELOW: Final = 0.6
+"""Share of a latency target below which fillers may speed up by a step."""
 STEP_UP_PERCENT: Final = 10
-LOWEST_PERCENT: Final = 10
-"""Below this a filler stands still altogether."""
-CHANGE_EVERY_S: Final = 0.6
-"""Between two changes of an executor's pace: the figure of a tail follows within half a second."""
+MIN_PERCENT: Final = 10
+"""Below this a filler is suspended."""
+CHANGE_INTERVAL_S: Final = 0.6
+"""Minimum interval between rate changes on an executor: its tail figure follows a change within
+half a second."""
 REPEAT_S: Final = 0.5
-"""Between two tries of an order that was not confirmed."""
+"""Interval between attempts of an order that was not confirmed."""
 
 
-class Pacing:
-    """One pace for all fillers of an executor, halved quickly and raised slowly."""
+class Throttling:
+    """Keeps one throttling rate for all fillers of an executor: halved quickly, raised slowly."""
 
     def __init__(self, *, state: CellState) -> None:
-        """Work on these tables."""
+        """Operate on these tables."""
         self._state = state
 
     def on_listing(self, executor: Executor) -> None:
-        """Judge an executor by the tails that its listing has just shown."""
+        """Adjust an executor's rate to the tail latencies in its latest listing."""
         serving, fillers = self._split(executor)
         if not fillers:
             executor.filler_percent = FULL_PERCENT
@@ -42,8 +44,8 @@
         for task in fillers:
             self._order(executor, task)
 
-    def on_paced(self, order: PaceOrder) -> None:
-        """Note that an executor has confirmed a pace."""
+    def on_throttle_confirmed(self, order: ThrottleOrder) -> None:
+        """Note that an executor has confirmed a throttling rate."""
         task = self._state.find_ordered(order)
         if task is not None:
             task.pace_percent = order.percent
@@ -63,19 +65,19 @@
 
     def _change(self, executor: Executor, worst_share: float) -> None:
         now = self._state.now
-        if now - executor.paced_at < CHANGE_EVERY_S:
+        if now - executor.paced_at < CHANGE_INTERVAL_S:
             return
         percent = executor.filler_percent
-        if worst_share > TOO_CLOSE:
-            percent = percent // 2 if percent // 2 >= LOWEST_PERCENT else 0
-        elif worst_share < WELL_BELOW:
+        if worst_share > THROTTLE_ABOVE:
+            percent = percent // 2 if percent // 2 >= MIN_PERCENT else 0
+        elif worst_share < RAISE_BELOW:
             percent = min(percent + STEP_UP_PERCENT, FULL_PERCENT)
         if percent == executor.filler_percent:
             return
         self._state.note(
             "executor.paced",
             executor.executor_id,
-            cause=f"the worst tail is at {worst_share:.2f} of its target",
+            cause=f"the worst tail latency is at {worst_share:.2f} of its target",
             fields={"percent": str(percent), "before": str(executor.filler_percent)},
         )
         executor.filler_percent = percent
@@ -89,8 +91,8 @@
             return
         task.pace_sent_at = now
         task.pace_sent_percent = executor.filler_percent
-        self._state.paces.append(
-            PaceOrder(
+        self._state.throttle_orders.append(
+            ThrottleOrder(
                 task=task.key,
                 run=task.run,
                 executor_id=executor.executor_id,
--- a/tests/test_retries_and_ejection.py
+++ b/tests/test_retries_and_ejection.py
@@ -1,4 +1,4 @@
-"""What may be tried again, and which upstreams are taken out."""
+"""Which requests may be retried, and which upstreams are ejected."""
 
 import pytest
 
@@ -94,7 +94,9 @@
             ),
         ],
     )
-    def test_only_what_never_left_or_is_idempotent(self, end: AttemptEnd, expected: bool) -> None:
+    def test_only_requests_not_run_or_idempotent_are_retried(
+        self, end: AttemptEnd, expected: bool
+    ) -> None:
         assert may_retry(end=end, limits=RetryLimits(), shortest_s=0.5) is expected
 
     def test_retries_stay_a_share_of_first_attempts(self) -> None:
@@ -125,14 +127,14 @@
         ]
         assert ejection.allowed(upstream=HOSTS[0], slots=8, now=4.9) == 0
 
-    def test_no_more_than_the_cap_are_out(self) -> None:
+    def test_no_more_than_the_cap_are_ejected(self) -> None:
         ejection = self.make()
         for host in HOSTS:
             for _ in range(5):
                 ejection.failed(upstream=host, now=0.0)
         assert len(ejection.ejected(now=0.0)) == 3
 
-    def test_a_slow_one_is_out(self) -> None:
+    def test_a_slow_upstream_is_ejected(self) -> None:
         ejection = self.make()
         for _ in range(5):
             for host in HOSTS:
@@ -141,7 +143,7 @@
         ejection.succeeded(upstream=HOSTS[0], latency_s=2.0, slots=8, now=0.0)
         assert ejection.ejected(now=0.0) == {HOSTS[0]}
 
-    def test_it_comes_back_slowly_and_goes_at_the_first_failure(self) -> None:
+    def test_an_ejected_upstream_returns_slowly_and_goes_at_the_first_failure(self) -> None:
         ejection = self.make()
         for _ in range(3):
             ejection.failed(upstream=HOSTS[0], now=0.0)
