--- a/src/galenastall/coordination/placement/estimates.py
+++ b/src/galenastall/coordination/placement/estimates.py
@@ -1,11 +1,11 @@
-"""Learn from what ended how much tasks of a team and kind use and how long they run.
+"""Learn from ended tasks how much tasks of a team and kind use and how long they run.
 
 Declared sizes are often far off. A reservation is the larger of declared and learned, so learning
-never takes away what a caller asked for. What a job's own tasks used counts before what others of
-its team and kind did, since tasks of one job are alike and a kind's quantile is wide.
+never reserves less than the caller asked for. Usage of a job's own tasks takes precedence over that
+of others of its team and kind, since tasks of one job are alike and a kind's quantile is wide.
 
 Histograms are logarithmic and decayed, some hundred bytes each: a full HDR histogram of the same
-range takes 16 KB, too much for three a kind at 260 teams.
+range takes 16 KB, too much for three per kind at 260 teams.
 """
 
 from collections import OrderedDict
@@ -18,31 +18,31 @@
 from galenastall.state.work import FinishedTask, TaskSpec, Workload
 
 STEPS_PER_DOUBLING: Final = 8
-"""Buckets to a power of two: a quantile is at most 9% too high."""
+"""Buckets per power of two: a quantile is at most 9% too high."""
 HALVE_AT: Final = 512
 """Samples after which all counts are halved, so that old ones fade."""
 REFRESH_EVERY: Final = 8
-"""New samples after which quantiles are worked out again."""
-LEAST_SAMPLES: Final = 8
-"""Fewer teach nothing."""
-WELL_KNOWN: Final = 128
-"""Samples of a kind after which only every `THINNED`th is counted, to save time."""
-THINNED: Final = 4
+"""New samples after which quantiles are recomputed."""
+MIN_SAMPLES: Final = 8
+"""Samples of a kind below which nothing is learned from it."""
+THINNING_AFTER: Final = 128
+"""Samples of a kind after which only every `THINNING_FACTOR`th is counted, to save time."""
+THINNING_FACTOR: Final = 4
 SIZE_QUANTILE: Final = 0.95
 RUN_QUANTILE: Final = 0.9
-MOST_KINDS: Final = 4096
-"""Teams' kinds remembered; the least recently used goes first."""
-MOST_JOBS: Final = 8192
-"""Jobs remembered; the least recently used goes first."""
-LEAST_OF_JOB: Final = 2
-"""Ended tasks of a job after which its own usage counts."""
+MAX_KINDS: Final = 4096
+"""Kinds remembered, over all teams; the least recently used is evicted."""
+MAX_JOBS: Final = 8192
+"""Jobs remembered; the least recently used is evicted."""
+MIN_JOB_SAMPLES: Final = 2
+"""Ended tasks of a job after which its own usage is used."""
 JOB_MARGIN: Final = 1.05
-"""How much above the largest of a job's own peaks is reserved."""
+"""Factor on the largest peak of a job's own tasks that is reserved."""
 FLOOR_MARGIN: Final = 1.25
-"""How much above what an overrunning task was seen to use is reserved at its next attempt: it was
-stopped while it grew, so that what was seen is less than it needs."""
-MOST_FLOORS: Final = 8192
-"""Tasks remembered that overran; the oldest goes first."""
+"""Factor on the measured usage of an overrunning task that is reserved at its next attempt: it was
+stopped while it grew, so that it needs more than was measured."""
+MAX_FLOORS: Final = 8192
+"""Overrunning tasks remembered; the oldest is evicted."""
 
 
 K = TypeVar("K")
@@ -50,7 +50,7 @@
 
 
 class DecayedHistogram:
-    """Counts of positive values in logarithmic buckets, in which old samples fade."""
+    """Counts of positive values in logarithmic buckets; old samples decay."""
 
     __slots__ = ("_counts_by_bucket", "_total")
 
@@ -60,7 +60,7 @@
         self._total = 0.0
 
     def record(self, value: float) -> None:
-        """Count a value; those of zero and below count as the smallest."""
+        """Count a value; zero and negative values count in bucket 0."""
         bucket = round(log2(value) * STEPS_PER_DOUBLING) if value > 0 else 0
         self._counts_by_bucket[bucket] = self._counts_by_bucket.get(bucket, 0.0) + 1.0
         self._total += 1.0
@@ -68,7 +68,7 @@
             self._halve()
 
     def quantile(self, share: float) -> float:
-        """Return an upper bound of the value below which `share` (0 to 1) lie; 0 if empty."""
+        """Return an upper bound of the `share` (0 to 1) quantile; 0 if empty."""
         seen = 0.0
         highest = 0
         for bucket, count in sorted(self._counts_by_bucket.items()):
@@ -100,13 +100,13 @@
 
     def record(self, end: FinishedTask, quantile: float) -> None:
         self.samples += 1
-        if self.samples > WELL_KNOWN and self.samples % THINNED:
+        if self.samples > THINNING_AFTER and self.samples % THINNING_FACTOR:
             return
         self.cores.record(end.peak.cores_milli)
         self.memory.record(end.peak.memory_mb)
         if end.ok:
             self.times.record(end.run_s)
-        if self.samples < LEAST_SAMPLES or self.samples % REFRESH_EVERY:
+        if self.samples < MIN_SAMPLES or self.samples % REFRESH_EVERY:
             return
         self.size = Resources(
             cores_milli=int(self.cores.quantile(quantile)),
@@ -125,7 +125,7 @@
         self.size: Resources | None = None
 
     def observe(self, memory_mb: int) -> None:
-        """Count what a running task uses at once: waiting for ends would place more like it."""
+        """Count a running task's usage at once: until it ends, more like it would be placed."""
         if memory_mb <= self.memory and self.size is not None:
             return
         self.memory = max(self.memory, memory_mb)
@@ -136,65 +136,65 @@
         self.cores = max(self.cores, peak.cores_milli)
         self.memory = max(self.memory, peak.memory_mb)
         self.samples += 1
-        if self.samples >= LEAST_OF_JOB:
+        if self.samples >= MIN_JOB_SAMPLES:
             self.size = Resources(
                 cores_milli=int(self.cores * JOB_MARGIN), memory_mb=int(self.memory * JOB_MARGIN)
             )
 
 
 class Estimates:
-    """Learned sizes and run times, by job and by team and kind; unlabelled tasks teach nothing."""
+    """Learned sizes and run times, by job and by team and kind; tasks without kind are ignored."""
 
     def __init__(self, *, quantile: float = SIZE_QUANTILE) -> None:
-        """Start without having learned anything."""
+        """Start without samples; `quantile` of the measured peaks (0 to 1) is the learned size."""
         self.quantile = quantile
         self._peaks_by_job: OrderedDict[JobId, _JobPeaks] = OrderedDict()
         self._floors_by_task: OrderedDict[TaskId, int] = OrderedDict()
         self._learned_by_kind: OrderedDict[tuple[TeamPath, str], _Learned] = OrderedDict()
 
     def record(self, task: TaskSpec, end: FinishedTask) -> None:
-        """Learn from a task that ended; one whose peak was not measured teaches nothing."""
+        """Learn from a task that ended; one whose peak was not measured is ignored."""
         if not task.kind or (not end.peak.memory_mb and not end.peak.cores_milli):
             return
         kind = (task.team, task.kind)
-        _recent(self._learned_by_kind, kind, _Learned, MOST_KINDS).record(end, self.quantile)
-        _recent(self._peaks_by_job, task.job_id, _JobPeaks, MOST_JOBS).record(end.peak)
+        _get_or_create(self._learned_by_kind, kind, _Learned, MAX_KINDS).record(end, self.quantile)
+        _get_or_create(self._peaks_by_job, task.job_id, _JobPeaks, MAX_JOBS).record(end.peak)
 
-    def raise_floor(self, task: TaskSpec, used: Resources, most: Resources) -> None:
-        """Remember what an overrunning task was seen to use, for its next attempt.
+    def raise_floor(self, task: TaskSpec, used: Resources, largest: Resources) -> None:
+        """Remember the measured usage of an overrunning task, for its next attempt.
 
-        The margin goes no further than `most`, the largest worker; what was seen counts whole, so
+        The margin is capped at `largest`, the largest worker, but the measured usage is not, so
         that a task that needs more than any worker has is found impossible. Gangs get no margin:
-        it could keep all of one from ever fitting at once.
+        it could keep all tasks of a gang from ever fitting at once.
         """
         margin = 1.0 if task.workload is Workload.GANG else FLOOR_MARGIN
-        seen = max(used.memory_mb, min(int(used.memory_mb * margin), most.memory_mb))
+        seen = max(used.memory_mb, min(int(used.memory_mb * margin), largest.memory_mb))
         before = self._floors_by_task.get(task.task_id, 0)
         self._floors_by_task[task.task_id] = max(before, seen)
-        if len(self._floors_by_task) > MOST_FLOORS:
+        if len(self._floors_by_task) > MAX_FLOORS:
             self._floors_by_task.popitem(last=False)
 
     def observe(self, task: TaskSpec, used: Resources) -> None:
         """Learn from a task that runs and uses more memory than was granted."""
         if task.kind:
-            peaks = _recent(self._peaks_by_job, task.job_id, _JobPeaks, MOST_JOBS)
+            peaks = _get_or_create(self._peaks_by_job, task.job_id, _JobPeaks, MAX_JOBS)
             peaks.observe(used.memory_mb)
 
     def drop_floor(self, task_id: TaskId) -> None:
-        """Forget a task that ended."""
+        """Forget the measured usage of a task that ended."""
         self._floors_by_task.pop(task_id, None)
 
     def need(self, task: TaskSpec) -> Resources:
-        """Return the least that a task needs: declared, or what an earlier attempt used."""
+        """Return the minimum that a task needs: declared, or measured at an earlier attempt."""
         floor_mb = self._floors_by_task.get(task.task_id, 0)
         if floor_mb <= task.resources.memory_mb:
             return task.resources
         return task.resources.at_least(Resources(memory_mb=floor_mb))
 
-    def amount(self, task: TaskSpec, most: Resources) -> Resources:
-        """Return what to reserve: the larger of needed and learned, the latter up to `most`.
+    def amount(self, task: TaskSpec, largest: Resources) -> Resources:
+        """Return what to reserve: the larger of needed and learned, the latter up to `largest`.
 
-        `most` is the largest worker: learning must not make a task impossible.
+        `largest` is the largest worker: learning must not make a task impossible.
         """
         declared = self.need(task)
         size = self._learned_size(task)
@@ -203,8 +203,8 @@
         if size.cores_milli <= declared.cores_milli and size.memory_mb <= declared.memory_mb:
             return declared
         return Resources(
-            cores_milli=max(declared.cores_milli, min(size.cores_milli, most.cores_milli)),
-            memory_mb=max(declared.memory_mb, min(size.memory_mb, most.memory_mb)),
+            cores_milli=max(declared.cores_milli, min(size.cores_milli, largest.cores_milli)),
+            memory_mb=max(declared.memory_mb, min(size.memory_mb, largest.memory_mb)),
             accelerators=declared.accelerators,
         )
 
@@ -223,12 +223,12 @@
         return learned.run_s
 
 
-def _recent(entries: OrderedDict[K, V], key: K, make: Callable[[], V], most: int) -> V:
-    """Return the entry, made if there is none, as the most recent of at most `most`."""
+def _get_or_create(entries: OrderedDict[K, V], key: K, make: Callable[[], V], limit: int) -> V:
+    """Return the entry, created if missing, as the most recent of at most `limit`."""
     entry = entries.get(key)
     if entry is None:
         entry = entries[key] = make()
-        if len(entries) > most:
+        if len(entries) > limit:
             entries.popitem(last=False)
     else:
         entries.move_to_end(key)
--- a/src/galenastall/coordination/placement/leases.py
+++ b/src/galenastall/coordination/placement/leases.py
@@ -1,8 +1,8 @@
-"""Task leases of owned workers: when to renew, and when a silent worker's have provably lapsed.
+"""Task leases of owned workers: when to renew, and when an unresponsive worker's have expired.
 
-Any entry host of the data centre may renew tasks that run, so that an owner's death kills nothing.
-An owner therefore calls leases lapsed only while every other entry host has just said that it
-renews nothing on that worker.
+Any entry host of the data centre may renew leases of running tasks, so that an owner's death kills
+nothing. An owner therefore treats leases as expired only while every other entry host has recently
+reported that it renews nothing on that worker.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,23 +17,23 @@
 
 @dataclass(kw_only=True, slots=True)
 class WorkerLease:
-    """What this entry host knows of the leases on one worker; wall seconds."""
+    """Lease times of one worker as known to this entry host, in wall seconds."""
 
     latest_until: float
-    """No lease that was given or seen ends later."""
-    heard_at: float
+    """Upper bound of the ends of all leases that were granted or listed."""
+    answered_at: float
     renewed_at: float = 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PeerWord:
-    """What a peer last said of the workers whose tasks it renews for others."""
+class PeerRenewals:
+    """A peer's last report of the workers on which it renews leases for other owners."""
 
     at: float
     renewing: frozenset[HostId]
 
 
-class LeaseBook:
+class LeaseTable:
     """Leases by worker."""
 
     def __init__(
@@ -41,46 +41,46 @@
         *,
         lease_s: float,
         renew_every_s: float,
-        peer_word_s: float,
+        peer_report_max_age_s: float,
         longest_lease_s: float = 0.0,
     ) -> None:
-        """`peer_word_s`: how fresh a peer's word must be to prove that it renews nothing.
+        """`peer_report_max_age_s`: oldest peer report that still proves that it renews nothing.
 
-        `longest_lease_s`: what any other entry host may have given, whatever it was told to give.
+        `longest_lease_s`: upper bound of the leases of any entry host, whatever its settings.
         """
         self._longest_lease_s = longest_lease_s
         self.apply(lease_s=lease_s, renew_every_s=renew_every_s)
-        self._peer_word_s = peer_word_s
+        self._peer_report_max_age_s = peer_report_max_age_s
         self._by_worker: dict[HostId, WorkerLease] = {}
-        self._words: dict[HostId, PeerWord] = {}
+        self._renewals_by_peer: dict[HostId, PeerRenewals] = {}
 
     def apply(self, *, lease_s: float, renew_every_s: float) -> None:
-        """Give leases of another length from now on; what was given stays in mind."""
+        """Grant leases of another length from now on; leases granted before still count."""
         self._lease_s = lease_s
         self._renew_every_s = renew_every_s
         self._longest_s = max(lease_s, self._longest_lease_s)
 
     def add(self, worker: HostId, now: float) -> None:
-        """Begin with a worker: leases that another gave may end as late as one given now."""
-        self._by_worker[worker] = WorkerLease(latest_until=now + self._longest_s, heard_at=now)
+        """Add a worker: leases of earlier owners may end as late as the longest one granted now."""
+        self._by_worker[worker] = WorkerLease(latest_until=now + self._longest_s, answered_at=now)
 
     def remove(self, worker: HostId) -> None:
         """Forget a worker."""
         self._by_worker.pop(worker, None)
 
     def grant(self, worker: HostId, now: float) -> float:
-        """Return the end of a lease that is given now, and keep it in mind before it is sent."""
+        """Return the end of a lease granted now, recorded before the lease is sent."""
         until = now + self._lease_s
         lease = self._by_worker.get(worker)
         if lease is not None:
             lease.latest_until = max(lease.latest_until, until)
         return until
 
-    def heard(self, worker: HostId, lease_untils: Iterable[float], now: float) -> None:
-        """Take note that a worker answered and of the leases that it listed."""
+    def note_listing(self, worker: HostId, lease_untils: Iterable[float], now: float) -> None:
+        """Record that a worker answered, and the ends of the leases that it listed."""
         lease = self._by_worker.get(worker)
         if lease is not None:
-            lease.heard_at = now
+            lease.answered_at = now
             lease.latest_until = max(lease.latest_until, *lease_untils, 0.0)
 
     def is_renewal_due(self, worker: HostId, now: float) -> bool:
@@ -88,8 +88,8 @@
         lease = self._by_worker.get(worker)
         return lease is not None and now >= lease.renewed_at + self._renew_every_s
 
-    def renewed(self, worker: HostId, now: float) -> None:
-        """Take note that a renewal was answered."""
+    def note_renewal(self, worker: HostId, now: float) -> None:
+        """Record that a renewal succeeded."""
         lease = self._by_worker.get(worker)
         if lease is not None:
             lease.renewed_at = now
@@ -97,29 +97,32 @@
     def silent_s(self, worker: HostId, now: float) -> float:
         """Return how long a worker has not answered; 0 for an unknown one."""
         lease = self._by_worker.get(worker)
-        return now - lease.heard_at if lease else 0.0
+        return now - lease.answered_at if lease else 0.0
 
-    def hear_peer(self, peer: HostId, renewing: Iterable[HostId], now: float) -> None:
-        """Take a peer's word on what it renews for others."""
-        self._words[peer] = PeerWord(at=now, renewing=frozenset(renewing))
+    def note_peer_renewals(self, peer: HostId, renewing: Iterable[HostId], now: float) -> None:
+        """Record a peer's report of the workers on which it renews for other owners."""
+        self._renewals_by_peer[peer] = PeerRenewals(at=now, renewing=frozenset(renewing))
 
-    def has_lapsed(self, worker: HostId, roster: Iterable[HostId], now: float) -> bool:
-        """Return whether nothing can run on the worker any more.
+    def has_expired(self, worker: HostId, roster: Iterable[HostId], now: float) -> bool:
+        """Return whether all leases on the worker have expired, so that nothing runs there.
 
-        A peer that was not heard of late keeps the answer at no, and restarts the wait when its
-        word names the worker, since its renewals may reach what ours don't.
+        False while any peer's report is missing or too old. A report that names the worker restarts
+        the wait, since the peer's renewals may reach a worker that this host can't.
         """
         lease = self._by_worker.get(worker)
         if lease is None:
             return False
-        words = [self._words.get(peer) for peer in roster]
-        if any(word is None or word.at < now - self._peer_word_s for word in words):
+        renewals = [self._renewals_by_peer.get(peer) for peer in roster]
+        if any(
+            renewal is None or renewal.at < now - self._peer_report_max_age_s
+            for renewal in renewals
+        ):
             return False
-        if any(worker in word.renewing for word in words if word):
+        if any(worker in renewal.renewing for renewal in renewals if renewal):
             lease.latest_until = max(lease.latest_until, now + self._longest_s)
             return False
         return now > lease.latest_until + CLOCK_SKEW_S
 
-    def words(self) -> Mapping[HostId, PeerWord]:
-        """Return the last word of each peer."""
-        return self._words
+    def renewals(self) -> Mapping[HostId, PeerRenewals]:
+        """Return the last report of each peer."""
+        return self._renewals_by_peer
--- a/src/galenastall/coordination/placement/placement_state.py
+++ b/src/galenastall/coordination/placement/placement_state.py
@@ -1,7 +1,7 @@
-"""What the placement core knows of its workers and of the tasks on them.
+"""State of the placement core: its workers and the tasks on them.
 
-Plain mutable classes with slots, since these are touched on every placement; only the core holds
-them, everything that it hands out is frozen.
+Plain mutable classes with slots for speed, since every placement touches them; only the core holds
+them, and everything that it returns is frozen.
 """
 
 from dataclasses import dataclass
@@ -29,30 +29,30 @@
 class Worker:
     """An owned worker with its ledger.
 
-    `room_*` is what the ledger has free less what is promised to tasks that wait for this worker;
-    policies look only at room.
+    `available_*` is what the ledger has free minus what is promised to tasks that wait for this
+    worker; policies consider only that.
     """
 
     __slots__ = (
+        "available_accelerators",
+        "available_cores",
+        "available_memory",
         "epoch",
         "has_accelerators",
         "host",
         "is_measured",
         "is_paused",
-        "is_pressed",
         "is_quarantined",
+        "is_under_memory_pressure",
         "ledger",
         "per_core",
         "per_memory",
+        "previous_used",
         "promised",
         "rack",
-        "room_accelerators",
-        "room_cores",
-        "room_memory",
         "slot",
         "state",
         "used",
-        "used_before",
         "worker_id",
     )
 
@@ -68,30 +68,30 @@
         self.state = WorkerState.LIVE
         self.is_measured = False
         self.is_paused = False
-        self.is_pressed = False
+        self.is_under_memory_pressure = False
         self.is_quarantined = False
         self.promised: Resources = NOTHING
         self.used: Resources = NOTHING
-        self.used_before: Resources | None = None
+        self.previous_used: Resources | None = None
         self.has_accelerators = capacity.accelerators > 0
         self.per_core = 1.0 / capacity.cores_milli if capacity.cores_milli else 0.0
         self.per_memory = 1.0 / capacity.memory_mb if capacity.memory_mb else 0.0
-        self.refresh_room()
+        self.update_available()
 
-    def refresh_room(self) -> None:
-        """Work out room again after the ledger or the promises changed."""
+    def update_available(self) -> None:
+        """Recompute `available_*` after the ledger or the promises changed."""
         ledger = self.ledger
         promised = self.promised
-        self.room_cores = ledger.free_cores - promised.cores_milli
-        self.room_memory = ledger.free_memory - promised.memory_mb
-        self.room_accelerators = ledger.free_accelerators - promised.accelerators
+        self.available_cores = ledger.free_cores - promised.cores_milli
+        self.available_memory = ledger.free_memory - promised.memory_mb
+        self.available_accelerators = ledger.free_accelerators - promised.accelerators
 
-    def has_room(self, amount: Resources) -> bool:
-        """Return whether `amount` fits besides what is promised."""
+    def can_fit(self, amount: Resources) -> bool:
+        """Return whether `amount` fits beside what is promised to other tasks."""
         return (
-            amount.cores_milli <= self.room_cores
-            and amount.memory_mb <= self.room_memory
-            and amount.accelerators <= self.room_accelerators
+            amount.cores_milli <= self.available_cores
+            and amount.memory_mb <= self.available_memory
+            and amount.accelerators <= self.available_accelerators
         )
 
     @property
@@ -100,15 +100,15 @@
         return (
             self.state is WorkerState.LIVE
             and not self.is_paused
-            and not self.is_pressed
+            and not self.is_under_memory_pressure
             and not self.is_quarantined
             and not self.ledger.is_overcommitted
         )
 
     @property
     def may_be_probed(self) -> bool:
-        """Whether it may be given a probe while under quarantine."""
-        return self.state is WorkerState.LIVE and not self.is_pressed
+        """Whether it may be given a probe while quarantined."""
+        return self.state is WorkerState.LIVE and not self.is_under_memory_pressure
 
 
 class Placed:
@@ -134,7 +134,7 @@
     def __init__(
         self, *, task: TaskSpec, worker: Worker, entry: LedgerEntry, now: float, since: float
     ) -> None:
-        """Record where the task is, from when on, and since when it had waited."""
+        """`now`: time of the placement; `since`: when the task began to wait."""
         self.task = task
         self.worker = worker
         self.entry = entry
@@ -153,11 +153,11 @@
 
     @property
     def phase(self) -> TaskPhase:
-        """Where the task stands."""
+        """The task's phase, as its ledger entry has it."""
         return PHASE_NAMES[self.entry.phase]
 
     def describe(self) -> PlacedTask:
-        """Return a frozen picture for the outside."""
+        """Return a frozen snapshot for callers of the core."""
         return PlacedTask(
             task=self.task,
             worker_id=self.worker.worker_id,
@@ -167,8 +167,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EndMemory:
-    """What is remembered of a task that ended."""
+class EndRecord:
+    """The outcome of a task that ended."""
 
     task_id: TaskId
     worker_id: HostId
--- a/src/galenastall/node/placement/lease_helper.py
+++ b/src/galenastall/node/placement/peer_lease_renewer.py
@@ -1,8 +1,8 @@
-"""Renew the leases of running tasks whose worker's owner is silent.
+"""Renew the leases of running tasks whose worker's owner is unresponsive.
 
-So the death of an owner kills no running work, also while nobody can take over because the log is
-down. A peer says so in its beats for a while before it renews, since the worker's owner, if it is
-only cut off from us, must not take the leases for lapsed.
+So an owner's death kills no running task, even while nobody can take over because the log is down.
+A peer announces it in its heartbeats for a while before it renews: an owner that is unreachable
+only from this host must not treat those leases as expired.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,8 +20,8 @@
 from galenastall.state.ids import HostId, OwnableKind, make_ownable_id
 
 
-class LeaseHelper:
-    """Decides which workers of silent owners this entry host renews on, and does."""
+class PeerLeaseRenewer:
+    """Chooses the workers of unresponsive owners on which this entry host renews, and renews."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         self.timings = timings
         self._listed_workers = listed_workers
         self._events = events
-        self._heard_at: dict[HostId, float] = {}
+        self._last_seen_at: dict[HostId, float] = {}
         self._since: dict[HostId, float] = {}
         self._started_at = clock.wall()
 
-    def hear_owner(self, host: HostId, now: float) -> None:
-        """Take note that an entry host is alive."""
-        self._heard_at[host] = now
+    def note_alive(self, host: HostId, now: float) -> None:
+        """Record that an entry host is alive."""
+        self._last_seen_at[host] = now
 
     def renewing(self) -> tuple[HostId, ...]:
-        """Return the workers of others that this entry host renews on, or will soon."""
+        """Return the workers of other owners on which this entry host renews, or will soon."""
         return tuple(self._since)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -72,28 +72,28 @@
 
     def _choose(self, now: float) -> None:
         chosen: dict[HostId, float] = {}
-        living = [
+        responsive = [
             host
             for host in sorted(self._ownership.roster() | {self._host_id})
-            if host == self._host_id or not self._is_silent(host, now)
+            if host == self._host_id or not self._is_unresponsive(host, now)
         ]
         for worker, host in self._listed_workers().items():
             owner = self._ownership.owner_of(make_ownable_id(OwnableKind.WORKER, worker))
             if host.state is HostState.GONE or owner is None or owner == self._host_id:
                 continue
-            if not self._is_silent(owner, now):
+            if not self._is_unresponsive(owner, now):
                 continue
-            if min(living, key=lambda each: _rank(each, worker)) == self._host_id:
+            if min(responsive, key=lambda each: _rank(each, worker)) == self._host_id:
                 chosen[worker] = self._since.get(worker, now)
         for worker in chosen.keys() - self._since.keys():
             self._events.record(
-                "lease.help", peer=worker, cause="its owner is silent; renewing for it"
+                "lease.help", peer=worker, cause="its owner is unresponsive; renewing for it"
             )
         self._since = chosen
 
-    def _is_silent(self, host: HostId, now: float) -> bool:
-        heard = self._heard_at.get(host, self._started_at)
-        return now > heard + self.timings.owner_silent_s
+    def _is_unresponsive(self, host: HostId, now: float) -> bool:
+        last_seen = self._last_seen_at.get(host, self._started_at)
+        return now > last_seen + self.timings.owner_silent_s
 
     async def _renew(self, worker: HostId) -> None:
         host = self._listed_workers().get(worker)
@@ -104,7 +104,7 @@
             if not isinstance(listed, Success):
                 return
             tasks = [running.task.task_id for running in listed.unwrap().running]
-            # The list may have been long in coming: only a help that is still announced counts.
+            # The listing may have taken long: renew only while this is still announced to peers.
             if not tasks or worker not in self._since:
                 return
             await self._workers.renew(
--- a/src/galenastall/protocol/amount_rows.py
+++ b/src/galenastall/protocol/amount_rows.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
+from galenastall.coordination.placement.placement_commands import CapacitySummary, LargestAmount
 from galenastall.state.resources import Resources
 
 
@@ -74,9 +74,9 @@
     )
 
 
-def _pack_largest(largest: Hole) -> LargestAmountRow:
+def _pack_largest(largest: LargestAmount) -> LargestAmountRow:
     return LargestAmountRow(largest.by, pack_amount(largest.free))
 
 
-def _unpack_largest(row: LargestAmountRow) -> Hole:
-    return Hole(by=row.by, free=unpack_amount(row.free))
+def _unpack_largest(row: LargestAmountRow) -> LargestAmount:
+    return LargestAmount(by=row.by, free=unpack_amount(row.free))
--- a/tests/test_team_queue.py
+++ b/tests/test_team_queue.py
@@ -144,7 +144,7 @@
         assert "old/0" in order
 
     def test_a_large_task_starts_though_small_ones_never_stop_coming(self) -> None:
-        """Bound: the starvation time, and the longest run on the worker that empties for it."""
+        """Bound: the starvation time plus the longest run on the worker promised to it."""
         run_s = 10.0
         core = make_core(settings=self.SETTINGS)
         run(core, *[make_task(f"s0/{i}", run_s=run_s) for i in range(4)])
@@ -165,7 +165,7 @@
         assert at is not None
         assert 60.0 <= at <= 60.0 + run_s + 1.0
 
-    def test_short_batch_tasks_use_the_room_meanwhile_and_long_ones_do_not(self) -> None:
+    def test_short_batch_tasks_backfill_promised_capacity_and_long_ones_do_not(self) -> None:
         core = make_core(settings=self.SETTINGS)
         run(core, make_task("running/0", cores=2000, run_s=100.0))
         core.enqueue([make_task("large/0", cores=4000)], 0.0)
