--- a/src/galenastall/state/errors.py
+++ b/src/galenastall/state/errors.py
@@ -24,7 +24,7 @@
     NOT_OWNER = "not_owner"
     """The peer does not own the subject of the step."""
     NOT_FOUND = "not_found"
-    """The subject does not exist."""
+    """The subject is unknown to the peer."""
     TRIMMED = "trimmed"
     """The log no longer has the requested offset."""
     UNAVAILABLE = "unavailable"
--- a/src/galenastall/state/outcomes.py
+++ b/src/galenastall/state/outcomes.py
@@ -1,4 +1,4 @@
-"""The four outcomes of a request; none is ever assumed without proof."""
+"""The four outcomes of a request; an outcome is never guessed."""
 
 from enum import StrEnum
 
