--- a/src/galenastall/bench/cell_load/play.py
+++ b/src/galenastall/bench/cell_load/play.py
@@ -15,7 +15,7 @@
 from galenastall.bench.cell_load.workload import CapacityChange, Span, Workload
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.timings import CellTimings
-from galenastall.node.cell.leader_desk import LeaderDesk
+from galenastall.node.cell.leader_handler import LeaderHandler
 from galenastall.node.cell.leader_term import LeaderTerm, TermParts
 from galenastall.protocol.cell.config import CellConfig, QueueRoute
 from galenastall.protocol.cell.messages import SubmitAnswer, SubmitJob, SubmitVerdict
@@ -118,7 +118,7 @@
         self._play = Play(seed=seed, fates=list(self._fates_by_id.values()))
         self._seed = seed
         self._term: LeaderTerm | None = None
-        self._desk: LeaderDesk | None = None
+        self._desk: LeaderHandler | None = None
 
     async def run(self) -> Play:
         self._world = LabWorld(
@@ -162,7 +162,7 @@
             term = LeaderTerm(parts=self._parts(link), token=token, claimed_at=trio.current_time())
             self._time_decisions(term)
             self._term = term
-            self._desk = LeaderDesk(term=term, host_id="entry-0", has_followers=lambda: True)
+            self._desk = LeaderHandler(term=term, host_id="entry-0", has_followers=lambda: True)
             with trio.CancelScope() as scope:
                 if span is not None:
                     scope.deadline = self._begun_at + span.at_s
@@ -192,8 +192,8 @@
             recorder=recorder,
             timings=CellTimings(),
             config=lambda: config,
-            look_at_config=_look_nowhere,
-            helpers=lambda: helpers,
+            refresh_config=_look_nowhere,
+            available_hosts=lambda: helpers,
             lag_s=lambda: 0.0,
             without=self._without,
         )
--- a/src/galenastall/bench/cell_load/surroundings.py
+++ b/src/galenastall/bench/cell_load/surroundings.py
@@ -17,7 +17,7 @@
 from galenastall.protocol.cell.messages import AdviceAnswer
 from galenastall.protocol.cell.ports import StoreView
 from galenastall.protocol.peers import PeerHandler
-from galenastall.standin.cell.executors import Executor, ExecutorWorld, Run
+from galenastall.standin.cell.executors import Executor, ExecutorSimulation, Run
 from galenastall.state.cell.executor_ids import executor_name, make_executor_id
 from galenastall.state.cell.hosts import MaintenanceWave, PoolHost
 from galenastall.state.cell.jobs import Step, StepKey, TaskKey
@@ -48,7 +48,7 @@
     return int.from_bytes(digest, "big") / 2.0**64
 
 
-class LabWorld(ExecutorWorld):
+class LabWorld(ExecutorSimulation):
     """Executors that run what arrives for as long as was drawn."""
 
     def __init__(self, *, workload: Workload, arrivals: Iterable[Arrival], seed: int) -> None:
@@ -61,7 +61,7 @@
         self.infos_by_id: dict[str, ExecutorInfo] = {}
         self.newest_by_name: dict[str, Executor] = {}
         """The last incarnation of each executor: calls name no other."""
-        self.crashing = {
+        self.crashing_tasks = {
             TaskKey(job_id, 0, 0, 0) for job_id, a in self.arrivals_by_id.items() if a.crashes
         }
         self.crashed_by_tasks = 0
@@ -96,7 +96,7 @@
             capacity=self._capacity_of(number),
             rack=f"rack-{number // self.workload.rack_size}",
         )
-        executor = Executor(world=self, info=info)
+        executor = Executor(simulation=self, info=info)
         self.infos_by_id[info.executor_id] = info
         self.executors[info.executor_id] = executor
         self.newest_by_name[executor_name(info.executor_id)] = executor
--- a/src/galenastall/bench/cell_log_cost.py
+++ b/src/galenastall/bench/cell_log_cost.py
@@ -23,7 +23,7 @@
 from galenastall.platform.standin.hosts import StandinHost, make_hosts
 from galenastall.platform.standin.processes import start_process
 from galenastall.platform.standin.server import PlatformStandin, StandinPlan
-from galenastall.standin.cell.live_world import JobPayload, StepPayload
+from galenastall.standin.cell.live_simulation import JobPayload, StepPayload
 from galenastall.transport.clock import TrioClock
 
 HOSTS: Final = {"one": ("one-1", "one-2"), "two": ("two-1",)}
--- a/src/galenastall/demo/platform_path.py
+++ b/src/galenastall/demo/platform_path.py
@@ -16,7 +16,7 @@
 from galenastall.platform.standin.callers import StandinCaller
 from galenastall.platform.standin.hosts import StandinHost, make_hosts
 from galenastall.platform.standin.server import PlatformStandin, StandinPlan, StandinTenant
-from galenastall.standin.cell.live_world import JobPayload, StepPayload
+from galenastall.standin.cell.live_simulation import JobPayload, StepPayload
 from galenastall.state.resources import Resources
 from galenastall.state.timeline_ring import TimelineRing
 from galenastall.transport.clock import TrioClock
@@ -129,7 +129,7 @@
         if status != ACCEPTED:
             return False
     await trio.sleep(0.5)
-    leader = next(each for each in running if each.process.host.standing.is_leading)
+    leader = next(each for each in running if each.process.host.leadership.is_leading)
     say(f"{leader.host.name} leads; it is stopped without notice")
     leader.scope.cancel()
     left = [each for each in running if each is not leader]
@@ -138,7 +138,7 @@
         await _wait_ended(caller, left[1].host, "packs", GANG_ID),
     ]
     say(f"asked at the others: the batch is {states[0]}, the gang is {states[1]}")
-    new = next(each for each in left if each.process.host.standing.is_leading)
+    new = next(each for each in left if each.process.host.leadership.is_leading)
     say(f"{new.host.name} leads now; what its log, and that of the one before, say of the gang:")
     for line in _lines_about(GANG_ID, [leader, new]):
         say(f"  {line}")
--- a/src/galenastall/node/cell/advice_desk.py
+++ b/src/galenastall/node/cell/advice_dispatcher.py
@@ -18,13 +18,13 @@
 
 ADVICE_SLACK_S: Final = 0.5
 """Wait for advice beyond the time that the call is known to take."""
-TRIES: Final = 3
+MAX_TRIES: Final = 3
 """Hosts through which one call is tried: some may just have been killed."""
-AVOID_S: Final = 1.0
+AVOID_FAILED_HOST_S: Final = 1.0
 """How long a host through which a call failed is not used."""
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Gives each call to a host that makes no other one; urgent calls go first."""
 
     def __init__(
@@ -32,13 +32,13 @@
         *,
         context: TermContext,
         link: PeerLink,
-        helpers: Callable[[], tuple[HostId, ...]],
+        available_hosts: Callable[[], tuple[HostId, ...]],
         nursery: trio.Nursery,
     ) -> None:
         """Ask through `helpers`, which include this host."""
         self._context = context
         self._link = link
-        self._helpers = helpers
+        self._available_hosts = available_hosts
         self._nursery = nursery
         self._urgent: deque[tuple[AskAdvice, int]] = deque()
         self._other: deque[tuple[AskAdvice, int]] = deque()
@@ -46,9 +46,9 @@
         self._busy: set[HostId] = set()
         self._avoided_until: dict[HostId, float] = {}
 
-    def ask(self, ask: AskAdvice) -> None:
+    def submit(self, request: AskAdvice) -> None:
         """Make a call as soon as a host is free for it."""
-        self._put(ask, 0)
+        self._enqueue(request, 0)
         self._dispatch()
 
     @contextmanager
@@ -61,62 +61,66 @@
             self._busy.discard(host)
             self._dispatch()
 
-    def _put(self, ask: AskAdvice, tries: int) -> None:
-        (self._urgent if ask.is_urgent else self._other).append((ask, tries))
+    def _enqueue(self, request: AskAdvice, tries: int) -> None:
+        (self._urgent if request.is_urgent else self._other).append((request, tries))
 
     def _dispatch(self) -> None:
         now = trio.current_time()
-        helpers = self._helpers()
-        well = [host for host in helpers if self._avoided_until.get(host, 0.0) <= now]
-        usable = well or list(helpers)
+        available_hosts = self._available_hosts()
+        preferred = [host for host in available_hosts if self._avoided_until.get(host, 0.0) <= now]
+        usable = preferred or list(available_hosts)
         free = [host for host in usable if host not in self._busy]
         while free and self._urgent:
-            self._begin(free.pop(), *self._urgent.popleft())
-        kept = KEPT_FOR_URGENT if len(usable) > KEPT_FOR_URGENT else 0
-        while len(free) > kept and self._other:
-            self._begin(free.pop(), *self._other.popleft())
+            self._start_call(free.pop(), *self._urgent.popleft())
+        reserved = KEPT_FOR_URGENT if len(usable) > KEPT_FOR_URGENT else 0
+        while len(free) > reserved and self._other:
+            self._start_call(free.pop(), *self._other.popleft())
 
-    def _begin(self, host: HostId, ask: AskAdvice, tries: int) -> None:
+    def _start_call(self, host: HostId, request: AskAdvice, tries: int) -> None:
         self._busy.add(host)
-        self._nursery.start_soon(self._ask_through, host, ask, tries)
+        self._nursery.start_soon(self._request_through, host, request, tries)
 
-    async def _ask_through(self, host: HostId, ask: AskAdvice, tries: int) -> None:
+    async def _request_through(self, host: HostId, request: AskAdvice, tries: int) -> None:
         asked_at = trio.current_time()
         try:
-            answer = await self._call(host, ask)
+            answer = await self._call(host, request)
         finally:
             self._busy.discard(host)
         if not isinstance(answer, Failure):
-            self._take(ask, answer.unwrap(), took_s=trio.current_time() - asked_at)
+            self._on_answer(request, answer.unwrap(), took_s=trio.current_time() - asked_at)
         else:
-            self._on_failure(host, ask, tries + 1, answer.failure())
+            self._on_failure(host, request, tries + 1, answer.failure())
         self._dispatch()
 
-    async def _call(self, host: HostId, ask: AskAdvice) -> Result[AdviceAnswer, StepError]:
-        takes_s = ask.timing.base_s + len(ask.executor_ids) * ask.timing.per_executor_s
-        timeout_s = takes_s + ADVICE_SLACK_S
-        message = GetAdvice(step=ask.step, executor_ids=ask.executor_ids, timeout_s=timeout_s)
+    async def _call(self, host: HostId, request: AskAdvice) -> Result[AdviceAnswer, StepError]:
+        expected_s = (
+            request.timing.base_s + len(request.executor_ids) * request.timing.per_executor_s
+        )
+        timeout_s = expected_s + ADVICE_SLACK_S
+        message = GetAdvice(
+            step=request.step, executor_ids=request.executor_ids, timeout_s=timeout_s
+        )
         return await self._link.call(peer=host, message=message, timeout_s=timeout_s)
 
-    def _on_failure(self, host: HostId, ask: AskAdvice, tries: int, error: StepError) -> None:
+    def _on_failure(self, host: HostId, request: AskAdvice, tries: int, error: StepError) -> None:
         now = trio.current_time()
-        self._avoided_until[host] = now + AVOID_S
-        self._context.note("advice.failed", ask.step.job, cause=str(error), host=host)
-        if tries < TRIES:
-            self._put(ask, tries)
+        self._avoided_until[host] = now + AVOID_FAILED_HOST_S
+        self._context.note("advice.failed", request.step.job, cause=str(error), host=host)
+        if tries < MAX_TRIES:
+            self._enqueue(request, tries)
             return
-        self._context.core.on_advice_failed(ask, now=now)
+        self._context.core.on_advice_failed(request, now=now)
         self._context.wake()
 
-    def _take(self, ask: AskAdvice, advice: AdviceAnswer, *, took_s: float) -> None:
+    def _on_answer(self, request: AskAdvice, advice: AdviceAnswer, *, took_s: float) -> None:
         self._context.note(
             "advice.answered",
-            ask.step.job,
-            asked=str(len(ask.executor_ids)),
+            request.step.job,
+            asked=str(len(request.executor_ids)),
             approved=str(len(advice.approved)),
             took_ms=f"{took_s * 1000:.0f}",
         )
         self._context.core.on_advice(
-            ask, advice.approved, validity_s=advice.validity_s, now=trio.current_time()
+            request, advice.approved, validity_s=advice.validity_s, now=trio.current_time()
         )
         self._context.wake()
--- a/src/galenastall/node/cell/advice_proxy.py
+++ b/src/galenastall/node/cell/advice_proxy.py
@@ -22,7 +22,7 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.ids import HostId
 
-KEPT_ANSWERS: Final = 64
+CACHED_ANSWERS: Final = 64
 """Answers that a host keeps, a minute of its calls; each takes 2 kB."""
 
 
@@ -37,10 +37,10 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Kept:
+class _CachedAnswer:
     message: GetAdvice
     answer: AdviceAnswer
-    good_until: float
+    valid_until: float
 
 
 class AdviceProxy:
@@ -53,9 +53,9 @@
         """Ask `advisor`; without one all calls are refused."""
         self._host_id = link.host_id
         self._advisor = advisor
-        self._turn = trio.Lock()
+        self._call_slot = trio.Lock()
         self._call: _Call | None = None
-        self._kept: deque[_Kept] = deque(maxlen=KEPT_ANSWERS)
+        self._cached: deque[_CachedAnswer] = deque(maxlen=CACHED_ANSWERS)
         link.handle(GetAdvice, self._on_get)
         link.handle(RecoverAdvice, self._on_recover)
         link.handle(AwaitAdvice, self._on_await)
@@ -65,11 +65,11 @@
             return self._error(Reason.UNAVAILABLE, "the settings name no advisor")
         call = _Call(message=message, until=trio.current_time() + message.timeout_s)
         with trio.move_on_at(call.until):
-            async with self._turn:
-                await self._make(call, self._advisor)
+            async with self._call_slot:
+                await self._perform(call, self._advisor)
         return self._answer_of(call)
 
-    async def _make(self, call: _Call, advisor: AdvisorPort) -> None:
+    async def _perform(self, call: _Call, advisor: AdvisorPort) -> None:
         self._call = call
         try:
             call.answer = await advisor.advise(
@@ -78,27 +78,27 @@
                 timeout_s=call.until - trio.current_time(),
             )
             if not isinstance(call.answer, Failure):
-                self._keep(call.message, call.answer.unwrap())
+                self._cache(call.message, call.answer.unwrap())
         finally:
             self._call = None
             call.ended.set()
 
-    def _keep(self, message: GetAdvice, answer: AdviceAnswer) -> None:
-        good_until = trio.current_time() + answer.validity_s
-        self._kept.append(_Kept(message=message, answer=answer, good_until=good_until))
+    def _cache(self, message: GetAdvice, answer: AdviceAnswer) -> None:
+        valid_until = trio.current_time() + answer.validity_s
+        self._cached.append(_CachedAnswer(message=message, answer=answer, valid_until=valid_until))
 
     async def _on_recover(self, _: HostId, message: RecoverAdvice) -> Any:
         wanted = set(message.steps)
         now = trio.current_time()
         answers = tuple(
             KeptAnswer(
-                step=kept.message.step,
-                executor_ids=kept.message.executor_ids,
-                approved=kept.answer.approved,
-                good_for_s=kept.good_until - now,
+                step=cached.message.step,
+                executor_ids=cached.message.executor_ids,
+                approved=cached.answer.approved,
+                good_for_s=cached.valid_until - now,
             )
-            for kept in self._kept
-            if kept.message.step in wanted
+            for cached in self._cached
+            if cached.message.step in wanted
         )
         return RecoveredAdvice(answers=answers, under_way=self._under_way(now))
 
@@ -120,10 +120,10 @@
 
     def _last_answer(self, step: StepKey) -> AdviceAnswer | StepError:
         """Return the last answer about a step: its call may have ended just before."""
-        if not self._kept or self._kept[-1].message.step != step:
+        if not self._cached or self._cached[-1].message.step != step:
             return self._error(Reason.UNAVAILABLE, "the call has ended without an answer")
-        last = self._kept[-1]
-        validity_s = max(last.good_until - trio.current_time(), 0.0)
+        last = self._cached[-1]
+        validity_s = max(last.valid_until - trio.current_time(), 0.0)
         return AdviceAnswer(approved=last.answer.approved, validity_s=validity_s)
 
     def _answer_of(self, call: _Call) -> AdviceAnswer | StepError:
--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -6,7 +6,7 @@
 import trio
 from returns.result import Failure
 
-from galenastall.node.cell.advice_desk import ADVICE_SLACK_S, AdviceDesk
+from galenastall.node.cell.advice_dispatcher import ADVICE_SLACK_S, AdviceDispatcher
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.messages import (
     AdviceAnswer,
@@ -25,10 +25,10 @@
 each host makes itself known within 0.5 s."""
 ANSWER_WITHIN_S: Final = 0.5
 """Wait for a host's answer, which takes some milliseconds."""
-FIRST_WITHIN_S: Final = 0.15
+FIRST_ANSWERS_WITHIN_S: Final = 0.15
 """How long the first decision waits for the answers: a question put before would be put twice, and
 takes a second. Executors have not yet told what they run either."""
-LOOK_EVERY_S: Final = 0.05
+POLL_EVERY_S: Final = 0.05
 
 
 class AdviceRecovery:
@@ -43,15 +43,15 @@
         *,
         context: TermContext,
         link: PeerLink,
-        desk: AdviceDesk,
-        helpers: Callable[[], tuple[HostId, ...]],
+        dispatcher: AdviceDispatcher,
+        available_hosts: Callable[[], tuple[HostId, ...]],
     ) -> None:
         """Ask `helpers`, which include this host; `desk` is told which of them are busy."""
         self._context = context
         self._link = link
-        self._desk = desk
-        self._helpers = helpers
-        self._asked: set[HostId] = set()
+        self._dispatcher = dispatcher
+        self._available_hosts = available_hosts
+        self._queried: set[HostId] = set()
         self._unanswered: set[HostId] = set()
         self._answered = trio.Event()
         """Set, and replaced, whenever a host has answered or failed to."""
@@ -62,20 +62,20 @@
         steps = self._context.core.kept_advice.wanted_steps()
         until = trio.current_time() + COLLECT_FOR_S
         async with trio.open_nursery() as nursery:
-            self._ask_new(nursery, steps)
-            with trio.move_on_after(FIRST_WITHIN_S):
+            self._query_new_hosts(nursery, steps)
+            with trio.move_on_after(FIRST_ANSWERS_WITHIN_S):
                 while self._unanswered:
                     await self._answered.wait()
-            fields = {"hosts": str(len(self._asked)), "answers": str(self._adopted)}
+            fields = {"hosts": str(len(self._queried)), "answers": str(self._adopted)}
             self._context.note("advice.recovered", **fields)
             task_status.started()
             while trio.current_time() < until:
-                await trio.sleep(LOOK_EVERY_S)
-                self._ask_new(nursery, steps)
+                await trio.sleep(POLL_EVERY_S)
+                self._query_new_hosts(nursery, steps)
 
-    def _ask_new(self, nursery: trio.Nursery, steps: tuple[StepKey, ...]) -> None:
-        for host in set(self._helpers()) - self._asked:
-            self._asked.add(host)
+    def _query_new_hosts(self, nursery: trio.Nursery, steps: tuple[StepKey, ...]) -> None:
+        for host in set(self._available_hosts()) - self._queried:
+            self._queried.add(host)
             self._unanswered.add(host)
             nursery.start_soon(self._recover, nursery, host, RecoverAdvice(steps=steps))
 
@@ -107,19 +107,19 @@
 
     async def _await_call(self, host: HostId, call: CallUnderWay) -> None:
         core = self._context.core
-        ask = core.kept_advice.begin(call.step, call.executor_ids, now=trio.current_time())
-        with self._desk.holding(host):
+        request = core.kept_advice.begin(call.step, call.executor_ids, now=trio.current_time())
+        with self._dispatcher.holding(host):
             answer = await self._link.call(
                 peer=host,
                 message=AwaitAdvice(step=call.step),
                 timeout_s=max(call.left_s, 0.0) + ADVICE_SLACK_S,
             )
         now = trio.current_time()
-        if ask is None:
+        if request is None:
             return
         if isinstance(answer, Failure):
-            core.on_advice_failed(ask, now=now)
+            core.on_advice_failed(request, now=now)
         else:
             advice: AdviceAnswer = answer.unwrap()
-            core.on_advice(ask, advice.approved, validity_s=advice.validity_s, now=now)
+            core.on_advice(request, advice.approved, validity_s=advice.validity_s, now=now)
         self._context.wake()
--- a/src/galenastall/node/cell/caller_desk.py
+++ b/src/galenastall/node/cell/caller_handler.py
@@ -8,9 +8,9 @@
 from returns.result import Failure, Result, Success
 
 from galenastall.coordination.cell.config_age import UNKNOWN_VERSION
-from galenastall.node.cell.config_keeper import ConfigKeeper
-from galenastall.node.cell.leader_desk import SHARE_OF_PATIENCE, LeaderDesk
-from galenastall.node.cell.standing import Standing
+from galenastall.node.cell.config_watcher import ConfigWatcher
+from galenastall.node.cell.leader_handler import SHARE_OF_PATIENCE, LeaderHandler
+from galenastall.node.cell.leadership import Leadership
 from galenastall.protocol.cell.messages import (
     AskJob,
     CancelJob,
@@ -28,9 +28,9 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.ids import HostId
 
-NO_LEADER_S: Final = 1.2
+LEADERLESS_WAIT_S: Final = 1.2
 """How long a submission waits for a leader before it is refused; a takeover takes about 1.1 s."""
-UNHEARD_SHARE: Final = 0.6
+LEADERLESS_SHARE: Final = 0.6
 """Share of a caller's time after which a submission that a leader may have stored is answered while
 no leader is heard: in a data centre that is cut off the caller's next try may reach another one;
 it would else be told after 2.9 of its 3 s. A leader answers within 0.4 of that time."""
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Submitted:
+class SubmitOutcome:
     """What became of a submission."""
 
     verdict: SubmitVerdict
@@ -56,49 +56,51 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Patience:
+class _Deadlines:
     """Until when a submission goes on, in this host's time."""
 
     until: float
     """When its caller has to have an answer."""
-    leaderless_until: float
+    not_stored_until: float
     """The same while no leader may have stored the job."""
-    unheard_until: float
+    no_leader_until: float
     """The same while no leader is heard."""
 
     @classmethod
-    def of(cls, patience_s: float, *, now: float) -> "_Patience":
+    def of(cls, patience_s: float, *, now: float) -> "_Deadlines":
         """Share out a caller's time."""
         until = now + patience_s - ANSWER_MARGIN_S
         return cls(
             until=until,
-            leaderless_until=min(until, now + NO_LEADER_S, now + SHARE_OF_PATIENCE * patience_s),
-            unheard_until=min(until, now + UNHEARD_SHARE * patience_s),
+            not_stored_until=min(
+                until, now + LEADERLESS_WAIT_S, now + SHARE_OF_PATIENCE * patience_s
+            ),
+            no_leader_until=min(until, now + LEADERLESS_SHARE * patience_s),
         )
 
     def end(self, *, may_be_stored: bool) -> float:
         """Return until when to go on."""
-        return self.until if may_be_stored else self.leaderless_until
+        return self.until if may_be_stored else self.not_stored_until
 
     def answer_s(self, now: float) -> float:
         """Return how long a leader may take for an answer.
 
         One that is heard and has not answered by `unheard_until` is slow, and may take all of it.
         """
-        return (self.unheard_until if now < self.unheard_until else self.until) - now
+        return (self.no_leader_until if now < self.no_leader_until else self.until) - now
 
 
-class CallerDesk:
+class CallerHandler:
     """Passes callers' operations to the leader."""
 
     def __init__(
-        self, *, host_id: HostId, link: PeerLink, standing: Standing, config: ConfigKeeper
+        self, *, host_id: HostId, link: PeerLink, leadership: Leadership, config: ConfigWatcher
     ) -> None:
         """Answer here if this host leads, else through `link`."""
         self._host_id = host_id
         self._config = config
         self._link = link
-        self._standing = standing
+        self._leadership = leadership
         link.handle(SubmitJob, self._on_submit)
         link.handle(AskJob, self._on_ask)
         link.handle(CancelJob, self._on_cancel)
@@ -111,41 +113,41 @@
         patience_s: float,
         config_version: int = UNKNOWN_VERSION,
         may_be_stored: bool = False,
-    ) -> Submitted:
+    ) -> SubmitOutcome:
         """Hand a job in; NOT_RUN only if it is stored nowhere and never will be.
 
         Only a leader can say that: without one, an earlier try of the same job may have been taken
         elsewhere. `may_be_stored` says so of an earlier call here.
         """
-        patience = _Patience.of(patience_s, now=trio.current_time())
+        deadlines = _Deadlines.of(patience_s, now=trio.current_time())
         cause = "no leader is heard"
         # A leader that went away may have stored the job; the next one knows within a second.
-        while trio.current_time() < patience.end(may_be_stored=may_be_stored):
+        while trio.current_time() < deadlines.end(may_be_stored=may_be_stored):
             now = trio.current_time()
-            if not self._standing.is_heard and now >= patience.unheard_until:
+            if not self._leadership.has_leader and now >= deadlines.no_leader_until:
                 break
             message = SubmitJob(
-                job=job, patience_s=patience.until - now, config_version=config_version
+                job=job, patience_s=deadlines.until - now, config_version=config_version
             )
-            answer = await self._call(message, patience.answer_s(now))
+            answer = await self._call(message, deadlines.answer_s(now))
             if isinstance(answer, Success):
                 found: SubmitAnswer = answer.unwrap()
                 cause = found.cause
                 if found.verdict is not SubmitVerdict.NOT_RUN or not may_be_stored:
-                    return Submitted(verdict=found.verdict, cause=cause)
+                    return SubmitOutcome(verdict=found.verdict, cause=cause)
             else:
                 error = answer.failure()
                 may_be_stored = may_be_stored or error.may_have_taken_effect
                 cause = str(error)
                 if error.reason is Reason.CONFLICT:
-                    return Submitted(
+                    return SubmitOutcome(
                         verdict=SubmitVerdict.UNKNOWN,
                         cause=cause,
                         is_outdated=True,
                         may_be_stored=may_be_stored,
                     )
             await trio.sleep(RETRY_S)
-        return Submitted(verdict=SubmitVerdict.UNKNOWN, cause=cause)
+        return SubmitOutcome(verdict=SubmitVerdict.UNKNOWN, cause=cause)
 
     async def phase(
         self,
@@ -159,7 +161,7 @@
 
         CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
         """
-        return await self._ask(
+        return await self._query(
             AskJob,
             job_id,
             patience_s=patience_s,
@@ -179,7 +181,7 @@
 
         CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
         """
-        return await self._ask(
+        return await self._query(
             CancelJob,
             job_id,
             patience_s=patience_s,
@@ -195,10 +197,10 @@
         CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
         """
         message = CountPending(queue_name=queue_name, config_version=config_version)
-        answer = await self._repeat(lambda _: message, patience_s)
+        answer = await self._retry(lambda _: message, patience_s)
         return answer.map(_count_of)
 
-    async def _ask(
+    async def _query(
         self,
         kind: type[AskJob] | type[CancelJob],
         job_id: str,
@@ -215,10 +217,10 @@
                 config_version=config_version,
             )
 
-        answer = await self._repeat(build, patience_s)
+        answer = await self._retry(build, patience_s)
         return answer.map(_phase_of)
 
-    async def _repeat(
+    async def _retry(
         self, build: Callable[[float], object], patience_s: float
     ) -> Result[Any, StepError]:
         """Repeat an idempotent call until it is answered or the time is over."""
@@ -234,8 +236,8 @@
 
     async def _call(self, message: object, timeout_s: float) -> Result[Any, StepError]:
         """Call the leader once; the call is broken off when another host leads."""
-        leader = self._standing.leader
-        changed = self._standing.changed
+        leader = self._leadership.leader
+        changed = self._leadership.changed
         if leader is None:
             with trio.move_on_after(min(timeout_s, RETRY_S)):
                 await changed.wait()
@@ -251,32 +253,32 @@
         return Failure(self._refusal(reason, detail))
 
     async def _on_submit(self, sender: HostId, message: SubmitJob) -> Any:
-        return await self._serve(sender, message, LeaderDesk.submit)
+        return await self._serve(sender, message, LeaderHandler.submit)
 
     async def _on_ask(self, sender: HostId, message: AskJob) -> Any:
-        return await self._serve(sender, message, LeaderDesk.ask)
+        return await self._serve(sender, message, LeaderHandler.query)
 
     async def _on_cancel(self, sender: HostId, message: CancelJob) -> Any:
-        return await self._serve(sender, message, LeaderDesk.cancel)
+        return await self._serve(sender, message, LeaderHandler.cancel)
 
     async def _on_count(self, sender: HostId, message: CountPending) -> Any:
-        return await self._serve(sender, message, LeaderDesk.count_pending)
+        return await self._serve(sender, message, LeaderHandler.count_pending)
 
     async def _serve(
         self,
         sender: HostId,
         message: _Call,
-        serve: Callable[[LeaderDesk, _Call], Awaitable[Any]],
+        serve: Callable[[LeaderHandler, _Call], Awaitable[Any]],
     ) -> Any:
         """Answer a call to the leader, unless it was let in by a configuration that is outdated."""
-        self._config.hear_of(message.config_version, sender)
-        desk = self._standing.desk
-        if desk is None:
+        self._config.note_version(message.config_version, sender)
+        handler = self._leadership.leader_handler
+        if handler is None:
             return self._refusal(Reason.NOT_OWNER, "this host does not lead")
         if self._config.is_outdated(message.config_version):
             detail = f"version {message.config_version} of the configuration is outdated"
             return self._refusal(Reason.CONFLICT, detail)
-        return await serve(desk, message)
+        return await serve(handler, message)
 
     def _refusal(self, reason: Reason, detail: str) -> StepError:
         return StepError(step="cell.call", peer=self._host_id, reason=reason, detail=detail)
--- a/src/galenastall/node/cell/cell_host.py
+++ b/src/galenastall/node/cell/cell_host.py
@@ -8,11 +8,11 @@
 from galenastall.coordination.cell.election import Election
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.node.cell.advice_proxy import AdviceProxy
-from galenastall.node.cell.caller_desk import CallerDesk
-from galenastall.node.cell.config_keeper import ConfigKeeper
+from galenastall.node.cell.caller_handler import CallerHandler
+from galenastall.node.cell.config_watcher import ConfigWatcher
 from galenastall.node.cell.leader_term import TermParts
+from galenastall.node.cell.leadership import Leadership
 from galenastall.node.cell.membership import Membership
-from galenastall.node.cell.standing import Standing
 from galenastall.protocol.cell.executor_port import ExecutorPort
 from galenastall.protocol.cell.ports import (
     AdvisorPort,
@@ -80,7 +80,7 @@
         """Wire the parts; `run` starts them."""
         self._recorder = recorder
         self.link = link
-        self.config = ConfigKeeper(port=ports.config, link=self.link, recorder=recorder)
+        self.config = ConfigWatcher(port=ports.config, link=self.link, recorder=recorder)
         AdviceProxy(link=self.link, advisor=ports.advisor)
         self.members = Membership(
             link=self.link,
@@ -88,7 +88,7 @@
             weight=settings.weight,
             config=self.config,
         )
-        self.standing = Standing(
+        self.leadership = Leadership(
             host_id=settings.host_id,
             members=self.members,
             election=Election(
@@ -108,40 +108,42 @@
                 recorder=recorder,
                 timings=timings,
                 config=self.config.current,
-                look_at_config=self.config.look,
-                helpers=self._helpers,
+                refresh_config=self.config.look,
+                available_hosts=self._available_hosts,
                 lag_s=lambda: self.members.lag.seconds,
             ),
             timings=timings,
-            on_newer_config=lambda version: self.config.hear_of(version, self.standing.leader),
+            on_newer_config=lambda version: self.config.note_version(
+                version, self.leadership.leader
+            ),
         )
-        self.desk = CallerDesk(
-            host_id=settings.host_id, link=self.link, standing=self.standing, config=self.config
+        self.caller_handler = CallerHandler(
+            host_id=settings.host_id, link=self.link, leadership=self.leadership, config=self.config
         )
 
-    def _helpers(self) -> tuple[HostId, ...]:
-        return self.standing.helpers()
+    def _available_hosts(self) -> tuple[HostId, ...]:
+        return self.leadership.available_hosts()
 
     @property
     def is_ready(self) -> bool:
         """Whether new callers should come here: one data centre that is cut off sends them on."""
-        return self.config.config is not None and self.standing.is_confirmed
+        return self.config.config is not None and self.leadership.is_confirmed
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run all parts until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.link.run)
             nursery.start_soon(self.config.run)
-            nursery.start_soon(self.standing.run)
+            nursery.start_soon(self.leadership.run)
             task_status.started()
             self._recorder.record("host.started")
 
-    async def leave(self, patience_s: float) -> None:
-        """Hand over what others can take, within `patience_s` and a little more.
+    async def leave(self, timeout_s: float) -> None:
+        """Hand over what others can take, within `timeout_s` and a little more.
 
         Callers' operations go on being served, through the new leader.
         """
-        was_leading = self.standing.term is not None
-        await self.standing.leave(patience_s)
+        was_leading = self.leadership.term is not None
+        await self.leadership.leave(timeout_s)
         if was_leading:
             await trio.sleep(HANDOVER_S)
--- a/src/galenastall/node/cell/cell_metrics.py
+++ b/src/galenastall/node/cell/cell_metrics.py
@@ -22,29 +22,31 @@
     def watch(self, host: CellHost) -> None:
         """Show the state of a host at each scrape."""
         gauge = self._metrics.gauge
-        standing = host.standing
-        gauge("galenastall_leading", "1 while this host leads.", lambda: float(standing.is_leading))
-        gauge("galenastall_leader_token", "Token of the leader heard.", lambda: standing.token)
+        leadership = host.leadership
+        gauge(
+            "galenastall_leading", "1 while this host leads.", lambda: float(leadership.is_leading)
+        )
+        gauge("galenastall_leader_token", "Token of the leader heard.", lambda: leadership.token)
         gauge(
             "galenastall_config_version",
             "Version of the configuration in force here.",
             lambda: float(host.config.config.version if host.config.config else 0),
         )
-        gauge("galenastall_jobs", "Jobs that the leader knows.", lambda: standing.job_count)
+        gauge("galenastall_jobs", "Jobs that the leader knows.", lambda: leadership.job_count)
         gauge(
             "galenastall_executors",
             "Executors that the leader knows.",
-            lambda: standing.executor_count,
+            lambda: leadership.executor_count,
         )
         gauge(
             "galenastall_append_seconds",
             "How long the leader's last append took.",
-            lambda: standing.last_append_s,
+            lambda: leadership.last_append_s,
         )
         gauge(
             "galenastall_waiting_steps",
             "Steps that wait, by what kept the last decision from starting them.",
-            lambda: {(reason,): float(n) for reason, n in standing.waiting_by_reason.items()},
+            lambda: {(reason,): float(n) for reason, n in leadership.waiting_by_reason.items()},
             labels=["reason"],
         )
         gauge(
@@ -52,7 +54,7 @@
             "Cores that the leader counts for what a workspace may have running.",
             lambda: {
                 (name,): used.cores_milli / 1000.0
-                for name, used in standing.used_by_workspace.items()
+                for name, used in leadership.used_by_workspace.items()
             },
             labels=["workspace"],
         )
@@ -68,6 +70,6 @@
         gauge(
             "galenastall_stopped_runs",
             "Runs that this host has stopped in its term as leader; a gang's run counts once.",
-            lambda: {(rule,): float(n) for rule, n in standing.stopped_by_rule.items()},
+            lambda: {(rule,): float(n) for rule, n in leadership.stopped_by_rule.items()},
             labels=["rule"],
         )
--- a/src/galenastall/node/cell/commit_loop.py
+++ b/src/galenastall/node/cell/commit_loop.py
@@ -17,25 +17,25 @@
 each lost one holds up all work for this long."""
 TIMEOUT_FACTOR: Final = 4.0
 """The next try begins after this many times what appends took lately."""
-AGAIN_S: Final = 0.3
+NEXT_TRY_AFTER_S: Final = 0.3
 """Pause between further tries; a store that comes back is found out within it."""
 ANSWER_WITHIN_S: Final = 1.5
 """How long a try may take; a slow store takes up to 0.4 s."""
-MOST_UNDER_WAY: Final = 4
+MAX_UNDER_WAY: Final = 4
 """Tries under way at once: half of the connections to the store."""
-REPEAT_S: Final = 0.05
+RETRY_PAUSE_S: Final = 0.05
 """Pause before an append is repeated under its sequence number."""
 CONFIRM_KEY: Final = "confirm"
 """Key that an idle leader rewrites."""
 
 
-def parts_of(values_by_key: dict[str, bytes], *, most_bytes: int) -> list[dict[str, bytes]]:
+def split_appends(values_by_key: dict[str, bytes], *, max_bytes: int) -> list[dict[str, bytes]]:
     """Split values into appends of at most so many bytes, in their order; a value stays whole."""
     parts: list[dict[str, bytes]] = [{}]
     size = 0
     for key, value in values_by_key.items():
         row_bytes = len(key.encode()) + len(value)
-        if parts[-1] and size + row_bytes > most_bytes:
+        if parts[-1] and size + row_bytes > max_bytes:
             parts.append({})
             size = 0
         parts[-1][key] = value
@@ -43,7 +43,7 @@
     return parts
 
 
-class _Appending:
+class _PendingAppend:
     """One append, tried until its fate is known."""
 
     def __init__(self, *, values_by_key: dict[str, bytes]) -> None:
@@ -55,7 +55,7 @@
         self.answered = trio.Event()
         """Set, and replaced, whenever a try has ended."""
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         event, self.answered = self.answered, trio.Event()
         event.set()
 
@@ -69,7 +69,7 @@
         context: TermContext,
         state: StatePort,
         timings: CellTimings,
-        read_anew: Callable[[], Awaitable[None]],
+        refresh_inputs: Callable[[], Awaitable[None]],
     ) -> None:
         """Write to `state` in the term of `context`.
 
@@ -78,11 +78,11 @@
         """
         self._context = context
         self._state = state
-        self._read_anew = read_anew
+        self._refresh_inputs = refresh_inputs
         self._timings = timings
         self._sequence = 0
-        self._wanted = trio.Event()
-        self._may_be_behind = True
+        self._requested = trio.Event()
+        self._inputs_may_be_stale = True
         """Whether no start has left since the term began, or since the store was away."""
         self.last_append_s = 0.0
         """How long the last answered append took."""
@@ -91,17 +91,17 @@
         self.refused_since: float | None = None
         """When the store began to refuse appends; None while they go through."""
 
-    def want(self) -> None:
+    def request(self) -> None:
         """Ask for an append soon."""
-        self._wanted.set()
+        self._requested.set()
 
     async def run(self, send: Callable[[list[StartOrder]], None]) -> None:
         """Append until cancelled; starts that may leave go to `send`."""
         begun_at = float("-inf")
         while True:
             with trio.move_on_after(self._timings.confirm_every_s):
-                await self._wanted.wait()
-            self._wanted = trio.Event()
+                await self._requested.wait()
+            self._requested = trio.Event()
             await trio.sleep_until(begun_at + self._timings.commit_every_s)
             begun_at = trio.current_time()
             send(await self.commit())
@@ -116,15 +116,15 @@
         batch = context.core.take_batch()
         values = batch.values_by_key or {CONFIRM_KEY: b"%d" % self._sequence}
         # A store refuses an append above its limit as often as it is sent, and all work would stop.
-        for part in parts_of(values, most_bytes=self._state.append_bytes):
+        for part in split_appends(values, max_bytes=self._state.append_bytes):
             self._sequence += 1
             await self._append(part)
-        if batch.starts and self._may_be_behind:
+        if batch.starts and self._inputs_may_be_stale:
             # Capacities and limits may have shrunk meanwhile, and executors need not guard theirs.
-            await self._read_anew()
-            self._may_be_behind = False
+            await self._refresh_inputs()
+            self._inputs_may_be_stale = False
         starts = context.core.commit(batch, wall=context.wall())
-        context.tell_committed()
+        context.notify_committed()
         context.wake()
         return starts
 
@@ -134,55 +134,55 @@
         The store takes each sequence number once, so tries under way at once do no harm. With one
         try a time a leader was found silent at the end of an outage, for the last one still hung.
         """
-        appending = _Appending(values_by_key=values_by_key)
+        pending = _PendingAppend(values_by_key=values_by_key)
         # Each try keeps a slow store busy for some more 0.2 s, so the second waits longer there.
         pause_s = max(SHORTEST_TIMEOUT_S, TIMEOUT_FACTOR * self.last_append_s)
         async with trio.open_nursery() as nursery:
-            while not appending.is_over:
-                if appending.under_way < MOST_UNDER_WAY:
-                    nursery.start_soon(self._try, appending)
+            while not pending.is_over:
+                if pending.under_way < MAX_UNDER_WAY:
+                    nursery.start_soon(self._try, pending)
                 with trio.move_on_after(min(pause_s, ANSWER_WITHIN_S)):
-                    await appending.answered.wait()
-                    await trio.sleep(0.0 if appending.is_over else REPEAT_S)
-                self._judge(appending)
-                pause_s = AGAIN_S
+                    await pending.answered.wait()
+                    await trio.sleep(0.0 if pending.is_over else RETRY_PAUSE_S)
+                self._update_outage(pending)
+                pause_s = NEXT_TRY_AFTER_S
             nursery.cancel_scope.cancel()
 
-    async def _try(self, appending: "_Appending") -> None:
+    async def _try(self, pending: "_PendingAppend") -> None:
         context = self._context
         sent_at = trio.current_time()
-        appending.under_way += 1
+        pending.under_way += 1
         answer = await self._state.append(
             token=context.token,
             sequence=self._sequence,
-            values_by_key=appending.values_by_key,
+            values_by_key=pending.values_by_key,
             timeout_s=ANSWER_WITHIN_S,
         )
-        appending.under_way -= 1
+        pending.under_way -= 1
         if not isinstance(answer, Failure):
             context.confirmed_at = max(context.confirmed_at, sent_at)
             self.last_append_s = trio.current_time() - sent_at
             self.refused_since = None
-            appending.is_over = True
+            pending.is_over = True
         else:
-            appending.failure = answer.failure()
-            if self.refused_since is None and not appending.failure.may_have_taken_effect:
+            pending.failure = answer.failure()
+            if self.refused_since is None and not pending.failure.may_have_taken_effect:
                 self.refused_since = sent_at
-            if appending.failure.reason is Reason.CONFLICT:
-                context.lose(str(appending.failure))
-        appending.tell()
+            if pending.failure.reason is Reason.CONFLICT:
+                context.lose(str(pending.failure))
+        pending.notify()
 
-    def _judge(self, appending: "_Appending") -> None:
+    def _update_outage(self, pending: "_PendingAppend") -> None:
         """Note that appends fail, or go through again."""
-        if appending.is_over:
+        if pending.is_over:
             self._note_regained()
         elif self.failing_since is None:
-            self.failing_since = appending.begun_at
-            cause = str(appending.failure) if appending.failure else "no answer yet"
+            self.failing_since = pending.begun_at
+            cause = str(pending.failure) if pending.failure else "no answer yet"
             self._context.note("store.lost", cause=cause)
 
     def _note_regained(self) -> None:
         if self.failing_since is not None:
             self.failing_since = None
-            self._may_be_behind = True
+            self._inputs_may_be_stale = True
             self._context.note("store.regained")
--- a/src/galenastall/node/cell/config_keeper.py
+++ b/src/galenastall/node/cell/config_watcher.py
@@ -17,13 +17,13 @@
 """Pause after a read that failed."""
 PEER_TIMEOUT_S: Final = 0.8
 """Wait for another host's configuration."""
-LOOK_WITHIN_S: Final = 0.4
+REFRESH_WITHIN_S: Final = 0.4
 """Longest look for a newer version: callers wait for it."""
-LOOK_EVERY_S: Final = 0.3
+REFRESH_EVERY_S: Final = 0.3
 """Least time between two looks: any number of unknown keys costs three looks a second."""
 
 
-class ConfigKeeper:
+class ConfigWatcher:
     """Follows the configuration, from the store and from whichever host has a newer version."""
 
     def __init__(self, *, port: ConfigPort, link: PeerLink, recorder: Recorder) -> None:
@@ -31,14 +31,14 @@
         self._port = port
         self._link = link
         self._recorder = recorder
-        self._heard = trio.Event()
+        self._newer_version_seen = trio.Event()
         self._source: HostId | None = None
         """Whom to ask: the host that was last heard of."""
         self._is_lost = False
         self._in_force_since = 0.0
-        self._look: trio.Event | None = None
+        self._refresh_ended: trio.Event | None = None
         """Set at the end of the look that is under way."""
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
         self.config: CellConfig | None = None
         link.handle(GetConfig, self._on_get)
 
@@ -56,44 +56,44 @@
         own_for_s = trio.current_time() - self._in_force_since
         return is_outdated(version=version, own_version=self.version, own_for_s=own_for_s)
 
-    def hear_of(self, version: int, host: HostId | None) -> None:
+    def note_version(self, version: int, host: HostId | None) -> None:
         """Note that a host has this version."""
         if host is None:
             return
         if version >= self.version:
             self._source = host
         if version > self.version:
-            self._heard.set()
+            self._newer_version_seen.set()
 
     async def look(self) -> None:
         """Look for a newer version now, at the store and at a host; one look serves all callers."""
-        if self._look is not None:
-            with trio.move_on_after(LOOK_WITHIN_S):
-                await self._look.wait()
+        if self._refresh_ended is not None:
+            with trio.move_on_after(REFRESH_WITHIN_S):
+                await self._refresh_ended.wait()
             return
-        if trio.current_time() - self._looked_at < LOOK_EVERY_S:
+        if trio.current_time() - self._refreshed_at < REFRESH_EVERY_S:
             return
-        self._look = trio.Event()
+        self._refresh_ended = trio.Event()
         try:
-            with trio.move_on_after(LOOK_WITHIN_S):
-                await self._look_everywhere()
+            with trio.move_on_after(REFRESH_WITHIN_S):
+                await self._query_all()
         finally:
-            self._looked_at = trio.current_time()
-            self._look.set()
-            self._look = None
+            self._refreshed_at = trio.current_time()
+            self._refresh_ended.set()
+            self._refresh_ended = None
 
-    async def _look_everywhere(self) -> None:
+    async def _query_all(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._look_at_store, nursery.cancel_scope)
-            nursery.start_soon(self._ask_source)
+            nursery.start_soon(self._query_store, nursery.cancel_scope)
+            nursery.start_soon(self._query_source)
 
-    async def _look_at_store(self, others: trio.CancelScope) -> None:
+    async def _query_store(self, other_query: trio.CancelScope) -> None:
         answer = await self._port.newest()
         if isinstance(answer, Failure):
             self._recorder.record("config.look_failed", cause=str(answer.failure()))
             return
-        self._take(answer.unwrap(), source="store")
-        others.cancel()
+        self._adopt(answer.unwrap(), source="store")
+        other_query.cancel()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -108,15 +108,15 @@
                     await trio.sleep(RETRY_S)
                     continue
                 self._is_lost = False
-                self._take(answer.unwrap(), source="store")
+                self._adopt(answer.unwrap(), source="store")
 
     async def _follow_hosts(self) -> None:
         while True:
-            await self._heard.wait()
-            self._heard = trio.Event()
-            await self._ask_source()
+            await self._newer_version_seen.wait()
+            self._newer_version_seen = trio.Event()
+            await self._query_source()
 
-    async def _ask_source(self) -> None:
+    async def _query_source(self) -> None:
         source = self._source
         if source is None or source == self._link.host_id:
             return
@@ -127,9 +127,9 @@
         )
         if not isinstance(answer, Failure):
             found: ConfigAnswer = answer.unwrap()
-            self._take(found.config, source=str(source))
+            self._adopt(found.config, source=str(source))
 
-    def _take(self, config: CellConfig | None, *, source: str) -> None:
+    def _adopt(self, config: CellConfig | None, *, source: str) -> None:
         if config is None:
             return
         if self.config is not None and config.version <= self.config.version:
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -16,7 +16,7 @@
 """Long poll of an executor that runs something: renews a lease ten times over."""
 LONG_BUSY_WAIT_S: Final = 1.6
 """The same while very many are polled; still within the time after which one gets no new work."""
-MANY_POLLED: Final = 500
+LONG_POLL_THRESHOLD: Final = 500
 """Executors polled at once from which on the longer poll is used: 500 calls a second take some
 0.4 s of the leader's thread."""
 IDLE_WAIT_S: Final = 1.2
@@ -30,7 +30,7 @@
 ACKNOWLEDGES_WITHIN_S: Final = 1.0
 """Ends are acknowledged while a listing is no older: an executor that has started again since would
 forget ends that nobody has read. Longer than DURABLE_WAIT_S, and shorter than a restart."""
-GATHER_S: Final = 0.02
+BATCH_PAUSE_S: Final = 0.02
 """Pause between two polls, so that ends that come together cost one call."""
 
 _OUTCOME_BY_VERDICT: Final = {
@@ -53,10 +53,10 @@
         """Speak to `executor` in the term of `context`."""
         self._context = context
         self._executor = executor
-        self._is_looking = False
+        self._is_polling_now = False
         self._woken = trio.Event()
         """Set, and replaced, to end a wait for a turn."""
-        self._is_waiting_for_turn = False
+        self._is_waiting_for_slot = False
 
     async def run(self) -> None:
         """Poll for as long as the executor is in the leader's table."""
@@ -65,36 +65,36 @@
             if not self._executor.info.address or self._executor.has_restarted:
                 await trio.sleep(RETRY_S)
                 continue
-            is_in_turn = await self._wait_for_turn()
+            has_waited = await self._wait_for_poll_slot()
             context.polls_under_way += 1
-            is_answered = await self._poll(0.0 if is_in_turn else self._wait_s())
+            is_answered = await self._poll(0.0 if has_waited else self._wait_s())
             context.polls_under_way -= 1
             if not is_answered:
                 await trio.sleep(RETRY_S)
                 continue
             await self._wait_until_durable()
-            await trio.sleep(GATHER_S)
+            await trio.sleep(BATCH_PAUSE_S)
 
     def _is_in_table(self) -> bool:
         executors_by_id = self._context.core.executors_by_id
         return executors_by_id.get(self._executor.executor_id) is self._executor
 
-    async def _wait_for_turn(self) -> bool:
+    async def _wait_for_poll_slot(self) -> bool:
         """Wait until a poll may leave; return whether it had to wait."""
         if self._executor.needs_polling(trio.current_time()):
             return False
-        turn_at = self._context.idle_polls.next_turn(trio.current_time())
-        if turn_at <= trio.current_time():
+        slot_at = self._context.idle_polls.next_turn(trio.current_time())
+        if slot_at <= trio.current_time():
             return False
-        self._is_waiting_for_turn = True
-        with trio.move_on_at(turn_at):
+        self._is_waiting_for_slot = True
+        with trio.move_on_at(slot_at):
             await self._woken.wait()
-        self._is_waiting_for_turn = False
+        self._is_waiting_for_slot = False
         return True
 
     def wake(self) -> None:
         """Poll now if the session waits for its turn; the executor has been given something."""
-        if self._is_waiting_for_turn:
+        if self._is_waiting_for_slot:
             event, self._woken = self._woken, trio.Event()
             event.set()
 
@@ -105,25 +105,27 @@
             return 0.0
         if not self._executor.runs_by_task:
             return IDLE_WAIT_S
-        return LONG_BUSY_WAIT_S if self._context.polls_under_way > MANY_POLLED else BUSY_WAIT_S
+        return (
+            LONG_BUSY_WAIT_S if self._context.polls_under_way > LONG_POLL_THRESHOLD else BUSY_WAIT_S
+        )
 
     async def _wait_until_durable(self) -> None:
         with trio.move_on_after(DURABLE_WAIT_S):
             while self._executor.durable < self._executor.noted:
                 await self._context.committed.wait()
 
-    async def look(self) -> None:
+    async def poll_now(self) -> None:
         """Get a listing now, beside the long poll."""
-        if self._is_waiting_for_turn:
+        if self._is_waiting_for_slot:
             self.wake()
             return
-        if self._is_looking:
+        if self._is_polling_now:
             return
-        self._is_looking = True
+        self._is_polling_now = True
         try:
             await self._poll(0.0)
         finally:
-            self._is_looking = False
+            self._is_polling_now = False
 
     async def _poll(self, wait_s: float) -> bool:
         context, executor = self._context, self._executor
@@ -151,10 +153,10 @@
         It is 0 where the executor may have started again since its last listing.
         """
         executor = self._executor
-        is_sure = executor.lost_at is None and executor.has_answered(
+        is_confirmed = executor.lost_at is None and executor.has_answered(
             now=trio.current_time(), reach_s=ACKNOWLEDGES_WITHIN_S
         )
-        return executor.durable if is_sure else 0
+        return executor.durable if is_confirmed else 0
 
     def _deadline_ms(self) -> int | None:
         """Return the deadline to name now; None for an executor that does not answer.
@@ -256,7 +258,7 @@
             self._on_fenced(token)
         return _OUTCOME_BY_VERDICT[verdict]
 
-    async def pace(self, order: PaceOrder) -> None:
+    async def throttle(self, order: PaceOrder) -> None:
         """Send a pace; the core repeats it until it is confirmed."""
         context, executor = self._context, self._executor
         token = context.token_of(executor.executor_id)
@@ -266,7 +268,7 @@
             token=token,
             timeout_s=context.core.timings.order_timeout_s,
         )
-        if self._is_obeyed(answer, token):
+        if self._is_carried_out(answer, token):
             context.core.on_paced(order)
 
     async def stop(self, order: StopOrder) -> None:
@@ -279,11 +281,11 @@
             token=token,
             timeout_s=context.core.timings.order_timeout_s,
         )
-        if self._is_obeyed(answer, token):
+        if self._is_carried_out(answer, token):
             context.core.on_stop(order)
             context.wake()
 
-    def _is_obeyed(self, answer: Result[OrderAnswer, StepError], token: int) -> bool:
+    def _is_carried_out(self, answer: Result[OrderAnswer, StepError], token: int) -> bool:
         """Whether an order was carried out; one refused for its token ends the term."""
         if isinstance(answer, Failure):
             return False
--- a/src/galenastall/node/cell/executor_sessions.py
+++ b/src/galenastall/node/cell/executor_sessions.py
@@ -51,7 +51,7 @@
         for pace in core.take_paces():
             session = self._by_id.get(pace.executor_id)
             if session is not None:
-                self._nursery.start_soon(session.pace, pace)
+                self._nursery.start_soon(session.throttle, pace)
         for executor_id in core.take_newly_polled():
             session = self._by_id.get(executor_id)
             if session is not None:
@@ -59,4 +59,4 @@
         for executor_id in core.take_looks():
             session = self._by_id.get(executor_id)
             if session is not None:
-                self._nursery.start_soon(session.look)
+                self._nursery.start_soon(session.poll_now)
--- a/src/galenastall/node/cell/heartbeats.py
+++ b/src/galenastall/node/cell/heartbeats.py
@@ -4,12 +4,12 @@
 
 from galenastall.state.ids import HostId
 
-REPEATED_AFTER: Final = 14
+REPEAT_AFTER_HEARTBEATS: Final = 14
 """Beats after which a host is told all addresses again, for one that carried them may get lost:
 2 s, with a beat each 0.15 s."""
 
 
-class ToldAddresses:
+class AddressBroadcast:
     """What each host was told in this term.
 
     Hosts are told all addresses when these change, and again in turn. With all of them in each beat
@@ -20,8 +20,8 @@
     def __init__(self) -> None:
         """Start a term in which nobody was told anything."""
         self._current: dict[str, str] = {}
-        self._told_by_host: dict[HostId, dict[str, str]] = {}
-        self._beats_until_repeat: dict[HostId, int] = {}
+        self._sent_by_host: dict[HostId, dict[str, str]] = {}
+        self._heartbeats_until_repeat: dict[HostId, int] = {}
 
     def set_current(self, addresses_by_host: dict[str, str]) -> None:
         """Take the addresses of all hosts as they are now."""
@@ -30,16 +30,16 @@
 
     def forget(self, host: HostId) -> None:
         """Have a host told again: its process has just started."""
-        self._told_by_host.pop(host, None)
+        self._sent_by_host.pop(host, None)
 
     def next_for(self, host: HostId) -> dict[str, str]:
         """Return what the next beat tells a host: all addresses, or none."""
-        left = self._beats_until_repeat.get(host, 0)
-        if left > 0 and self._told_by_host.get(host) is self._current:
-            self._beats_until_repeat[host] = left - 1
+        left = self._heartbeats_until_repeat.get(host, 0)
+        if left > 0 and self._sent_by_host.get(host) is self._current:
+            self._heartbeats_until_repeat[host] = left - 1
             return {}
-        first_turn = 1 + len(self._beats_until_repeat) % REPEATED_AFTER
-        is_new = host not in self._beats_until_repeat
-        self._beats_until_repeat[host] = first_turn if is_new else REPEATED_AFTER
-        self._told_by_host[host] = self._current
+        first_repeat = 1 + len(self._heartbeats_until_repeat) % REPEAT_AFTER_HEARTBEATS
+        is_new = host not in self._heartbeats_until_repeat
+        self._heartbeats_until_repeat[host] = first_repeat if is_new else REPEAT_AFTER_HEARTBEATS
+        self._sent_by_host[host] = self._current
         return self._current
--- a/src/galenastall/node/cell/hosts_desk.py
+++ b/src/galenastall/node/cell/hosts_driver.py
@@ -10,14 +10,14 @@
 from galenastall.protocol.cell.ports import HostsPort
 from galenastall.state.errors import Reason, StepError
 
-LOOK_EVERY_S: Final = 0.5
+POLL_EVERY_S: Final = 0.5
 """Between two looks at waves, and at the list of hosts while it is needed; a host is down for 2 s,
 and reads of the list are priced."""
 RETRY_S: Final = 0.3
 """Pause before an order or a message to the operator is repeated."""
 
 
-class HostsDesk:
+class HostsDriver:
     """Follows hosts and waves during one term."""
 
     def __init__(self, *, context: TermContext, hosts: HostsPort, host_id: str) -> None:
@@ -30,14 +30,14 @@
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        care = self._context.core.hosts
+        hosts = self._context.core.hosts
         while True:
-            care.set_waves(self._hosts.waves(), wall=self._context.wall())
-            if care.wants_list:
+            hosts.set_waves(self._hosts.waves(), wall=self._context.wall())
+            if hosts.wants_list:
                 await self._list()
-            for number, is_completed in care.to_tell().items():
-                await self._tell(number, is_completed=is_completed)
-            await trio.sleep(LOOK_EVERY_S)
+            for number, is_completed in hosts.to_tell().items():
+                await self._report_wave(number, is_completed=is_completed)
+            await trio.sleep(POLL_EVERY_S)
 
     async def _list(self) -> None:
         answer = await self._hosts.list_hosts()
@@ -50,7 +50,7 @@
         self._context.core.hosts.set_hosts(answer.unwrap(), wall=self._context.wall())
         self._context.wake()
 
-    async def _tell(self, number: int, *, is_completed: bool) -> None:
+    async def _report_wave(self, number: int, *, is_completed: bool) -> None:
         """Tell the operator of a wave, once its state is durable here."""
         await self._context.committed.wait()
         self._sequence += 1
--- a/src/galenastall/node/cell/leader_desk.py
+++ b/src/galenastall/node/cell/leader_handler.py
@@ -26,11 +26,11 @@
 SHARE_OF_PATIENCE: Final = 0.4
 """Of the time that a caller waits, at most this much is spent before it is told that its job is
 not stored or that this is not known: it can still ask again."""
-STORE_AWAY_S: Final = 0.5
+STORE_OUTAGE_S: Final = 0.5
 """Once appends have failed for longer, submissions are refused at once: they would only wait."""
 
 
-class LeaderDesk:
+class LeaderHandler:
     """Serves calls during one term."""
 
     def __init__(
@@ -46,27 +46,27 @@
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
         term = self._term
-        if term.store_away_s > STORE_AWAY_S and message.job.job_id not in term.core.jobs_by_id:
-            return self._not_taken()
+        if term.store_outage_s > STORE_OUTAGE_S and message.job.job_id not in term.core.jobs_by_id:
+            return self._not_stored()
         run = term.core.submit(message.job, wall=term.context.wall())
         if not may_see(owner=run.job.workspace, workspace=message.job.workspace):
             return SubmitAnswer(verdict=SubmitVerdict.TAKEN, cause="another workspace has this id")
-        term.want_commit()
-        patience_s = SHARE_OF_PATIENCE * message.patience_s
-        await self._wait_durable(run, min(patience_s, BEGIN_WITHIN_S))
+        term.request_commit()
+        timeout_s = SHARE_OF_PATIENCE * message.patience_s
+        await self._wait_durable(run, min(timeout_s, BEGIN_WITHIN_S))
         if run.is_durable:
             return SubmitAnswer(verdict=SubmitVerdict.ACCEPTED)
         if term.core.withdraw(message.job.job_id):
             if term.loss:
                 return self._error(Reason.NOT_OWNER, term.loss)
             term.context.note("job.withdrawn", message.job.job_id, cause="the store is away")
-            return self._not_taken()
-        await self._wait_durable(run, max(patience_s - BEGIN_WITHIN_S, 0.0))
+            return self._not_stored()
+        await self._wait_durable(run, max(timeout_s - BEGIN_WITHIN_S, 0.0))
         if run.is_durable:
             return SubmitAnswer(verdict=SubmitVerdict.ACCEPTED)
         return SubmitAnswer(verdict=SubmitVerdict.UNKNOWN, cause="no answer from the store")
 
-    def _not_taken(self) -> SubmitAnswer:
+    def _not_stored(self) -> SubmitAnswer:
         """Answer for a job that this leader has not stored, while the store is away.
 
         While most hosts follow this leader there is no other, so no one else has stored it either.
@@ -83,7 +83,7 @@
             while not run.is_durable and not self._term.loss:
                 await self._term.context.committed.wait()
 
-    async def ask(self, message: AskJob) -> JobAnswer | StepError:
+    async def query(self, message: AskJob) -> JobAnswer | StepError:
         """Return a job's durable phase."""
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
@@ -108,7 +108,7 @@
                 return self._error(Reason.UNAVAILABLE, "the store does not confirm this leader")
             return JobAnswer(phase=None)
         term.core.cancel(message.job_id, wall=term.context.wall())
-        term.want_commit()
+        term.request_commit()
         term.context.wake()
         with trio.move_on_after(message.patience_s):
             while run.shown_phase is not run.phase and not term.loss:
@@ -130,16 +130,16 @@
             return self._error(Reason.NOT_OWNER, "not leading yet")
         return PendingAnswer(count=self._term.core.pending_of(message.queue_name))
 
-    async def _is_ready(self, patience_s: float) -> bool:
-        with trio.move_on_after(patience_s):
+    async def _is_ready(self, timeout_s: float) -> bool:
+        with trio.move_on_after(timeout_s):
             await self._term.ready.wait()
         return self._term.ready.is_set() and not self._term.loss
 
-    async def _confirm(self, patience_s: float) -> bool:
+    async def _confirm(self, timeout_s: float) -> bool:
         """Whether the store confirms the term by a call sent from now on."""
         asked_at = trio.current_time()
-        self._term.want_commit()
-        with trio.move_on_after(patience_s):
+        self._term.request_commit()
+        with trio.move_on_after(timeout_s):
             while self._term.context.confirmed_at < asked_at and not self._term.loss:
                 await self._term.context.committed.wait()
         return self._term.context.confirmed_at >= asked_at
--- a/src/galenastall/node/cell/leader_search.py
+++ b/src/galenastall/node/cell/leader_search.py
@@ -11,11 +11,11 @@
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.ids import HostId
 
-ASK_EVERY_S: Final = 0.5
+QUERY_EVERY_S: Final = 0.5
 """Between two rounds of questions while no leader is heard."""
-ASKED_AT_ONCE: Final = 3
+QUERIED_AT_ONCE: Final = 3
 """Hosts that a round asks: the one that led before, and others in turn."""
-ASK_TIMEOUT_S: Final = 0.3
+QUERY_TIMEOUT_S: Final = 0.3
 """Wait for their answers, which take some milliseconds."""
 
 
@@ -23,7 +23,7 @@
     """What a host knows of the leadership."""
 
     @property
-    def is_heard(self) -> bool:
+    def has_leader(self) -> bool:
         """Whether this host leads or hears who does."""
 
     @property
@@ -34,10 +34,10 @@
     def other_hosts(self) -> Iterable[str]:
         """All other hosts whose addresses are known."""
 
-    def sight(self) -> LeaderAnswer:
+    def leader_answer(self) -> LeaderAnswer:
         """Return the leader that is heard here."""
 
-    def take_sight(self, found: LeaderAnswer) -> None:
+    def on_leader_answer(self, found: LeaderAnswer) -> None:
         """Take what another host has said of the leader."""
 
 
@@ -53,36 +53,36 @@
         """Ask through `link`."""
         self._link = link
         self._view = view
-        self._asked_last: str = link.host_id
+        self._queried_last: str = link.host_id
         link.handle(AskLeader, self._on_ask)
 
     async def run(self) -> None:
         """Search until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(ASK_EVERY_S)
-                if self._view.is_heard:
+                await trio.sleep(QUERY_EVERY_S)
+                if self._view.has_leader:
                     continue
-                for host in self._next_asked():
-                    nursery.start_soon(self._ask, host)
+                for host in self._next_queried():
+                    nursery.start_soon(self._query, host)
 
-    def _next_asked(self) -> list[str]:
+    def _next_queried(self) -> list[str]:
         """Return the host that led before, which hears its successor first, and others in turn."""
         before = self._view.last_leader
         others = sorted(set(self._view.other_hosts) - {before})
-        split = bisect_right(others, self._asked_last)
-        turn = (others[split:] + others[:split])[: ASKED_AT_ONCE - 1]
-        if turn:
-            self._asked_last = turn[-1]
+        split = bisect_right(others, self._queried_last)
+        rotation = (others[split:] + others[:split])[: QUERIED_AT_ONCE - 1]
+        if rotation:
+            self._queried_last = rotation[-1]
         is_other = before not in ("", self._link.host_id)
-        return [before, *turn] if is_other else turn
+        return [before, *rotation] if is_other else rotation
 
-    async def _ask(self, host: str) -> None:
+    async def _query(self, host: str) -> None:
         answer = await self._link.call(
-            peer=HostId(host), message=AskLeader(), timeout_s=ASK_TIMEOUT_S
+            peer=HostId(host), message=AskLeader(), timeout_s=QUERY_TIMEOUT_S
         )
         if not isinstance(answer, Failure):
-            self._view.take_sight(answer.unwrap())
+            self._view.on_leader_answer(answer.unwrap())
 
     async def _on_ask(self, _: HostId, __: AskLeader) -> Any:
-        return self._view.sight()
+        return self._view.leader_answer()
--- a/src/galenastall/node/cell/leader_term.py
+++ b/src/galenastall/node/cell/leader_term.py
@@ -12,12 +12,12 @@
 from galenastall.coordination.cell.mechanisms import ALL_ON, Mechanism, Without
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.timings import CellTimings
-from galenastall.node.cell.advice_desk import AdviceDesk
+from galenastall.node.cell.advice_dispatcher import AdviceDispatcher
 from galenastall.node.cell.advice_recovery import AdviceRecovery
 from galenastall.node.cell.commit_loop import CommitLoop
 from galenastall.node.cell.executor_sessions import ExecutorSessions
 from galenastall.node.cell.fleet_follower import FleetFollower
-from galenastall.node.cell.hosts_desk import HostsDesk
+from galenastall.node.cell.hosts_driver import HostsDriver
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.config import CellConfig
 from galenastall.protocol.cell.executor_port import ExecutorPort
@@ -59,9 +59,9 @@
     recorder: Recorder
     timings: CellTimings
     config: Callable[[], CellConfig | None]
-    look_at_config: Callable[[], Awaitable[None]]
+    refresh_config: Callable[[], Awaitable[None]]
     """Brings a newer version of `config`, if there is one."""
-    helpers: Callable[[], tuple[HostId, ...]]
+    available_hosts: Callable[[], tuple[HostId, ...]]
     """Entry hosts through which the advisor can be asked."""
     lag_s: Callable[[], float]
     """By how many seconds the loop of this process is late on average."""
@@ -92,9 +92,9 @@
             context=self.context,
             state=parts.state,
             timings=parts.timings,
-            read_anew=self._read_anew,
+            refresh_inputs=self._refresh_inputs,
         )
-        self._hosts = HostsDesk(context=self.context, hosts=parts.hosts, host_id=parts.host_id)
+        self._hosts = HostsDriver(context=self.context, hosts=parts.hosts, host_id=parts.host_id)
         self._scope = trio.CancelScope()
         self._config_version = -1
         self.ready = trio.Event()
@@ -108,7 +108,7 @@
         return trio.current_time() - self.context.confirmed_at
 
     @property
-    def store_away_s(self) -> float:
+    def store_outage_s(self) -> float:
         """For how long appends have failed; 0 while they go through."""
         since = self._commits.failing_since
         return 0.0 if since is None else trio.current_time() - since
@@ -138,7 +138,7 @@
         if not self.loss:
             self.loss = cause
             self.context.note("leader.lost", cause=cause, token=str(self.token))
-            self.context.tell_committed()
+            self.context.notify_committed()
         self._scope.cancel()
 
     async def run(self) -> None:
@@ -153,23 +153,23 @@
                     if not await self._load():
                         return
                     self.ready.set()
-                    nursery.start_soon(self._fleet.run, partial(self._take_list, sessions))
-                    desk = AdviceDesk(
+                    nursery.start_soon(self._fleet.run, partial(self._apply_list, sessions))
+                    dispatcher = AdviceDispatcher(
                         context=self.context,
                         link=self._parts.link,
-                        helpers=self._parts.helpers,
+                        available_hosts=self._parts.available_hosts,
                         nursery=nursery,
                     )
                     nursery.start_soon(self._hosts.run)
                     recovery = AdviceRecovery(
                         context=self.context,
                         link=self._parts.link,
-                        desk=desk,
-                        helpers=self._parts.helpers,
+                        dispatcher=dispatcher,
+                        available_hosts=self._parts.available_hosts,
                     )
                     if Mechanism.KEPT_ADVICE not in self._parts.without:
                         await nursery.start(recovery.run)
-                    nursery.start_soon(self._decide_forever, nursery, sessions, desk)
+                    nursery.start_soon(self._decide_forever, nursery, sessions, dispatcher)
                     nursery.start_soon(self._report_forever)
         if not self.loss:
             self._on_lost("cancelled")
@@ -200,7 +200,7 @@
 
     def _restore(self, values_by_key: dict[str, bytes], *, took_s: float) -> None:
         rows = decode_rows(values_by_key)
-        self._take_config()
+        self._apply_config()
         self.core.restore(rows, wall=self.context.wall())
         self.context.note(
             "leader.loaded",
@@ -211,21 +211,21 @@
             took_ms=f"{took_s * 1000:.0f}",
         )
 
-    def _take_list(self, sessions: ExecutorSessions, infos: tuple[ExecutorInfo, ...]) -> None:
-        self._take_config()
+    def _apply_list(self, sessions: ExecutorSessions, infos: tuple[ExecutorInfo, ...]) -> None:
+        self._apply_config()
         self.core.on_fleet(infos, now=trio.current_time())
         sessions.open()
         self.context.wake()
 
     async def _decide_forever(
-        self, nursery: trio.Nursery, sessions: ExecutorSessions, desk: AdviceDesk
+        self, nursery: trio.Nursery, sessions: ExecutorSessions, dispatcher: AdviceDispatcher
     ) -> None:
         while True:
             with trio.move_on_after(DECIDE_AT_LEAST_EVERY_S):
                 await self.context.changed.wait()
             self.context.changed = trio.Event()
             begun_at = trio.current_time()
-            self._decide(nursery, sessions, desk)
+            self._decide(nursery, sessions, dispatcher)
             took_s = trio.current_time() - begun_at
             await trio.sleep(max(DECIDE_EVERY_S, DECIDE_PAUSE_FACTOR * took_s))
 
@@ -238,13 +238,13 @@
             append_ms = f"{self.last_append_s * 1000:.0f}"
             self.context.note("leader.load", lag_ms=lag_ms, append_ms=append_ms, **fields)
 
-    async def _read_anew(self) -> None:
+    async def _refresh_inputs(self) -> None:
         """Read the configuration and the list of executors as they are now."""
-        await self._parts.look_at_config()
-        self._take_config()
+        await self._parts.refresh_config()
+        self._apply_config()
         await self._fleet.read_now(within_s=LIST_WITHIN_S)
 
-    def _take_config(self) -> None:
+    def _apply_config(self) -> None:
         config = self._parts.config()
         if config is not None and config.version != self._config_version:
             self._config_version = config.version
@@ -253,17 +253,19 @@
             self.core.set_services(config.named_services)
             self.core.hosts.set_standby(config.standby_services)
 
-    def _decide(self, nursery: trio.Nursery, sessions: ExecutorSessions, desk: AdviceDesk) -> None:
-        self._take_config()
-        self.core.set_advice_calls_at_once(len(self._parts.helpers()))
+    def _decide(
+        self, nursery: trio.Nursery, sessions: ExecutorSessions, dispatcher: AdviceDispatcher
+    ) -> None:
+        self._apply_config()
+        self.core.set_advice_calls_at_once(len(self._parts.available_hosts()))
         self.core.decide(
             now=trio.current_time(),
             wall=self.context.wall(),
             may_place=self._commits.failing_since is None,
         )
         sessions.open()
-        for ask in self.core.take_asks():
-            desk.ask(ask)
+        for request in self.core.take_asks():
+            dispatcher.submit(request)
         sessions.send_orders()
         for order in self.core.hosts.take_ready():
             nursery.start_soon(self._hosts.send, order)
@@ -272,8 +274,8 @@
                 note.step, subjects=note.subjects, cause=note.cause, fields=note.fields
             )
         if self.core.has_changes:
-            self._commits.want()
+            self._commits.request()
 
-    def want_commit(self) -> None:
+    def request_commit(self) -> None:
         """Have changes made durable soon, without waiting for the next decision."""
-        self._commits.want()
+        self._commits.request()
--- a/src/galenastall/node/cell/standing.py
+++ b/src/galenastall/node/cell/leadership.py
@@ -12,7 +12,7 @@
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.coordination.cell.wait_reasons import WaitReason
 from galenastall.node.cell.handover import LeaderHandover
-from galenastall.node.cell.leader_desk import LeaderDesk
+from galenastall.node.cell.leader_handler import LeaderHandler
 from galenastall.node.cell.leader_search import LeaderSearch
 from galenastall.node.cell.leader_term import LeaderTerm, TermParts
 from galenastall.node.cell.membership import Membership
@@ -33,7 +33,7 @@
 """Looks and claims at a handover; an append of the leader that stops may come in between."""
 
 
-class Standing:
+class Leadership:
     """Runs the election on this host, and the term when it wins."""
 
     def __init__(
@@ -64,7 +64,7 @@
         """Set, and replaced, whenever another host leads."""
         self.term: LeaderTerm | None = None
         """The term of this host, if it leads."""
-        self.desk: LeaderDesk | None = None
+        self.leader_handler: LeaderHandler | None = None
         self._link.handle(Beat, self._on_beat)
         self._link.handle(TakeOver, self._on_take_over)
         self._link.handle(CanLead, self._on_can_lead)
@@ -74,10 +74,10 @@
         """The host that leads, or None if none is heard."""
         if self.term is not None:
             return self._host_id
-        return HostId(self._election.leader) if self.is_heard and self._election.leader else None
+        return HostId(self._election.leader) if self.has_leader and self._election.leader else None
 
     @property
-    def is_heard(self) -> bool:
+    def has_leader(self) -> bool:
         """Whether this host leads or hears who does."""
         return self.term is not None or self._election.is_heard(trio.current_time())
 
@@ -139,9 +139,9 @@
             return self.term.confirm_age_s <= longest_s
         return self._election.is_confirmed(trio.current_time(), longest_s)
 
-    def helpers(self) -> tuple[HostId, ...]:
+    def available_hosts(self) -> tuple[HostId, ...]:
         """Return the hosts that can be asked to do something for the leader, itself included."""
-        return (self._host_id, *self._members.heard.fit(trio.current_time()))
+        return (self._host_id, *self._members.peers.available(trio.current_time()))
 
     async def run(self) -> None:
         """Run the election until cancelled."""
@@ -153,13 +153,13 @@
                 await self._step(nursery)
                 await trio.sleep(TICK_S)
 
-    async def leave(self, patience_s: float) -> None:
+    async def leave(self, timeout_s: float) -> None:
         """Hand the leadership over, if this host has it, and claim no more.
 
-        Waits up to `patience_s` for a slow store: a takeover in the midst of it costs a second.
+        Waits up to `timeout_s` for a slow store: a takeover in the midst of it costs a second.
         """
         self._members.is_leaving = True
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             while self.term is not None and self.term.is_store_slow:
                 await self.term.context.committed.wait()
         term = self.term
@@ -168,14 +168,14 @@
             if leader:
                 self._members.say_hello(leader)
             return
-        successor = self._members.heard.successor(trio.current_time())
+        successor = self._members.peers.successor(trio.current_time())
         term.give_up("this process stops")
         if successor is not None:
             self._recorder.record("leader.hands_over", peer=successor)
             self._link.send(peer=successor, message=TakeOver(token=term.token))
 
     def _has_followers(self) -> bool:
-        return self._members.heard.has_followers(trio.current_time())
+        return self._members.peers.has_followers(trio.current_time())
 
     async def _step(self, nursery: trio.Nursery) -> None:
         if self.term is not None or self._members.is_leaving:
@@ -186,22 +186,22 @@
             return
         move = self._election.next_move(trio.current_time())
         if move is Move.LOOK:
-            nursery.start_soon(self._look)
+            nursery.start_soon(self._read_store)
         elif move is Move.CLAIM:
             # Another claim may have come since the last look; two claims cost a second takeover.
-            await self._look()
+            await self._read_store()
             if self._election.next_move(trio.current_time()) is Move.CLAIM:
                 await self._claim(nursery, cause="no heartbeat, and the state's end stands still")
 
     async def _take_over(self, nursery: trio.Nursery) -> None:
         """Claim at the request of a leader that stops; its last append may still move the end."""
         for _ in range(HANDOVER_TRIES):
-            await self._look()
+            await self._read_store()
             await self._claim(nursery, cause="the leader hands over")
             if self.term is not None:
                 return
 
-    async def _look(self) -> None:
+    async def _read_store(self) -> None:
         answer = await self._parts.state.look()
         if isinstance(answer, Failure):
             return
@@ -241,52 +241,54 @@
         self._recorder.record("leader.claimed", cause=cause, fields=fields)
         term = LeaderTerm(parts=self._parts, token=token, claimed_at=claimed_at)
         self.term = term
-        self.desk = LeaderDesk(term=term, host_id=self._host_id, has_followers=self._has_followers)
+        self.leader_handler = LeaderHandler(
+            term=term, host_id=self._host_id, has_followers=self._has_followers
+        )
         self._members.begin_term()
-        self._tell_changed()
+        self._notify_changed()
         nursery.start_soon(self._lead, term)
 
     async def _lead(self, term: LeaderTerm) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._beat_forever, term)
+            nursery.start_soon(self._send_heartbeats_forever, term)
             nursery.start_soon(self._handover_of(term).run)
             await term.run()
             nursery.cancel_scope.cancel()
         self.term = None
-        self.desk = None
+        self.leader_handler = None
         self._election.withdraw(trio.current_time() + self._timings.withdrawn_pause_s)
-        self._tell_changed()
+        self._notify_changed()
 
     def _handover_of(self, term: LeaderTerm) -> LeaderHandover:
         return LeaderHandover(
             term=term,
-            heard=self._members.heard,
+            peers=self._members.peers,
             weight=self._members.weight,
             lag=self._members.lag,
             link=self._link,
             recorder=self._recorder,
-            look=self._parts.state.look,
+            read_store=self._parts.state.look,
             on_behind=self._on_behind,
         )
 
     def _on_behind(self) -> None:
         self._members.refuse_to_lead(self._timings.unwilling_s)
 
-    async def _beat_forever(self, term: LeaderTerm) -> None:
+    async def _send_heartbeats_forever(self, term: LeaderTerm) -> None:
         while True:
-            self._beat(term)
+            self._send_heartbeat(term)
             await trio.sleep(self._timings.beat_every_s)
 
-    def _beat(self, term: LeaderTerm) -> None:
+    def _send_heartbeat(self, term: LeaderTerm) -> None:
         config: CellConfig | None = self._parts.config()
         plain = Beat(
             token=term.token,
             address=self._members.address,
             confirm_age_s=term.confirm_age_s,
             config_version=config.version if config else 0,
-            heaviest=heaviest_of(self._members.heard.contenders(trio.current_time())),
+            heaviest=heaviest_of(self._members.peers.contenders(trio.current_time())),
         )
-        self._members.send_beats(plain)
+        self._members.send_heartbeats(plain)
 
     async def _say_hello(self) -> None:
         while True:
@@ -295,7 +297,7 @@
                 self._members.say_hello(leader)
             await trio.sleep(HELLO_EVERY_S)
 
-    def sight(self) -> LeaderAnswer:
+    def leader_answer(self) -> LeaderAnswer:
         """Return the leader that is heard here, for a host that hears none."""
         leader = self.leader
         if leader is None:
@@ -303,10 +305,10 @@
         known = self._members.address if self.is_leading else self._members.address_of(leader)
         return LeaderAnswer(token=self.token, host_id=leader, address=known)
 
-    def take_sight(self, found: LeaderAnswer) -> None:
+    def on_leader_answer(self, found: LeaderAnswer) -> None:
         """Follow a leader that another host hears, unless it is older than the one heard last."""
         is_other = found.address and found.host_id != self._host_id
-        if is_other and not self.is_heard and found.token >= self._election.token:
+        if is_other and not self.has_leader and found.token >= self._election.token:
             self._members.make_known_to(found.host_id, found.address)
 
     async def _on_beat(self, sender: HostId, beat: Beat) -> Any:
@@ -325,11 +327,11 @@
             return None
         if self.term is not None and beat.token > self.term.token:
             self.term.give_up(f"{sender} leads with a higher token")
-        self._members.take_addresses(sender, beat)
+        self._members.learn_addresses(sender, beat)
         if (self._election.leader, self._election.token) != before:
             self._recorder.record("leader.heard", peer=sender, fields={"token": str(beat.token)})
             self._members.say_hello(sender)
-            self._tell_changed()
+            self._notify_changed()
         self._on_newer_config(beat.config_version)
         return None
 
@@ -347,6 +349,6 @@
             self._is_asked_to_claim = True
         return None
 
-    def _tell_changed(self) -> None:
+    def _notify_changed(self) -> None:
         event, self.changed = self.changed, trio.Event()
         event.set()
--- a/src/galenastall/node/cell/membership.py
+++ b/src/galenastall/node/cell/membership.py
@@ -5,17 +5,17 @@
 
 import trio
 
-from galenastall.node.cell.config_keeper import ConfigKeeper
-from galenastall.node.cell.heard_hosts import HeardHosts
-from galenastall.node.cell.heartbeats import ToldAddresses
+from galenastall.node.cell.config_watcher import ConfigWatcher
+from galenastall.node.cell.heartbeats import AddressBroadcast
 from galenastall.node.cell.loop_lag import LoopLag
+from galenastall.node.cell.peer_table import PeerTable
 from galenastall.protocol.cell.messages import Beat, Hello
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.ids import HostId
 
-FOLLOWS_S: Final = 0.6
+FOLLOWS_WITHIN_S: Final = 0.6
 """A host that has made itself known within this time follows this leader: one message and more."""
-HELPER_HEARD_S: Final = 1.2
+AVAILABLE_WITHIN_S: Final = 1.2
 """A host that has not made itself known for longer, two messages, is asked for nothing."""
 
 
@@ -23,18 +23,20 @@
     """Knows where other hosts are reached, and makes this host known."""
 
     def __init__(
-        self, *, link: PeerLink, address: str, weight: float, config: ConfigKeeper
+        self, *, link: PeerLink, address: str, weight: float, config: ConfigWatcher
     ) -> None:
         """`address` is where peers reach this host, `weight` the cores that it can lead with."""
         self._config = config
         self._link = link
         self._started_at = trio.current_time()
         self._addresses_by_host: dict[str, str] = {}
-        self._told = ToldAddresses()
+        self._broadcast = AddressBroadcast()
         self._unwilling_until = float("-inf")
         self.address = address
         self.weight = weight
-        self.heard = HeardHosts(fit_within_s=HELPER_HEARD_S, follows_within_s=FOLLOWS_S)
+        self.peers = PeerTable(
+            available_within_s=AVAILABLE_WITHIN_S, follows_within_s=FOLLOWS_WITHIN_S
+        )
         """The hosts that have made themselves known here."""
         self.lag = LoopLag()
         """By how much this host's loop is late."""
@@ -74,18 +76,18 @@
 
     def begin_term(self) -> None:
         """Begin to send heartbeats: this host has told nobody anything yet."""
-        self._told = ToldAddresses()
+        self._broadcast = AddressBroadcast()
 
-    def send_beats(self, plain: Beat) -> None:
+    def send_heartbeats(self, plain: Beat) -> None:
         """Send a heartbeat to all other hosts; some are told all addresses with it."""
-        known = {**self.heard.addresses_by_host(), self._link.host_id: self.address}
-        self._told.set_current({str(host): address for host, address in known.items()})
+        known = {**self.peers.addresses_by_host(), self._link.host_id: self.address}
+        self._broadcast.set_current({str(host): address for host, address in known.items()})
         for host in map(HostId, self.others):
-            told = self._told.next_for(host)
-            message = replace(plain, addresses_by_host=told) if told else plain
+            addresses = self._broadcast.next_for(host)
+            message = replace(plain, addresses_by_host=addresses) if addresses else plain
             self._link.send(peer=host, message=message)
 
-    def take_addresses(self, leader: HostId, beat: Beat) -> None:
+    def learn_addresses(self, leader: HostId, beat: Beat) -> None:
         """Take all addresses, if a heartbeat carries them, and its leader's in any case."""
         if beat.addresses_by_host:
             self._addresses_by_host = {**beat.addresses_by_host, str(leader): beat.address}
@@ -94,10 +96,10 @@
             self._set_address(leader, beat.address)
 
     async def _on_hello(self, sender: HostId, hello: Hello) -> None:
-        if self.heard.on_hello(sender, hello, trio.current_time()):
-            self._told.forget(sender)
+        if self.peers.on_hello(sender, hello, trio.current_time()):
+            self._broadcast.forget(sender)
         self._set_address(sender, hello.address)
-        self._config.hear_of(hello.config_version, sender)
+        self._config.note_version(hello.config_version, sender)
 
     def _set_address(self, host: str, address: str) -> None:
         if self._addresses_by_host.get(host) != address:
--- a/src/galenastall/node/cell/heard_hosts.py
+++ b/src/galenastall/node/cell/peer_table.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeardHost:
+class PeerStatus:
     """What a host said of itself when it was last heard."""
 
     address: str
@@ -22,19 +22,19 @@
     is_willing: bool
 
 
-class HeardHosts:
+class PeerTable:
     """Keeps the last that each other host said of itself; hosts are never forgotten."""
 
-    def __init__(self, *, fit_within_s: float, follows_within_s: float) -> None:
+    def __init__(self, *, available_within_s: float, follows_within_s: float) -> None:
         """Take the longest silence of a host that is fit, and of one that follows this host."""
-        self._fit_within_s = fit_within_s
+        self._available_within_s = available_within_s
         self._follows_within_s = follows_within_s
-        self._by_id: dict[HostId, HeardHost] = {}
+        self._by_id: dict[HostId, PeerStatus] = {}
 
     def on_hello(self, sender: HostId, hello: Hello, now: float) -> bool:
         """Take what a host says of itself; return whether its process is new here."""
         before = self._by_id.get(sender)
-        self._by_id[sender] = HeardHost(
+        self._by_id[sender] = PeerStatus(
             address=hello.address,
             weight=hello.weight,
             started_at=now - hello.uptime_s,
@@ -49,9 +49,9 @@
         """Return where each of them is reached."""
         return {host: heard.address for host, heard in self._by_id.items()}
 
-    def fit(self, now: float) -> tuple[HostId, ...]:
+    def available(self, now: float) -> tuple[HostId, ...]:
         """Return the hosts that can be asked to do something: heard of late, and staying."""
-        return tuple(host for host, _ in self._fit(now))
+        return tuple(host for host, _ in self._available(now))
 
     def successor(self, now: float) -> HostId | None:
         """Return the fit host that should lead next."""
@@ -68,7 +68,7 @@
                 lag_s=heard.lag_s,
                 is_willing=heard.is_willing,
             )
-            for host, heard in self._fit(now)
+            for host, heard in self._available(now)
         ]
 
     def has_followers(self, now: float) -> bool:
@@ -81,8 +81,8 @@
         following = 1 + sum(1 for heard in self._by_id.values() if heard.heard_at > oldest)
         return 2 * following > len(self._by_id) + 1
 
-    def _fit(self, now: float) -> Iterator[tuple[HostId, HeardHost]]:
-        oldest = now - self._fit_within_s
+    def _available(self, now: float) -> Iterator[tuple[HostId, PeerStatus]]:
+        oldest = now - self._available_within_s
         for host, heard in self._by_id.items():
             if heard.heard_at > oldest and not heard.is_leaving:
                 yield host, heard
--- a/src/galenastall/node/cell/term_context.py
+++ b/src/galenastall/node/cell/term_context.py
@@ -13,7 +13,7 @@
 from galenastall.state.cell.executor_ids import executor_name
 from galenastall.transport.logs import Recorder
 
-TOKENS_IN_A_TERM: Final = 1_000_000
+TOKENS_PER_TERM: Final = 1_000_000
 """Executors are shown the term's token times this, and a number within the term."""
 
 
@@ -63,7 +63,7 @@
         incarnation would be carried out by the new one, however late they come.
         """
         self._token_number += 1
-        token = self.token * TOKENS_IN_A_TERM + self._token_number
+        token = self.token * TOKENS_PER_TERM + self._token_number
         self._tokens_by_executor[executor_id] = token
         self._newest_token_by_name[executor_name(executor_id)] = token
         return token
@@ -88,7 +88,7 @@
         """Log a decision."""
         self._recorder.record(step, subjects=subjects, cause=cause, fields=fields)
 
-    def tell_committed(self) -> None:
+    def notify_committed(self) -> None:
         """Wake whoever waits for durability."""
         event, self.committed = self.committed, trio.Event()
         event.set()
--- a/src/galenastall/platform/jobs_face.py
+++ b/src/galenastall/platform/jobs_face.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result
 
-from galenastall.node.cell.caller_desk import RETRY_AFTER_S, CallerDesk, Submitted
+from galenastall.node.cell.caller_handler import RETRY_AFTER_S, CallerHandler, SubmitOutcome
 from galenastall.platform.access import KEY_HEADER, Admission, KeyCheck
 from galenastall.platform.submissions import decode_job
 from galenastall.protocol.cell.config import CellConfig
@@ -49,7 +49,7 @@
     def __init__(
         self,
         *,
-        desk: CallerDesk,
+        desk: CallerHandler,
         config: ConfigSource,
         clock: Clock,
         recorder: Recorder,
@@ -94,10 +94,10 @@
 
     async def _hand_in(
         self, request: HttpRequest, admission: Admission, job: CellJob
-    ) -> Submitted | HttpResponse:
+    ) -> SubmitOutcome | HttpResponse:
         """Hand a job in; where the leader's configuration is newer, the caller is let in anew."""
         may_be_stored = False
-        submitted = Submitted(verdict=SubmitVerdict.UNKNOWN)
+        submitted = SubmitOutcome(verdict=SubmitVerdict.UNKNOWN)
         for _ in range(ADMISSIONS):
             submitted = await self._desk.submit(
                 job,
@@ -115,7 +115,7 @@
             job = replace(job, queue=admission.route.queue, workspace=admission.workspace)
         return submitted
 
-    def _answer(self, request: HttpRequest, job_id: str, submitted: Submitted) -> HttpResponse:
+    def _answer(self, request: HttpRequest, job_id: str, submitted: SubmitOutcome) -> HttpResponse:
         if submitted.verdict is SubmitVerdict.ACCEPTED:
             return json_response(200, {})
         self._recorder.record(
--- a/src/galenastall/platform/process.py
+++ b/src/galenastall/platform/process.py
@@ -132,7 +132,7 @@
             lambda: float(self._log.dropped),
         )
         jobs = JobsFace(
-            desk=self.host.desk,
+            desk=self.host.caller_handler,
             config=self.host.config,
             clock=self._clock,
             recorder=self.recorder,
--- a/src/galenastall/platform/standin/callers.py
+++ b/src/galenastall/platform/standin/callers.py
@@ -7,7 +7,7 @@
 import trio
 
 from galenastall.platform.standin.hosts import StandinHost
-from galenastall.standin.cell.live_world import JobPayload
+from galenastall.standin.cell.live_simulation import JobPayload
 
 PATIENCE_S: Final = 3.0
 """How long a caller waits for an answer."""
--- a/src/galenastall/platform/standin/executor_face.py
+++ b/src/galenastall/platform/standin/executor_face.py
@@ -8,7 +8,7 @@
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
 from galenastall.platform.names import parse_task, task_name
 from galenastall.protocol.cell.executor_port import StartVerdict
-from galenastall.standin.cell.executors import Executor, ExecutorWorld
+from galenastall.standin.cell.executors import Executor, ExecutorSimulation
 from galenastall.state.cell.executor_ids import born_ms_of, executor_name
 from galenastall.transport.http_json import json_response
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
@@ -30,7 +30,7 @@
 class ExecutorFace:
     """Answers for whichever incarnation of an executor is up now."""
 
-    def __init__(self, *, world: ExecutorWorld, executor_id: str) -> None:
+    def __init__(self, *, world: ExecutorSimulation, executor_id: str) -> None:
         """Serve the executor that `world` knows as `executor_id`."""
         self.world = world
         self.executor_id = executor_id
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -11,7 +11,7 @@
 from galenastall.platform.standin.log_face import StoreFace
 from galenastall.protocol.clock import Clock
 from galenastall.standin.cell.executors import Executor
-from galenastall.standin.cell.live_world import LiveWorld
+from galenastall.standin.cell.live_simulation import LiveSimulation
 from galenastall.state.cell.executor_ids import (
     born_ms_of,
     executor_name,
@@ -71,7 +71,7 @@
     def __init__(self, *, plan: StandinPlan, clock: Clock) -> None:
         """Build the faces of `plan`; `run` serves them."""
         self.store = StoreFace()
-        self.world = LiveWorld()
+        self.world = LiveSimulation()
         self.advisor = AdvisorFace()
         self.store_address = ""
         self.advisor_address = ""
@@ -114,14 +114,14 @@
         """Have an executor start again under its name; it knows nothing of before."""
         earlier = self.world.executors[name]
         self.world.crash(earlier)
-        self.world.earlier.append(earlier)
+        self.world.earlier_incarnations.append(earlier)
         self._begin(name, replace(earlier.info, executor_id=self._new_id(name)))
 
     def _new_id(self, name: str) -> str:
         return make_executor_id(name, int(self._clock.wall() * 1000))
 
     def _begin(self, name: str, info: ExecutorInfo) -> None:
-        executor = Executor(world=self.world, info=info)
+        executor = Executor(simulation=self.world, info=info)
         self.world.executors[name] = executor
         self._register(executor, 0)
 
--- a/src/galenastall/standin/cell/executors.py
+++ b/src/galenastall/standin/cell/executors.py
@@ -21,7 +21,7 @@
     Listing,
 )
 from galenastall.protocol.cell.executor_port import StartVerdict
-from galenastall.standin.cell.quota_watch import QuotaWatch, sum_of
+from galenastall.standin.cell.quota_checker import QuotaChecker, sum_of
 from galenastall.state.cell.jobs import Step, TaskKey
 from galenastall.state.cell.phases import RunEnd
 from galenastall.state.cell.workspaces import NO_WORKSPACE
@@ -35,7 +35,7 @@
 """How long a task that crashes its executor has been there by then."""
 SHRUNK_GRACE_S: Final = 3.0
 """For how long starts may go by an earlier, larger capacity: the list of executors is behind."""
-MOST_CRASHES: Final = 3
+CRASH_LIMIT: Final = 3
 """Executors that a task may crash before more starts of it count."""
 STARTS_AFTER_CRASHES: Final = 3
 """Starts of a task after so many crashes that are one too many."""
@@ -60,9 +60,11 @@
 class Executor:
     """One incarnation of an executor, by the rules that the platform gives for it."""
 
-    def __init__(self, *, world: "ExecutorWorld", info: ExecutorInfo, rate: float = 1.0) -> None:
+    def __init__(
+        self, *, simulation: "ExecutorSimulation", info: ExecutorInfo, rate: float = 1.0
+    ) -> None:
         """Start it; its steady clock runs at `rate`, slower than 1 by 2% at most."""
-        self.world = world
+        self.simulation = simulation
         self.info = info
         self.rate = rate
         self.born = trio.current_time()
@@ -71,11 +73,11 @@
         """Capacities that it has had, each with the time until which it had it."""
         self.fence = 0
         self.deadline_ms = 0.0
-        self.lapsed_at = float("-inf")
+        self.expired_at = float("-inf")
         self.runs: dict[TaskKey, Run] = {}
         self.ended: list[ListedEnd] = []
         self.position = 0
-        self.dead_runs: dict[TaskKey, int] = {}
+        self.finished_runs: dict[TaskKey, int] = {}
         self.changed = trio.Event()
 
     def clock_ms(self) -> float:
@@ -101,12 +103,12 @@
         if not self.is_up:
             return
         if any(run.crashes_at is not None and run.crashes_at <= now for run in self.runs.values()):
-            self.world.crash_by_task(self)
+            self.simulation.crash_by_task(self)
             return
         if self.clock_ms() >= self.deadline_ms:
-            lapsed_at = now - (self.clock_ms() - self.deadline_ms) / 1000.0 / self.rate
-            self._end_due(lapsed_at)
-            self.lapsed_at = max(self.lapsed_at, lapsed_at)
+            expired_at = now - (self.clock_ms() - self.deadline_ms) / 1000.0 / self.rate
+            self._end_due(expired_at)
+            self.expired_at = max(self.expired_at, expired_at)
             for run in list(self.runs.values()):
                 self.end(run, RunEnd.LAPSED)
         self._end_due(now)
@@ -114,7 +116,7 @@
     def _sweep_all(self) -> None:
         """Bring this executor, whose lease may have lapsed, and all runs up to now."""
         self.sweep()
-        self.world.sweep()
+        self.simulation.sweep()
 
     def _end_due(self, now: float) -> None:
         for run in list(self.runs.values()):
@@ -123,7 +125,7 @@
             if run.stops_at is not None and run.stops_at <= now:
                 self.end(run, RunEnd.STOPPED)
             elif run.waits_until is not None and run.waits_until <= now:
-                self.world.alone.append((run.task, run.run))
+                self.simulation.alone.append((run.task, run.run))
                 self.end(run, RunEnd.ALONE)
             elif run.ends_at is not None and run.ends_at <= now:
                 self.end(run, RunEnd.FAILED if run.fails else RunEnd.DONE)
@@ -133,9 +135,9 @@
         if self.runs.pop(run.task, None) is None:
             return
         self.position += 1
-        self.dead_runs[run.task] = max(self.dead_runs.get(run.task, 0), run.run)
+        self.finished_runs[run.task] = max(self.finished_runs.get(run.task, 0), run.run)
         self.ended.append(ListedEnd(position=self.position, task=run.task, run=run.run, end=how))
-        self.world.on_end(self, run, how)
+        self.simulation.on_end(self, run, how)
         event, self.changed = self.changed, trio.Event()
         event.set()
 
@@ -146,20 +148,20 @@
             return StartVerdict.FENCED
         self.fence = token
         self.deadline_ms = max(self.deadline_ms, deadline_ms)
-        there = self.runs.get(order.task)
-        if there is not None and there.run == order.run:
+        present = self.runs.get(order.task)
+        if present is not None and present.run == order.run:
             return StartVerdict.STARTED
-        if there is not None or order.run <= self.dead_runs.get(order.task, 0):
+        if present is not None or order.run <= self.finished_runs.get(order.task, 0):
             return StartVerdict.OLD_RUN
         if deadline_ms <= self.clock_ms():
             return StartVerdict.TOO_LATE
-        if self.world.asks_tickets and order.executor_id != self.info.executor_id:
+        if self.simulation.requires_tickets and order.executor_id != self.info.executor_id:
             return StartVerdict.NO_TICKET
-        run = self.world.on_start(self, order)
+        run = self.simulation.on_start(self, order)
         self.runs[order.task] = run
-        self.world.check_room(self)
-        self.world.check_quota(run)
-        self.world.join_gang(run)
+        self.simulation.check_capacity(self)
+        self.simulation.check_quota(run)
+        self.simulation.join_gang(run)
         return StartVerdict.STARTED
 
     def stop(self, order: StopOrder, token: int) -> StartVerdict:
@@ -168,10 +170,10 @@
         if token < self.fence:
             return StartVerdict.FENCED
         self.fence = token
-        self.dead_runs[order.task] = max(self.dead_runs.get(order.task, 0), order.run)
-        there = self.runs.get(order.task)
-        if there is not None and there.run <= order.run and there.stops_at is None:
-            there.stops_at = trio.current_time() + STOP_S
+        self.finished_runs[order.task] = max(self.finished_runs.get(order.task, 0), order.run)
+        present = self.runs.get(order.task)
+        if present is not None and present.run <= order.run and present.stops_at is None:
+            present.stops_at = trio.current_time() + STOP_S
         return StartVerdict.STARTED
 
     def hold(self, deadline_ms: float | None, noted: int, token: int) -> StartVerdict:
@@ -184,7 +186,7 @@
             self.deadline_ms = max(self.deadline_ms, deadline_ms)
         for end in self.ended:
             if end.position <= noted:
-                self.world.on_noted(self, end)
+                self.simulation.on_acknowledged(self, end)
         self.ended = [end for end in self.ended if end.position > noted]
         return StartVerdict.STARTED
 
@@ -202,37 +204,37 @@
         )
 
     def _percent(self, run: Run, now: float) -> int:
-        if not self.world.shows_progress or run.ends_at is None:
+        if not self.simulation.shows_progress or run.ends_at is None:
             return min(99, int(now * 10) % 100)
         return int(100 * (now - run.started_at) / (run.ends_at - run.started_at))
 
 
-class ExecutorWorld(ABC):
+class ExecutorSimulation(ABC):
     """All executors, and what they did that they must never do."""
 
     def __init__(self) -> None:
         """Create a world without executors."""
         self.executors: dict[str, Executor] = {}
-        self.earlier: list[Executor] = []
+        self.earlier_incarnations: list[Executor] = []
         """Incarnations whose id a later one has."""
         self.violations: list[str] = []
         self.alone: list[tuple[TaskKey, int]] = []
-        self.noted_done: set[TaskKey] = set()
+        self.acknowledged_done: set[TaskKey] = set()
         self.done: set[TaskKey] = set()
         self.starts = 0
         self.starts_of: defaultdict[TaskKey, list[float]] = defaultdict(list)
-        self.noted_ends: defaultdict[TaskKey, list[tuple[float, RunEnd]]] = defaultdict(list)
+        self.acknowledged_ends: defaultdict[TaskKey, list[tuple[float, RunEnd]]] = defaultdict(list)
         self.ended_at: dict[tuple[TaskKey, int], float] = {}
         self.gangs: defaultdict[tuple[Any, ...], dict[TaskKey, Run]] = defaultdict(dict)
-        self.crashing: set[TaskKey] = set()
+        self.crashing_tasks: set[TaskKey] = set()
         """Tasks that crash each executor that starts them."""
         self.crashes_of: defaultdict[TaskKey, list[float]] = defaultdict(list)
         """When executors crashed by a task."""
-        self.asks_tickets = False
+        self.requires_tickets = False
         """Whether starts carry a ticket, which holds for one incarnation of an executor."""
         self.shows_progress = False
         """Whether listings tell how far runs are; else some figure that mostly rises."""
-        self.quotas = QuotaWatch()
+        self.quotas = QuotaChecker()
 
     def workspace_of(self, task: TaskKey) -> str:
         """Return the workspace that owns a task."""
@@ -264,7 +266,7 @@
 
     def crash_by_task(self, executor: Executor) -> None:
         """Crash an executor by the tasks there that do so."""
-        for task in executor.runs.keys() & self.crashing:
+        for task in executor.runs.keys() & self.crashing_tasks:
             self.crashes_of[task].append(trio.current_time())
             executor.runs[task].crashes_at = None
         self.crash(executor)
@@ -287,7 +289,7 @@
         for other in self.executors.values():
             if task in other.runs and other is not executor:
                 self.violations.append(f"{task} runs twice at {trio.current_time():.2f}")
-        if task in self.noted_done:
+        if task in self.acknowledged_done:
             self.violations.append(f"{task} starts after its end was noted")
         self.starts_of[task].append(trio.current_time())
         self._check_crashes(task)
@@ -306,16 +308,16 @@
             ends_at=None if step.is_gang else trio.current_time() + lasts_s,
             fails=fails,
             started_at=trio.current_time(),
-            crashes_at=trio.current_time() + CRASH_AFTER_S if task in self.crashing else None,
+            crashes_at=trio.current_time() + CRASH_AFTER_S if task in self.crashing_tasks else None,
             waits_until=trio.current_time() + GANG_WAIT_S if step.is_gang else None,
         )
 
     def _check_crashes(self, task: TaskKey) -> None:
         """Check that a task is not started on and on though executors crash under it."""
         crashes = self.crashes_of[task]
-        if len(crashes) < MOST_CRASHES:
+        if len(crashes) < CRASH_LIMIT:
             return
-        third = crashes[MOST_CRASHES - 1]
+        third = crashes[CRASH_LIMIT - 1]
         later = [at for at in self.starts_of[task] if at > third]
         if len(later) >= STARTS_AFTER_CRASHES:
             self.violations.append(f"{task} starts {len(later)} times after {third:.2f}")
@@ -337,7 +339,7 @@
                 # The others of a failed run are broken by the one that fails.
                 member.ends_at = ends_at if member.fails or not fails else None
 
-    def check_room(self, executor: Executor) -> None:
+    def check_capacity(self, executor: Executor) -> None:
         """Check that what runs on an executor fits it."""
         used = NOTHING
         for run in executor.runs.values():
@@ -358,9 +360,9 @@
             for run in executor.runs.values()
             if self.workspace_of(run.task) == name
         )
-        problem = self.quotas.problem(name, used=used, started=started.need)
-        if problem:
-            self.violations.append(f"{problem}, with {started.task} at {trio.current_time():.2f}")
+        violation = self.quotas.violation(name, used=used, started=started.need)
+        if violation:
+            self.violations.append(f"{violation}, with {started.task} at {trio.current_time():.2f}")
 
     def on_end(self, executor: Executor, run: Run, how: RunEnd) -> None:
         """Note an end; a gang breaks with any end but the common one."""
@@ -380,18 +382,18 @@
                 if executor.runs.get(member.task) is member:
                     executor.end(member, RunEnd.BROKEN)
 
-    def on_noted(self, executor: Executor, end: ListedEnd) -> None:
+    def on_acknowledged(self, executor: Executor, end: ListedEnd) -> None:
         """Take note of an end; one that a lapse of the lease came after is never taken note of."""
-        if executor.lapsed_at > self.ended_at[end.task, end.run]:
+        if executor.expired_at > self.ended_at[end.task, end.run]:
             return
-        self.noted_ends[end.task].append((self.ended_at[end.task, end.run], end.end))
+        self.acknowledged_ends[end.task].append((self.ended_at[end.task, end.run], end.end))
         if end.end is RunEnd.DONE and not self.step_of(end.task).is_gang:
-            self.noted_done.add(end.task)
+            self.acknowledged_done.add(end.task)
 
     def check_history(self) -> None:
         """Check starts against ends that were taken note of, also those noted after the start."""
         for task, starts in self.starts_of.items():
-            ends = self.noted_ends[task]
+            ends = self.acknowledged_ends[task]
             is_gang = self.step_of(task).is_gang
             for started in starts:
                 before = [how for at, how in ends if at < started]
--- a/src/galenastall/standin/cell/live_world.py
+++ b/src/galenastall/standin/cell/live_simulation.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from galenastall.coordination.cell.commands import StartOrder
-from galenastall.standin.cell.executors import Executor, ExecutorWorld, Run
+from galenastall.standin.cell.executors import Executor, ExecutorSimulation, Run
 from galenastall.state.cell.jobs import Step, TaskKey
 from galenastall.state.resources import Resources
 
@@ -39,7 +39,7 @@
     workspace: str = ""
 
 
-class LiveWorld(ExecutorWorld):
+class LiveSimulation(ExecutorSimulation):
     """Executors for processes that run in real time."""
 
     def __init__(self) -> None:
--- a/src/galenastall/standin/cell/quota_watch.py
+++ b/src/galenastall/standin/cell/quota_checker.py
@@ -11,11 +11,11 @@
 
 OVERAGE: Final = 0.1
 """Share of its limit by which a workspace may be over it, beside one task."""
-APPLY_S: Final = 3.0
+LIMIT_GRACE_S: Final = 3.0
 """For how long starts may go by an earlier limit."""
 
 
-class QuotaWatch:
+class QuotaChecker:
     """Knows the limits that may be in force, and judges each start by them."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
                 self._earlier[name].append((now, workspace))
         self._by_name = by_name
 
-    def problem(self, name: str, *, used: Resources, started: Resources) -> str:
+    def violation(self, name: str, *, used: Resources, started: Resources) -> str:
         """Return what is wrong if a start of `started` brings a workspace to `used`."""
         allowed = self._allowed(name)
         if not allowed or any(_allows(each, used - started) for each in allowed):
@@ -48,7 +48,7 @@
         current = self._by_name.get(name)
         if current is None:
             return []
-        since = trio.current_time() - APPLY_S
+        since = trio.current_time() - LIMIT_GRACE_S
         return [each for until, each in self._earlier[name] if until > since] + [current]
 
 
--- a/tests/cell/alone.py
+++ b/tests/cell/alone.py
@@ -4,7 +4,7 @@
 import trio.testing
 
 from cell.cluster import Cluster
-from cell.play import Scenario, play
+from cell.scenarios import Scenario, run_scenario
 from galenastall.bench.cell_load.play import fix_order_of_tasks
 
 
@@ -19,7 +19,7 @@
     """Play a scenario in a trio run of its own."""
 
     async def run() -> Cluster:
-        return await play(
+        return await run_scenario(
             scenario, seed=seed, hosts=hosts, executors=executors, keeps_ids=keeps_ids
         )
 
--- a/tests/cell/cluster.py
+++ b/tests/cell/cluster.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from cell.world import HostView, MemoryLink, World
+from cell.simulation import HostView, MemoryLink, Simulation
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.node.cell.cell_host import CellHost, CellHostSettings, CellPorts
 from galenastall.protocol.cell.messages import SubmitVerdict
@@ -33,8 +33,10 @@
 class Cluster:
     """Some hosts that are killed, cut off and started again."""
 
-    def __init__(self, *, world: World, rng: Random, nursery: trio.Nursery, hosts: int = 3) -> None:
-        self.world = world
+    def __init__(
+        self, *, simulation: Simulation, rng: Random, nursery: trio.Nursery, hosts: int = 3
+    ) -> None:
+        self.simulation = simulation
         self.rng = rng
         self.nursery = nursery
         self.live: dict[str, LiveHost] = {}
@@ -57,7 +59,7 @@
 
     async def start(self, name: str) -> None:
         """Start a host's process."""
-        view = HostView(world=self.world, host_id=name)
+        view = HostView(simulation=self.simulation, host_id=name)
         clock = TrioClock(wall_at_start=1_000.0 + trio.current_time())
         recorder = Recorder(process=name, clock=clock, ring=TimelineRing(capacity=20_000))
         self.all_recorders.append(recorder)
@@ -77,7 +79,7 @@
                 executors=view,
                 advisor=None,
             ),
-            link=MemoryLink(world=self.world, host_id=name),
+            link=MemoryLink(simulation=self.simulation, host_id=name),
             timings=TIMINGS,
             clock=clock,
             recorder=recorder,
@@ -95,16 +97,16 @@
         """Kill a host's process."""
         live = self.live.pop(name, None)
         if live is not None:
-            self.world.links.pop(name, None)
+            self.simulation.links.pop(name, None)
             live.scope.cancel()
 
     @property
     def leader(self) -> str | None:
         """The host that leads with the highest token."""
         terms = [
-            (live.host.standing.term.token, name)
+            (live.host.leadership.term.token, name)
             for name, live in self.live.items()
-            if live.host.standing.term is not None
+            if live.host.leadership.term is not None
         ]
         return max(terms)[1] if terms else None
 
@@ -119,7 +121,7 @@
         with trio.fail_after(timeout_s):
             while True:
                 name = self.leader
-                term = self.live[name].host.standing.term if name else None
+                term = self.live[name].host.leadership.term if name else None
                 if name is not None and term is not None and term.ready.is_set():
                     return name
                 await trio.sleep(0.02)
@@ -130,7 +132,7 @@
 
     async def submit(self, job: CellJob, tries: int = 3) -> bool:
         """Hand a job in as a caller does, with retries at any host."""
-        self.world.jobs[job.job_id] = job
+        self.simulation.jobs[job.job_id] = job
         was_rejected = True
         for _ in range(tries):
             host = self.any_host()
@@ -140,7 +142,7 @@
             if not self._is_admitted(host, job):
                 await trio.sleep(0.5)
                 continue
-            submitted = await host.desk.submit(
+            submitted = await host.caller_handler.submit(
                 job, patience_s=3.0, config_version=host.config.version
             )
             if submitted.verdict is SubmitVerdict.ACCEPTED:
@@ -159,7 +161,7 @@
         return job.workspace in {NO_WORKSPACE, *names}
 
     def _owner_of(self, job_id: str) -> str:
-        job = self.world.jobs.get(job_id)
+        job = self.simulation.jobs.get(job_id)
         return NO_WORKSPACE if job is None else job.workspace
 
     async def cancel(self, job_id: str) -> bool:
@@ -168,7 +170,7 @@
             return False
         self.cancel_asked.add(job_id)
         workspace = self._owner_of(job_id)
-        answer = await host.desk.cancel(job_id, patience_s=3.0, workspace=workspace)
+        answer = await host.caller_handler.cancel(job_id, patience_s=3.0, workspace=workspace)
         if answer.value_or(None) is JobPhase.CANCELLED:
             self.cancelled.add(job_id)
             return True
@@ -180,7 +182,9 @@
             host = self.any_host()
             if host is not None:
                 workspace = self._owner_of(job_id)
-                answer = await host.desk.phase(job_id, patience_s=3.0, workspace=workspace)
+                answer = await host.caller_handler.phase(
+                    job_id, patience_s=3.0, workspace=workspace
+                )
                 if answer.value_or("no answer") != "no answer":
                     return answer.unwrap()
             await trio.sleep(0.2)
@@ -198,23 +202,26 @@
         """A job whose submissions were all refused has never run."""
         started = {
             task.job
-            for executor in (*self.world.executors.values(), *self.world.earlier)
-            for task in executor.dead_runs.keys() | executor.runs.keys()
+            for executor in (
+                *self.simulation.executors.values(),
+                *self.simulation.earlier_incarnations,
+            )
+            for task in executor.finished_runs.keys() | executor.runs.keys()
         }
         for job_id in self.refused & started:
-            self.world.violations.append(f"{job_id} was refused and ran")
+            self.simulation.violations.append(f"{job_id} was refused and ran")
 
 
-def make_job(world: World, rng: Random, number: int) -> CellJob:
+def make_job(simulation: Simulation, rng: Random, number: int) -> CellJob:
     """Return a job of one or two steps, some of them gangs."""
     steps = [_make_step(rng, ())]
     if rng.random() < 0.4:
         steps.append(_make_step(rng, (0,)))
-    names = [workspace.name for workspace in world.config.workspaces]
+    names = [workspace.name for workspace in simulation.config.workspaces]
     return CellJob(
         job_id=f"{number:016x}",
         workspace=rng.choice(names) if names else NO_WORKSPACE,
-        queue=world.queue,
+        queue=simulation.queue,
         payload=f"payload {number}",
         steps=tuple(steps),
         submitted_at=1_000.0 + trio.current_time(),
--- a/tests/cell/trouble.py
+++ b/tests/cell/fault_injection.py
@@ -6,20 +6,20 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.world import World
+from cell.simulation import Simulation
 from galenastall.state.cell.executor_ids import executor_name
 from galenastall.state.cell.workspaces import Workspace
 from galenastall.state.resources import Resources
 
-Trouble = Callable[[Cluster, World, Random], Awaitable[bool]]
+FaultInjector = Callable[[Cluster, Simulation, Random], Awaitable[bool]]
 """Begins some trouble; returns whether it has ended already."""
 
-TROUBLES: list[Trouble] = []
+FAULT_INJECTORS: list[FaultInjector] = []
 
 
-def kind(begin: Trouble) -> Trouble:
+def fault_injector(begin: FaultInjector) -> FaultInjector:
     """File a kind of trouble; the order of the file is the order of the draws."""
-    TROUBLES.append(begin)
+    FAULT_INJECTORS.append(begin)
     return begin
 
 
@@ -30,82 +30,86 @@
     return True
 
 
-@kind
-async def kill_a_host(cluster: Cluster, world: World, rng: Random) -> bool:
+@fault_injector
+async def kill_a_host(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
     names = sorted(cluster.live)
     return await _restart(cluster, rng.choice(names), rng) if names else False
 
 
-@kind
-async def kill_the_leader(cluster: Cluster, world: World, rng: Random) -> bool:
+@fault_injector
+async def kill_the_leader(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
     name = cluster.leader
     return await _restart(cluster, name, rng) if name else False
 
 
-@kind
-async def store_refuses_a_host(cluster: Cluster, world: World, rng: Random) -> bool:
+@fault_injector
+async def store_refuses_a_host(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
     leader = cluster.leader
-    world.faults.store_refuses.add(leader if leader and rng.random() < 0.7 else cluster.names[0])
+    simulation.faults.store_refuses.add(
+        leader if leader and rng.random() < 0.7 else cluster.names[0]
+    )
     return False
 
 
-@kind
-async def cut_a_host_off(cluster: Cluster, world: World, rng: Random) -> bool:
+@fault_injector
+async def cut_a_host_off(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
     name = rng.choice(cluster.names)
     for other in (*cluster.names, "store"):
-        world.faults.cut |= {(name, other), (other, name)} - {(name, name)}
+        simulation.faults.cut |= {(name, other), (other, name)} - {(name, name)}
     return False
 
 
-@kind
-async def cut_an_executor_off(cluster: Cluster, world: World, rng: Random) -> bool:
-    name = rng.choice(sorted(world.executors))
+@fault_injector
+async def cut_an_executor_off(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
+    name = rng.choice(sorted(simulation.executors))
     for host in cluster.names:
         if rng.random() < 0.8:
-            world.faults.cut.add((host, name))
+            simulation.faults.cut.add((host, name))
     return False
 
 
-@kind
-async def lose_answers(cluster: Cluster, world: World, rng: Random) -> bool:
-    world.faults.lost = rng.choice([0.02, 0.2])
+@fault_injector
+async def lose_answers(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
+    simulation.faults.lost = rng.choice([0.02, 0.2])
     return False
 
 
-@kind
-async def carry_out_late(cluster: Cluster, world: World, rng: Random) -> bool:
-    world.faults.late = rng.choice([0.02, 0.1])
+@fault_injector
+async def carry_out_late(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
+    simulation.faults.late = rng.choice([0.02, 0.1])
     return False
 
 
-@kind
-async def store_is_down(cluster: Cluster, world: World, rng: Random) -> bool:
+@fault_injector
+async def store_is_down(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
     for host in cluster.names:
-        world.faults.cut.add((host, "store"))
+        simulation.faults.cut.add((host, "store"))
     return False
 
 
-@kind
-async def store_is_slow(cluster: Cluster, world: World, rng: Random) -> bool:
-    world.faults.slow_s = 0.25
+@fault_injector
+async def store_is_slow(cluster: Cluster, simulation: Simulation, rng: Random) -> bool:
+    simulation.faults.slow_s = 0.25
     return False
 
 
-async def trouble(cluster: Cluster, world: World, rng: Random, until: float) -> None:
+async def inject_faults(
+    cluster: Cluster, simulation: Simulation, rng: Random, until: float
+) -> None:
     """Bring about random trouble until then; some of it overlaps."""
     while trio.current_time() < until:
-        begin = TROUBLES[rng.randrange(len(TROUBLES))]
+        begin = FAULT_INJECTORS[rng.randrange(len(FAULT_INJECTORS))]
         lasts_s = rng.uniform(0.5, 6.0)
-        if await begin(cluster, world, rng):
+        if await begin(cluster, simulation, rng):
             continue
         await trio.sleep(lasts_s)
         if rng.random() < 0.8:
-            world.faults.clear()
+            simulation.faults.clear()
         await trio.sleep(rng.uniform(0.0, 3.0))
 
 
 async def restarts(
-    cluster: Cluster, world: World, rng: Random, until: float, *, is_late: bool
+    cluster: Cluster, simulation: Simulation, rng: Random, until: float, *, is_late: bool
 ) -> None:
     """Restart executors over and over, some of them where not all calls or answers pass.
 
@@ -113,65 +117,67 @@
     """
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(0.5, 3.0))
-        up = [e for e in world.executors.values() if e.is_up]
+        up = [e for e in simulation.executors.values() if e.is_up]
         victims = rng.sample(up, min(len(up), rng.randint(1, 3)))
         for victim in victims:
             name = executor_name(victim.info.executor_id)
-            _harm_path(cluster, world, rng, name, is_late=is_late)
+            _disturb_path(cluster, simulation, rng, name, is_late=is_late)
         await trio.sleep(rng.uniform(0.0, 1.0))
         for victim in victims:
-            world.crash(victim)
+            simulation.crash(victim)
         await trio.sleep(rng.uniform(0.1, 2.0))
         for victim in victims:
-            world.start_executor(victim.info.host)
+            simulation.start_executor(victim.info.host)
         if rng.random() < 0.5:
             await trio.sleep(rng.uniform(0.0, 8.0))
-        world.faults.clear()
+        simulation.faults.clear()
 
 
-def _harm_path(cluster: Cluster, world: World, rng: Random, name: str, *, is_late: bool) -> None:
+def _disturb_path(
+    cluster: Cluster, simulation: Simulation, rng: Random, name: str, *, is_late: bool
+) -> None:
     pairs = {(host, name) for host in cluster.names}
     match rng.randrange(4):
         case 0:
-            world.faults.cut |= pairs
+            simulation.faults.cut |= pairs
         case 1:
-            world.faults.answers_cut |= pairs
+            simulation.faults.answers_cut |= pairs
         case 2 if is_late:
-            world.faults.late, world.faults.late_s = 0.3, (0.5, 12.0)
+            simulation.faults.late, simulation.faults.late_s = 0.3, (0.5, 12.0)
 
 
-async def crashes(world: World, rng: Random, until: float) -> None:
+async def crashes(simulation: Simulation, rng: Random, until: float) -> None:
     """Crash executors now and then; each is born again at its host."""
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(4.0, 12.0))
-        up = [e for e in world.executors.values() if e.is_up]
+        up = [e for e in simulation.executors.values() if e.is_up]
         if len(up) < 3:
             continue
         victim = rng.choice(up)
-        world.crash(victim)
+        simulation.crash(victim)
         await trio.sleep(rng.uniform(0.5, 3.0))
-        world.start_executor(victim.info.host)
+        simulation.start_executor(victim.info.host)
         await trio.sleep(rng.uniform(0.0, 3.0))
-        world.delist(victim)
+        simulation.delist(victim)
 
 
 WORKSPACES = ("large", "small", "tiny")
-CORES_AT_WORST = 12_000
+MAX_STEP_CORES_MILLI = 12_000
 """What the widest step needs."""
 
 
 def draw_workspaces(rng: Random) -> list[Workspace]:
     """Return workspaces of which some have limits below what their widest gangs need."""
-    cores = [rng.choice([0, 2_000, CORES_AT_WORST, 20_000]) for _ in WORKSPACES]
+    cores = [rng.choice([0, 2_000, MAX_STEP_CORES_MILLI, 20_000]) for _ in WORKSPACES]
     return [
         Workspace(name=name, limit=Resources(cores_milli=limit))
         for name, limit in zip(WORKSPACES, cores, strict=True)
     ]
 
 
-async def quota_changes(world: World, rng: Random, until: float) -> None:
+async def quota_changes(simulation: Simulation, rng: Random, until: float) -> None:
     """Change the limits of workspaces now and then, at times far below what they use."""
     while trio.current_time() < until:
-        world.set_workspaces(*draw_workspaces(rng))
+        simulation.set_workspaces(*draw_workspaces(rng))
         await trio.sleep(rng.uniform(2.0, 8.0))
-    world.set_workspaces(*(Workspace(name=name) for name in WORKSPACES))
+    simulation.set_workspaces(*(Workspace(name=name) for name in WORKSPACES))
--- a/tests/cell/play.py
+++ b/tests/cell/scenarios.py
@@ -6,14 +6,14 @@
 import trio
 
 from cell.cluster import Cluster, make_job
-from cell.trouble import crashes, draw_workspaces, quota_changes, restarts, trouble
-from cell.world import World
+from cell.fault_injection import crashes, draw_workspaces, inject_faults, quota_changes, restarts
+from cell.simulation import Simulation
 from galenastall.state.cell.phases import JobPhase
 
-Scenario = Callable[[Cluster, World, Random], Awaitable[None]]
+Scenario = Callable[[Cluster, Simulation, Random], Awaitable[None]]
 
 
-async def play(
+async def run_scenario(
     scenario: Scenario,
     *,
     seed: int,
@@ -30,25 +30,31 @@
     """
     rng = Random(seed)
     async with trio.open_nursery() as nursery:
-        world = World(rng=rng, nursery=nursery, executors=executors, keeps_ids=keeps_ids)
-        cluster = Cluster(world=world, rng=rng, nursery=nursery, hosts=hosts)
+        simulation = Simulation(rng=rng, nursery=nursery, executors=executors, keeps_ids=keeps_ids)
+        cluster = Cluster(simulation=simulation, rng=rng, nursery=nursery, hosts=hosts)
         cluster.weights.update(zip(cluster.names, weights, strict=False))
         cluster.claim_delays_s.update(zip(cluster.names, claim_delays_s, strict=False))
         await cluster.start_all()
-        await scenario(cluster, world, rng)
+        await scenario(cluster, simulation, rng)
         cluster.check_refusals()
-        world.check_history()
+        simulation.check_history()
         nursery.cancel_scope.cancel()
-    assert not world.violations, world.violations[:3]
+    assert not simulation.violations, simulation.violations[:3]
     return cluster
 
 
-async def hand_in(
-    cluster: Cluster, world: World, rng: Random, jobs: int, every_s: float, *, first: int = 0
+async def submit_jobs(
+    cluster: Cluster,
+    simulation: Simulation,
+    rng: Random,
+    jobs: int,
+    every_s: float,
+    *,
+    first: int = 0,
 ) -> None:
     """Hand in jobs with the numbers from `first` on."""
     for number in range(first, first + jobs):
-        cluster.nursery.start_soon(cluster.submit, make_job(world, rng, number))
+        cluster.nursery.start_soon(cluster.submit, make_job(simulation, rng, number))
         await trio.sleep(rng.uniform(0.0, 2 * every_s))
 
 
@@ -71,48 +77,50 @@
     assert phase in wanted, f"{job_id} is {phase}"
 
 
-async def random_trouble(cluster: Cluster, world: World, rng: Random) -> None:
+async def random_faults(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
     """Hand jobs in through a minute of trouble, then see all of them ended."""
     await cluster.wait_for_leader()
     until = trio.current_time() + 40.0
-    cluster.nursery.start_soon(crashes, world, rng, until)
-    cluster.nursery.start_soon(hand_in, cluster, world, rng, 80, 0.4)
+    cluster.nursery.start_soon(crashes, simulation, rng, until)
+    cluster.nursery.start_soon(submit_jobs, cluster, simulation, rng, 80, 0.4)
     cluster.nursery.start_soon(cancels, cluster, rng, until)
-    await trouble(cluster, world, rng, until)
-    world.faults.clear()
+    await inject_faults(cluster, simulation, rng, until)
+    simulation.faults.clear()
     for name in cluster.names:
         if name not in cluster.live:
             await cluster.start(name)
     await trio.sleep(20.0)
     await check_all_end(cluster)
-    assert world.starts > 50
+    assert simulation.starts > 50
 
 
-async def changed_quotas_in_trouble(cluster: Cluster, world: World, rng: Random) -> None:
+async def changing_quotas_with_faults(
+    cluster: Cluster, simulation: Simulation, rng: Random
+) -> None:
     """Hand in jobs of some workspaces through random trouble while their limits change."""
-    world.set_workspaces(*draw_workspaces(rng))
-    cluster.nursery.start_soon(quota_changes, world, rng, trio.current_time() + 40.0)
-    await random_trouble(cluster, world, rng)
+    simulation.set_workspaces(*draw_workspaces(rng))
+    cluster.nursery.start_soon(quota_changes, simulation, rng, trio.current_time() + 40.0)
+    await random_faults(cluster, simulation, rng)
 
 
-async def restarts_in_trouble(
+async def restarts_with_faults(
     cluster: Cluster,
-    world: World,
+    simulation: Simulation,
     rng: Random,
     *,
-    asks_tickets: bool = False,
+    requires_tickets: bool = False,
     is_late: bool = False,
 ) -> None:
     """Hand jobs in while executors restart again and again, then see all of them ended."""
-    world.asks_tickets = asks_tickets
-    world.run_lasts_s = (0.1, 2.0)
+    simulation.requires_tickets = requires_tickets
+    simulation.run_lasts_s = (0.1, 2.0)
     await cluster.wait_for_leader()
     until = trio.current_time() + 40.0
-    cluster.nursery.start_soon(hand_in, cluster, world, rng, 80, 0.4)
-    await restarts(cluster, world, rng, until, is_late=is_late)
+    cluster.nursery.start_soon(submit_jobs, cluster, simulation, rng, 80, 0.4)
+    await restarts(cluster, simulation, rng, until, is_late=is_late)
     await trio.sleep(30.0)
     await check_all_end(cluster)
-    assert world.starts > 50
+    assert simulation.starts > 50
 
 
 async def cancels(cluster: Cluster, rng: Random, until: float) -> None:
--- a/tests/cell/world.py
+++ b/tests/cell/simulation.py
@@ -12,15 +12,15 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cell.world_hosts import CAPACITY, Hosts
-from cell.world_store import Store
+from cell.simulation_hosts import CAPACITY, Hosts
+from cell.simulation_store import Store
 from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
 from galenastall.protocol.cell.config import CellConfig, QueueRoute
 from galenastall.protocol.cell.executor_port import ListingAnswer, OrderAnswer, StartVerdict
 from galenastall.protocol.cell.ports import LeaderRecord, StoreView
-from galenastall.standin.cell.executors import Executor, ExecutorWorld, Run
+from galenastall.standin.cell.executors import Executor, ExecutorSimulation, Run
 from galenastall.state.cell.executor_ids import executor_name, make_executor_id
 from galenastall.state.cell.hosts import MaintenanceWave, PoolHost
 from galenastall.state.cell.jobs import CellJob, Queue, Step, TaskKey
@@ -60,7 +60,7 @@
         self.lost = self.late = self.slow_s = 0.0
 
 
-class World(ExecutorWorld):
+class Simulation(ExecutorSimulation):
     """Everything outside the hosts, and the watch over what must hold."""
 
     def __init__(
@@ -73,7 +73,7 @@
         """Whether an executor that starts again on a host has the id that it had there."""
         self.faults = Faults()
         self.store = Store()
-        self.hosts = Hosts(world=self)
+        self.hosts = Hosts(simulation=self)
         self.links: dict[str, MemoryLink] = {}
         self.listed: dict[str, ExecutorInfo] = {}
         self.jobs: dict[str, CellJob] = {}
@@ -83,7 +83,7 @@
         )
         self.fail_share = 0.05
         self.run_lasts_s = (0.2, 2.5)
-        self.away_s = (1.0, 3.0)
+        self.crash_downtime_s = (1.0, 3.0)
         """How long a host that a task has crashed stays away."""
         self._started = 0
         self.renewals = 0
@@ -108,9 +108,9 @@
             capacity=CAPACITY,
             labels=("a",),
         )
-        executor = Executor(world=self, info=info, rate=self.rng.choice([1.0, 0.98, 0.99]))
+        executor = Executor(simulation=self, info=info, rate=self.rng.choice([1.0, 0.98, 0.99]))
         if name in self.executors:
-            self.earlier.append(self.executors[name])
+            self.earlier_incarnations.append(self.executors[name])
         self.executors[name] = executor
         self.listed[name] = executor.info
         return executor
@@ -132,7 +132,7 @@
 
     async def _come_back(self, executor: Executor) -> None:
         self.nursery.start_soon(self._delist, executor)
-        await trio.sleep(self.rng.uniform(*self.away_s))
+        await trio.sleep(self.rng.uniform(*self.crash_downtime_s))
         self.start_executor(executor.info.host)
 
     async def _delist(self, executor: Executor) -> None:
@@ -173,32 +173,34 @@
 class HostView:
     """The platform's ports as one host reaches them."""
 
-    def __init__(self, *, world: World, host_id: str) -> None:
-        self.world = world
+    def __init__(self, *, simulation: Simulation, host_id: str) -> None:
+        self.simulation = simulation
         self.host_id = host_id
 
     async def _call(self, callee: str, timeout_s: float, act: Any) -> Result[Any, StepError]:
         """Carry a call out, or what the faults make of it."""
-        world, faults = self.world, self.world.faults
-        await trio.sleep(world.rng.uniform(0.001, 0.004))
+        simulation, faults = self.simulation, self.simulation.faults
+        await trio.sleep(simulation.rng.uniform(0.001, 0.004))
         if callee == "store" and self.host_id in faults.store_refuses:
             return self._failure(callee, Reason.UNAVAILABLE)
         if (self.host_id, callee) in faults.cut:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
-        if world.rng.random() < faults.late:
-            world.nursery.start_soon(self._act_late, act, world.rng.uniform(*faults.late_s))
+        if simulation.rng.random() < faults.late:
+            simulation.nursery.start_soon(
+                self._act_late, act, simulation.rng.uniform(*faults.late_s)
+            )
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
         found = act()
         if (self.host_id, callee) in faults.answers_cut:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
-        if world.rng.random() < faults.lost:
+        if simulation.rng.random() < faults.lost:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
         slow_s = faults.slow_s if callee == "store" else 0.0
-        await trio.sleep(world.rng.uniform(0.001, 0.004) + slow_s)
+        await trio.sleep(simulation.rng.uniform(0.001, 0.004) + slow_s)
         return Success(found)
 
     async def _act_late(self, act: Any, after_s: float) -> None:
@@ -210,25 +212,25 @@
 
     @property
     def append_bytes(self) -> int:
-        return self.world.store.append_bytes
+        return self.simulation.store.append_bytes
 
     async def claim(
         self, *, host_id: str, address: str, weight: float, tip: int
     ) -> Result[int, StepError]:
-        store = self.world.store
+        store = self.simulation.store
         answer = await self._call("store", 1.0, lambda: store.claim(host_id, address, weight, tip))
         if isinstance(answer, Success) and answer.unwrap() is None:
             return self._failure("store", Reason.CONFLICT)
         return answer
 
     async def fence(self, *, token: int) -> Result[None, StepError]:
-        answer = await self._call("store", 1.0, lambda: self.world.store.fence(token))
+        answer = await self._call("store", 1.0, lambda: self.simulation.store.fence(token))
         return self._checked(answer)
 
     async def append(
         self, *, token: int, sequence: int, values_by_key: dict[str, bytes], timeout_s: float
     ) -> Result[None, StepError]:
-        store = self.world.store
+        store = self.simulation.store
         size = sum(len(key) + len(value) for key, value in values_by_key.items())
         store.largest_append = max(store.largest_append, size)
         if size > store.append_bytes:
@@ -247,17 +249,17 @@
         return Success(None)
 
     async def load(self) -> Result[dict[str, bytes], StepError]:
-        answer = await self._call("store", 1.0, lambda: dict(self.world.store.values))
-        rate = self.world.faults.load_bytes_per_s.get(self.host_id)
+        answer = await self._call("store", 1.0, lambda: dict(self.simulation.store.values))
+        rate = self.simulation.faults.load_bytes_per_s.get(self.host_id)
         if rate is not None:
-            await trio.sleep(self.world.store.size / rate)
+            await trio.sleep(self.simulation.store.size / rate)
         return answer
 
     async def look(self) -> Result[StoreView, StepError]:
         return await self._call("store", 1.0, self._view)
 
     def _view(self) -> StoreView:
-        store = self.world.store
+        store = self.simulation.store
         leader = None
         if store.claims:
             host_id, address = store.claims[-1]
@@ -270,25 +272,25 @@
         return StoreView(leader=leader, tip=store.tip)
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
-        return await self._call("store", 1.0, lambda: tuple(self.world.listed.values()))
+        return await self._call("store", 1.0, lambda: tuple(self.simulation.listed.values()))
 
     async def wait(self) -> Result[CellConfig | None, StepError]:
         await trio.sleep(0.5)
-        return await self._call("store", 1.0, lambda: self.world.config)
+        return await self._call("store", 1.0, lambda: self.simulation.config)
 
     async def newest(self) -> Result[CellConfig | None, StepError]:
-        return await self._call("store", 1.0, lambda: self.world.config)
+        return await self._call("store", 1.0, lambda: self.simulation.config)
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        return tuple(self.world.hosts.waves)
+        return tuple(self.simulation.hosts.waves)
 
     async def list_hosts(self) -> Result[tuple[PoolHost, ...], StepError]:
-        return await self._call("hosts", 1.0, self.world.hosts.list_all)
+        return await self._call("hosts", 1.0, self.simulation.hosts.list_all)
 
     async def order(
         self, order: HostOrder, *, holder: str, token: int
     ) -> Result[HostOutcome, StepError]:
-        answer = await self._call("hosts", 1.0, lambda: self.world.hosts.order(order, token))
+        answer = await self._call("hosts", 1.0, lambda: self.simulation.hosts.order(order, token))
         if isinstance(answer, Success) and answer.unwrap() is None:
             return self._failure("hosts", Reason.CONFLICT)
         return answer
@@ -296,15 +298,15 @@
     async def tell_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
-        hosts = self.world.hosts
+        hosts = self.simulation.hosts
         answer = await self._call(
-            "store", 1.0, lambda: hosts.tell(number, is_completed, token, sequence)
+            "store", 1.0, lambda: hosts.report_wave(number, is_completed, token, sequence)
         )
         return self._checked(answer)
 
     def _executor(self, executor_id: str) -> Executor | None:
         """Return whichever incarnation of an executor is up: calls name no other."""
-        executor = self.world.executors.get(executor_name(executor_id))
+        executor = self.simulation.executors.get(executor_name(executor_id))
         return executor if executor is not None and executor.is_up else None
 
     async def start(
@@ -332,7 +334,7 @@
             return self._failure(executor_id, Reason.TIMEOUT)
 
         def carry_out() -> OrderAnswer | None:
-            self.world.sweep()
+            self.simulation.sweep()
             executor = self._executor(executor_id)
             if executor is None:
                 return None
@@ -354,7 +356,7 @@
         token: int,
         timeout_s: float,
     ) -> Result[ListingAnswer, StepError]:
-        self.world.renewals += 1
+        self.simulation.renewals += 1
         answer = await self._order(
             executor_id, timeout_s, lambda e: e.hold(deadline_ms, noted, token)
         )
@@ -372,11 +374,11 @@
             with trio.move_on_after(min(0.05, until - trio.current_time())):
                 await executor.changed.wait()
         callee = executor_name(executor_id)
-        if not executor.is_up or (self.host_id, callee) in self.world.faults.cut:
+        if not executor.is_up or (self.host_id, callee) in self.simulation.faults.cut:
             await trio.sleep(0.5)
             return self._failure(executor_id, Reason.TIMEOUT)
         listing = executor.listing()
-        await trio.sleep(self.world.rng.uniform(0.001, 0.003))
+        await trio.sleep(self.simulation.rng.uniform(0.001, 0.003))
         return Success(
             ListingAnswer(verdict=verdict, executor_id=executor.info.executor_id, listing=listing)
         )
@@ -385,8 +387,8 @@
 class MemoryLink:
     """A peer link in memory; messages pass unless the pair is cut."""
 
-    def __init__(self, *, world: World, host_id: str) -> None:
-        self.world = world
+    def __init__(self, *, simulation: Simulation, host_id: str) -> None:
+        self.simulation = simulation
         self._host_id = HostId(host_id)
         self._handlers: dict[type[Any], Any] = {}
         self._nursery: trio.Nursery | None = None
@@ -405,14 +407,14 @@
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self.world.links[self._host_id] = self
+            self.simulation.links[self._host_id] = self
             task_status.started()
             await trio.sleep_forever()
 
     def _reach(self, peer: str) -> "MemoryLink | None":
-        is_cut = (self._host_id, peer) in self.world.faults.cut
+        is_cut = (self._host_id, peer) in self.simulation.faults.cut
         known = peer == self._host_id or peer in self._peers
-        return self.world.links.get(peer) if known and not is_cut else None
+        return self.simulation.links.get(peer) if known and not is_cut else None
 
     async def call(self, *, peer: HostId, message: object, timeout_s: float) -> Any:
         target = self._reach(peer)
@@ -423,8 +425,8 @@
         with trio.move_on_after(timeout_s):
             await trio.sleep(0.001)
             answer = await target._handlers[type(message)](self._host_id, message)
-            is_answered = (peer, self._host_id) not in self.world.faults.cut
-            if is_answered and self.world.links.get(peer) is target:
+            is_answered = (peer, self._host_id) not in self.simulation.faults.cut
+            if is_answered and self.simulation.links.get(peer) is target:
                 return Failure(answer) if isinstance(answer, StepError) else Success(answer)
             await trio.sleep_forever()
         return Failure(StepError(step="world.peer", peer=peer, reason=Reason.TIMEOUT))
--- a/tests/cell/world_hosts.py
+++ b/tests/cell/simulation_hosts.py
@@ -10,7 +10,7 @@
 from galenastall.state.resources import Resources
 
 if TYPE_CHECKING:
-    from cell.world import World
+    from cell.simulation import Simulation
 
 MAINTENANCE_S = 2.0
 CAPACITY = Resources(cores_milli=8000, memory_mb=32000)
@@ -19,8 +19,8 @@
 class Hosts:
     """The platform's hosts: which are down for maintenance, and what was told of waves."""
 
-    def __init__(self, *, world: "World") -> None:
-        self.world = world
+    def __init__(self, *, simulation: "Simulation") -> None:
+        self.simulation = simulation
         self.waves: list[MaintenanceWave] = []
         self.begun: defaultdict[int, set[str]] = defaultdict(set)
         self.down: dict[str, int] = {}
@@ -29,13 +29,13 @@
         self.pools: dict[str, str] = {}
         """Pools of hosts that are not in the service, or were not at first."""
         self.fences: defaultdict[str, int] = defaultdict(int)
-        self.told: dict[int, bool] = {}
-        self.told_epoch = 0
-        self.told_sequence = -1
+        self.reported: dict[int, bool] = {}
+        self.report_epoch = 0
+        self.report_sequence = -1
 
     def list_all(self) -> tuple[PoolHost, ...]:
-        up_by_host = {e.info.host: e for e in self.world.executors.values() if e.is_up}
-        all_hosts = {e.info.host for e in self.world.executors.values()} | self.pools.keys()
+        up_by_host = {e.info.host: e for e in self.simulation.executors.values() if e.is_up}
+        all_hosts = {e.info.host for e in self.simulation.executors.values()} | self.pools.keys()
         return tuple(
             PoolHost(
                 host=host,
@@ -57,7 +57,7 @@
         return HostState.UP if is_alive or is_off else HostState.DOWN
 
     def _is_up(self, host: str) -> bool:
-        is_alive = any(e.info.host == host and e.is_up for e in self.world.executors.values())
+        is_alive = any(e.info.host == host and e.is_up for e in self.simulation.executors.values())
         return self._state_of(host, is_alive=is_alive) is HostState.UP
 
     def order(self, order: HostOrder, token: int) -> HostOutcome | None:
@@ -77,11 +77,13 @@
         down = sum(1 for number in self.down.values() if number == order.wave)
         if down >= wave.most_down:
             at = f"{trio.current_time():.2f}"
-            self.world.violations.append(f"{order.host} goes down at {at} beside {down} others")
+            self.simulation.violations.append(
+                f"{order.host} goes down at {at} beside {down} others"
+            )
         self.begun[order.wave].add(order.host)
         self.down[order.host] = order.wave
         self._end(order.host)
-        self.world.nursery.start_soon(self._come_back, order.host)
+        self.simulation.nursery.start_soon(self._come_back, order.host)
         return HostOutcome.DONE
 
     def _move(self, host: str, pool: str) -> HostOutcome:
@@ -92,35 +94,37 @@
         self._end(host)
         self.pools[host] = pool
         self.moving.add(host)
-        self.world.nursery.start_soon(self._arrive, host)
+        self.simulation.nursery.start_soon(self._finish_move, host)
         return HostOutcome.DONE
 
-    async def _arrive(self, host: str) -> None:
+    async def _finish_move(self, host: str) -> None:
         await trio.sleep(1.5)
         self.moving.discard(host)
         if self.pools[host] == "service":
-            self.world.start_executor(host)
+            self.simulation.start_executor(host)
 
     def _end(self, host: str) -> None:
-        for executor in self.world.executors.values():
+        for executor in self.simulation.executors.values():
             if executor.info.host == host and executor.is_up:
-                self.world.crash(executor)
-                self.world.delist(executor)
+                self.simulation.crash(executor)
+                self.simulation.delist(executor)
 
     async def _come_back(self, host: str) -> None:
         await trio.sleep(MAINTENANCE_S)
         del self.down[host]
-        self.world.start_executor(host)
+        self.simulation.start_executor(host)
 
-    def tell(self, number: int, is_completed: bool, token: int, sequence: int) -> bool:
-        if token < self.told_epoch:
+    def report_wave(self, number: int, is_completed: bool, token: int, sequence: int) -> bool:
+        if token < self.report_epoch:
             return False
-        if token > self.told_epoch:
-            self.told_epoch, self.told_sequence = token, -1
-        if sequence > self.told_sequence:
-            self.told_sequence = sequence
-            self.told[number] = is_completed
+        if token > self.report_epoch:
+            self.report_epoch, self.report_sequence = token, -1
+        if sequence > self.report_sequence:
+            self.report_sequence = sequence
+            self.reported[number] = is_completed
             wave = next(wave for wave in self.waves if wave.number == number)
             if is_completed and not set(wave.hosts) <= self.begun[number]:
-                self.world.violations.append(f"wave {number} is told to be completed and is not")
+                self.simulation.violations.append(
+                    f"wave {number} is told to be completed and is not"
+                )
         return True
--- a/tests/cell/weakenings.py
+++ b/tests/cell/weakenings.py
@@ -13,7 +13,7 @@
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.node.cell.commit_loop import CommitLoop
-from galenastall.node.cell.term_context import TOKENS_IN_A_TERM, TermContext
+from galenastall.node.cell.term_context import TOKENS_PER_TERM, TermContext
 from galenastall.state.cell.phases import RunEnd
 
 Weakening = Callable[[], Any]
@@ -47,7 +47,7 @@
         values = batch.values_by_key or {"confirm": b""}
         self._send_early(starts)  # type: ignore[attr-defined]
         await self._append(values)
-        context.tell_committed()
+        context.notify_committed()
         return []
 
     async def run(self: CommitLoop, send: Callable[[list[StartOrder]], None]) -> None:
@@ -115,7 +115,7 @@
     """Show a restarted executor the token that it was shown before."""
 
     def raise_token(self: TermContext, executor_id: str) -> int:
-        return self.token * TOKENS_IN_A_TERM
+        return self.token * TOKENS_PER_TERM
 
     with replaced(TermContext, "raise_token", raise_token):
         yield
--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -17,10 +17,10 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import hand_in, play, random_trouble
 from cell.rig import JOB, Rig, make_info, make_job, make_step
-from cell.world import World
-from cell.world_hosts import CAPACITY
+from cell.scenarios import random_faults, run_scenario, submit_jobs
+from cell.simulation import Simulation
+from cell.simulation_hosts import CAPACITY
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.coordination.cell.orders import StartOutcome
@@ -151,32 +151,32 @@
     ) -> None:
         """No start brings an executor over what it has had for 3 s."""
 
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
-            await random_trouble(cluster, world, rng)
+            await random_faults(cluster, world, rng)
 
-        await play(scenario, seed=seed, executors=6)
+        await run_scenario(scenario, seed=seed, executors=6)
 
     async def test_a_slow_store(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             world.faults.slow_s = 0.9
             cluster.nursery.start_soon(change_capacities, world, Random(1))
-            await hand_in(cluster, world, rng, 60, 0.2)
+            await submit_jobs(cluster, world, rng, 60, 0.2)
             await trio.sleep(30.0)
 
-        await play(scenario, seed=726, executors=4)
+        await run_scenario(scenario, seed=726, executors=4)
 
     async def test_capacities_that_shrink_while_the_store_is_away(
         self, autojump_clock: object
     ) -> None:
         """Work waits for room; after the outage an append goes through before a list does."""
 
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.run_lasts_s = (4.0, 6.0)
             world.fail_share = 0.0
             await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 30, 0.05)
+            await submit_jobs(cluster, world, rng, 30, 0.05)
             world.faults.cut |= {(host, "store") for host in cluster.names}
             for executor in world.executors.values():
                 world.resize(executor, Resources(cores_milli=2000, memory_mb=8000))
@@ -185,7 +185,7 @@
             await trio.sleep(10.0)
             assert world.starts > 30
 
-        await play(scenario, seed=727, executors=4)
+        await run_scenario(scenario, seed=727, executors=4)
 
     @pytest.mark.parametrize("seed", [3004, 3005, 3006, 3007])
     async def test_crashing_tasks_besides(self, seed: int, autojump_clock: object) -> None:
@@ -195,17 +195,17 @@
         named it; its crash counted for nothing.
         """
 
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             for number in range(0, 80, 10):
-                world.crashing.add(TaskKey(f"{number:016x}", 0, 0, 0))
+                world.crashing_tasks.add(TaskKey(f"{number:016x}", 0, 0, 0))
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
-            await random_trouble(cluster, world, rng)
+            await random_faults(cluster, world, rng)
             assert max(map(len, world.crashes_of.values())) <= MOST_CRASHES_BY_ONE
 
-        await play(scenario, seed=seed, executors=6)
+        await run_scenario(scenario, seed=seed, executors=6)
 
 
-async def change_capacities(world: World, rng: Random) -> None:
+async def change_capacities(world: Simulation, rng: Random) -> None:
     """Shrink executors and let them grow again, for a minute."""
     until = trio.current_time() + 60.0
     while trio.current_time() < until:
--- a/tests/test_cell_crashing_tasks.py
+++ b/tests/test_cell_crashing_tasks.py
@@ -19,8 +19,8 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import hand_in, play, random_trouble
-from cell.world import World
+from cell.scenarios import random_faults, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.state.cell.jobs import CellJob, Recurrence, Step, TaskKey
 from galenastall.state.cell.phases import JobPhase
 from galenastall.state.resources import Resources
@@ -32,9 +32,9 @@
 """Three crashes and two starts more are allowed."""
 
 
-def bad_job(world: World, *steps: Step, job_id: str = BAD, **fields: object) -> CellJob:
+def bad_job(world: Simulation, *steps: Step, job_id: str = BAD, **fields: object) -> CellJob:
     """Return a job whose first task of its first step crashes each executor that starts it."""
-    world.crashing.add(TaskKey(job_id, 0, 0, 0))
+    world.crashing_tasks.add(TaskKey(job_id, 0, 0, 0))
     job = CellJob(
         job_id=job_id,
         queue=world.queue,
@@ -50,7 +50,7 @@
     return replace(Step(count=count, need=need, estimate_s=1.0), **fields)  # type: ignore[arg-type]
 
 
-def crashes(world: World) -> int:
+def crashes(world: Simulation) -> int:
     return max(map(len, world.crashes_of.values()), default=0)
 
 
@@ -74,10 +74,10 @@
     ) -> None:
         """Its job shows as failed soon, few executors crash, and jobs beside it are completed."""
 
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             await cluster.wait_for_leader()
-            cluster.nursery.start_soon(hand_in, cluster, world, rng, 60, 0.3)
+            cluster.nursery.start_soon(submit_jobs, cluster, world, rng, 60, 0.3)
             await trio.sleep(3.0)
             assert await cluster.submit(bad_job(world, step))
             assert await cluster.wait_ended(BAD, 25.0) is JobPhase.FAILED
@@ -85,26 +85,26 @@
             assert crashes(world) <= MOST_CRASHES
             assert await phases_of_others(cluster) == {JobPhase.COMPLETED}
 
-        await play(scenario, seed=11, executors=8)
+        await run_scenario(scenario, seed=11, executors=8)
 
     async def test_the_second_occurrence_of_a_timed_job(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             await cluster.wait_for_leader()
             due = 1_000.0 + trio.current_time() + 1.0
             recurrence = Recurrence(first_due=due, interval_s=2.0, times=4)
             job = bad_job(world, recurrence=recurrence)
-            world.crashing = {TaskKey(BAD, 1, 0, 0)}
+            world.crashing_tasks = {TaskKey(BAD, 1, 0, 0)}
             assert await cluster.submit(job)
             assert await cluster.wait_ended(BAD, 40.0) is JobPhase.FAILED
 
-        await play(scenario, seed=12, executors=8)
+        await run_scenario(scenario, seed=12, executors=8)
 
     async def test_several_at_once(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             await cluster.wait_for_leader()
-            cluster.nursery.start_soon(hand_in, cluster, world, rng, 60, 0.3)
+            cluster.nursery.start_soon(submit_jobs, cluster, world, rng, 60, 0.3)
             await trio.sleep(2.0)
             ids = [f"bad{number:013x}" for number in range(5)]
             for job_id in ids:
@@ -114,20 +114,20 @@
             await trio.sleep(20.0)
             assert await phases_of_others(cluster) == {JobPhase.COMPLETED}
 
-        await play(scenario, seed=13, executors=10)
+        await run_scenario(scenario, seed=13, executors=10)
 
     async def test_hosts_that_stay_away_for_longer_than_leases(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
-            world.away_s = (14.0, 18.0)
+            world.crash_downtime_s = (14.0, 18.0)
             await cluster.wait_for_leader()
             assert await cluster.submit(bad_job(world))
             assert await cluster.wait_ended(BAD, 90.0) is JobPhase.FAILED
             assert crashes(world) <= MOST_STARTS
 
-        await play(scenario, seed=14, executors=8)
+        await run_scenario(scenario, seed=14, executors=8)
 
 
 class TestWhatLasts:
@@ -137,7 +137,7 @@
     async def test_leaders_that_are_killed_after_each_crash(
         self, after_s: float, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             await cluster.wait_for_leader()
             assert await cluster.submit(bad_job(world))
@@ -145,10 +145,10 @@
             assert await cluster.wait_ended(BAD, 120.0) is JobPhase.FAILED
             assert crashes(world) <= MOST_STARTS
 
-        await play(scenario, seed=15, executors=8)
+        await run_scenario(scenario, seed=15, executors=8)
 
     async def test_all_hosts_are_lost_after_each_crash(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             await cluster.wait_for_leader()
             assert await cluster.submit(bad_job(world))
@@ -156,10 +156,10 @@
             assert await cluster.wait_ended(BAD, 150.0) is JobPhase.FAILED
             assert crashes(world) <= MOST_STARTS
 
-        await play(scenario, seed=16, executors=8)
+        await run_scenario(scenario, seed=16, executors=8)
 
     async def _kill_after_crashes(
-        self, cluster: Cluster, world: World, after_s: float, are_all: bool
+        self, cluster: Cluster, world: Simulation, after_s: float, are_all: bool
     ) -> None:
         seen = 0
         while True:
@@ -184,17 +184,17 @@
     async def test_executors_that_crash_by_themselves(
         self, seed: int, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             world.run_lasts_s = (0.5, 6.0)
             await cluster.wait_for_leader()
             cluster.nursery.start_soon(self._crash_in_series, world, Random(seed))
-            await hand_in(cluster, world, rng, 60, 0.5)
+            await submit_jobs(cluster, world, rng, 60, 0.5)
             assert await phases_of_others(cluster) == {JobPhase.COMPLETED}
 
-        await play(scenario, seed=seed, executors=8)
+        await run_scenario(scenario, seed=seed, executors=8)
 
-    async def _crash_in_series(self, world: World, rng: Random) -> None:
+    async def _crash_in_series(self, world: Simulation, rng: Random) -> None:
         """Crash an eighth of the executors every 3 s; as many are seen to crash at a time."""
         while True:
             await trio.sleep(3.0)
@@ -209,14 +209,14 @@
     async def test_crashing_tasks_in_a_minute_of_trouble(
         self, seed: int, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             cluster.nursery.start_soon(self._mark_some, cluster, world)
-            await random_trouble(cluster, world, rng)
+            await random_faults(cluster, world, rng)
 
-        await play(scenario, seed=seed, executors=6)
+        await run_scenario(scenario, seed=seed, executors=6)
 
-    async def _mark_some(self, cluster: Cluster, world: World) -> None:
+    async def _mark_some(self, cluster: Cluster, world: Simulation) -> None:
         """Have the first task of each tenth job crash its executors."""
         for number in range(0, 80, 10):
-            world.crashing.add(TaskKey(f"{number:016x}", 0, 0, 0))
+            world.crashing_tasks.add(TaskKey(f"{number:016x}", 0, 0, 0))
         await trio.sleep(0.0)
--- a/tests/test_cell_cut_off.py
+++ b/tests/test_cell_cut_off.py
@@ -5,8 +5,8 @@
 import trio
 
 from cell.cluster import Cluster, make_job
-from cell.play import play
-from cell.world import World
+from cell.scenarios import run_scenario
+from cell.simulation import Simulation
 from galenastall.protocol.cell.messages import SubmitVerdict
 
 FIRST, OTHER, FRESH = "entry-0", "entry-1", "entry-2"
@@ -14,20 +14,20 @@
 """By then a host has noticed that its leader is silent, asked, and heard the other one."""
 
 
-async def _let_fresh_host_take_over(cluster: Cluster, world: World) -> None:
+async def _let_fresh_host_take_over(cluster: Cluster, simulation: Simulation) -> None:
     """Have a host that has just started, and knows of no host but the leader, lead instead."""
     assert await cluster.wait_for_leader() == FIRST
     await trio.sleep(1.5)
     cluster.kill(FRESH)
-    world.faults.cut.add((FIRST, FRESH))
+    simulation.faults.cut.add((FIRST, FRESH))
     await cluster.start(FRESH)
     await trio.sleep(0.5)
-    world.faults.cut.add((FIRST, "store"))
+    simulation.faults.cut.add((FIRST, "store"))
     await cluster.wait_for_other_leader(FIRST)
     assert cluster.leader == FRESH
 
 
-class TestNewsOfALeader:
+class TestLearningOfALeader:
     """Hosts that can't or won't look at the store still have to learn of a new leader.
 
     Five hosts were cut off from the store, and only from it. The leader was one of them, and a host
@@ -48,51 +48,51 @@
     async def test_a_host_that_can_not_reach_the_store_follows_a_leader_that_does_not_know_it(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
-            world.faults.cut.add((OTHER, "store"))
-            await _let_fresh_host_take_over(cluster, world)
+            simulation.faults.cut.add((OTHER, "store"))
+            await _let_fresh_host_take_over(cluster, simulation)
             await trio.sleep(SOON_S)
             host = cluster.live[OTHER].host
-            assert host.standing.leader == FRESH
+            assert host.leadership.leader == FRESH
             assert host.is_ready
-            job = make_job(world, rng, 1)
-            world.jobs[job.job_id] = job
-            taken = await host.desk.submit(job, patience_s=3.0)
+            job = make_job(simulation, rng, 1)
+            simulation.jobs[job.job_id] = job
+            taken = await host.caller_handler.submit(job, patience_s=3.0)
             assert taken.verdict is SubmitVerdict.ACCEPTED
 
-        await play(scenario, seed=41)
+        await run_scenario(scenario, seed=41)
 
     async def test_a_stopping_host_follows_a_leader_that_does_not_know_it(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             host = cluster.live[OTHER].host
             await host.leave(0.0)
-            await _let_fresh_host_take_over(cluster, world)
+            await _let_fresh_host_take_over(cluster, simulation)
             await trio.sleep(SOON_S)
-            job = make_job(world, rng, 1)
-            world.jobs[job.job_id] = job
-            taken = await host.desk.submit(job, patience_s=3.0)
+            job = make_job(simulation, rng, 1)
+            simulation.jobs[job.job_id] = job
+            taken = await host.caller_handler.submit(job, patience_s=3.0)
             assert taken.verdict is SubmitVerdict.ACCEPTED
 
-        await play(scenario, seed=42)
+        await run_scenario(scenario, seed=42)
 
-    async def test_a_host_behind_a_cut_is_not_told_of_an_older_leader(
+    async def test_a_partitioned_host_does_not_learn_of_an_older_leader(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
             await trio.sleep(1.0)
-            world.faults.cut |= {(first, name) for name in (*cluster.names, "store")}
+            simulation.faults.cut |= {(first, name) for name in (*cluster.names, "store")}
             second = await cluster.wait_for_other_leader(first)
             await trio.sleep(2.0)
             followed = {
-                live.host.standing.leader for name, live in cluster.live.items() if name != first
+                live.host.leadership.leader for name, live in cluster.live.items() if name != first
             }
             assert followed == {second}
 
-        await play(scenario, seed=43, hosts=5)
+        await run_scenario(scenario, seed=43, hosts=5)
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -13,10 +13,16 @@
 from cell.alone import play_alone
 from cell.cluster import Cluster
 from cell.cluster import make_job as make_cluster_job
-from cell.play import check_all_end, hand_in, play, random_trouble, restarts_in_trouble
 from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
+from cell.scenarios import (
+    check_all_end,
+    random_faults,
+    restarts_with_faults,
+    run_scenario,
+    submit_jobs,
+)
+from cell.simulation import Simulation
 from cell.weakenings import incarnations_are_shown_one_token, runs_are_not_handed_on
-from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.executors import Closed
 from galenastall.coordination.cell.lease_clock import longest_lease_s
@@ -48,12 +54,12 @@
 
 
 async def work_and_restart(
-    cluster: Cluster, world: World, rng: Random, *, job_every_s: float
+    cluster: Cluster, world: Simulation, rng: Random, *, job_every_s: float
 ) -> None:
     """Have executors do some jobs, and restart all of them."""
     world.fail_share = 0.0
     await cluster.wait_for_leader()
-    await hand_in(cluster, world, rng, 20, job_every_s)
+    await submit_jobs(cluster, world, rng, 20, job_every_s)
     await check_all_end(cluster, timeout_s=300.0)
     for executor in list(world.executors.values()):
         world.crash(executor)
@@ -67,20 +73,20 @@
         self, autojump_clock: object
     ) -> None:
         # Positions of ends start anew: the first ends after a restart were taken for known ones.
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.1)
-            await hand_in(cluster, world, rng, 20, 0.1, first=100)
+            await submit_jobs(cluster, world, rng, 20, 0.1, first=100)
             await check_all_end(cluster)
             phases = {await cluster.phase(job) for job in cluster.accepted}
             assert phases == {JobPhase.COMPLETED}
 
-        await play(scenario, seed=1, keeps_ids=True)
+        await run_scenario(scenario, seed=1, keeps_ids=True)
 
     async def test_a_step_begins_after_one_that_was_done_on_a_restarted_executor(
         self, autojump_clock: object
     ) -> None:
         # Its tasks were started again and again, so the step before it never ended.
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.5)
             step = Step(count=2, need=Resources(cores_milli=1000, memory_mb=1000))
             job = make_cluster_job(world, rng, 100)
@@ -88,32 +94,32 @@
             assert await cluster.submit(job)
             assert await cluster.wait_ended(job.job_id, 15.0) is JobPhase.COMPLETED
 
-        await play(scenario, seed=2, executors=2, keeps_ids=True)
+        await run_scenario(scenario, seed=2, executors=2, keeps_ids=True)
 
     @pytest.mark.parametrize("seed", range(8))
     async def test_random_trouble_with_restarts(self, autojump_clock: object, seed: int) -> None:
-        await play(random_trouble, seed=seed, keeps_ids=True)
+        await run_scenario(random_faults, seed=seed, keeps_ids=True)
 
     @pytest.mark.parametrize("seed", range(6))
     async def test_restarts_where_calls_or_answers_get_lost(
         self, autojump_clock: object, seed: int
     ) -> None:
-        await play(restarts_in_trouble, seed=seed, keeps_ids=True)
+        await run_scenario(restarts_with_faults, seed=seed, keeps_ids=True)
 
     @pytest.mark.parametrize("seed", range(6))
     async def test_restarts_where_orders_come_late_and_carry_tickets(
         self, autojump_clock: object, seed: int
     ) -> None:
-        scenario = partial(restarts_in_trouble, asks_tickets=True, is_late=True)
-        await play(scenario, seed=seed, keeps_ids=True)
+        scenario = partial(restarts_with_faults, requires_tickets=True, is_late=True)
+        await run_scenario(scenario, seed=seed, keeps_ids=True)
 
     @pytest.mark.parametrize("seed", [0, 2, 4, 7, 9, 27, 28, 31, 40])
     async def test_restarts_where_orders_come_late_without_tickets(
         self, autojump_clock: object, seed: int
     ) -> None:
         # A restarted executor knows no token, and takes an order of before until it is called.
-        scenario = partial(restarts_in_trouble, is_late=True)
-        await play(scenario, seed=seed, keeps_ids=True)
+        scenario = partial(restarts_with_faults, is_late=True)
+        await run_scenario(scenario, seed=seed, keeps_ids=True)
 
 
 class TestWeakenedRulesOfRestarts:
@@ -121,12 +127,12 @@
 
     def test_without_handing_runs_on_they_start_again(self) -> None:
         for seed in (0, 4, 24, 26):
-            play_alone(restarts_in_trouble, seed=seed, keeps_ids=True)
+            play_alone(restarts_with_faults, seed=seed, keeps_ids=True)
         with runs_are_not_handed_on(), pytest.raises(AssertionError, match="starts after"):
-            play_alone(restarts_in_trouble, seed=24, keeps_ids=True)
+            play_alone(restarts_with_faults, seed=24, keeps_ids=True)
 
     def test_without_a_token_for_each_incarnation_late_calls_are_carried_out(self) -> None:
-        scenario = partial(restarts_in_trouble, asks_tickets=True, is_late=True)
+        scenario = partial(restarts_with_faults, requires_tickets=True, is_late=True)
         for seed in (1, 2, 5):
             play_alone(scenario, seed=seed, keeps_ids=True)
         with (
@@ -371,7 +377,7 @@
 
     async def poll(self, session: ExecutorSession | None = None) -> dict[str, Any]:
         """Ask for a listing, and return what the executor was called with."""
-        await (session or self.session).look()
+        await (session or self.session).poll_now()
         return self.port.renewals[-1]
 
 
--- a/tests/test_cell_fleet_size.py
+++ b/tests/test_cell_fleet_size.py
@@ -12,9 +12,9 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import check_all_end, hand_in, play
 from cell.rig import Rig, make_info, make_job, make_step
-from cell.world import World
+from cell.scenarios import check_all_end, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.executor_table import ExecutorTable
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
@@ -147,10 +147,10 @@
     EXECUTORS = 1_000
 
     async def test_idle_executors_take_turns(self, autojump_clock: object) -> None:
-        cluster = await play(self._count_polls, seed=1, executors=self.EXECUTORS)
+        cluster = await run_scenario(self._count_polls, seed=1, executors=self.EXECUTORS)
         assert cluster.leader is not None
 
-    async def _count_polls(self, cluster: Cluster, world: World, rng: Random) -> None:
+    async def _count_polls(self, cluster: Cluster, world: Simulation, rng: Random) -> None:
         await cluster.wait_for_leader()
         begun_at = trio.current_time()
         await trio.sleep(6.0)
@@ -160,26 +160,26 @@
         assert len(heard) == self.EXECUTORS
 
     async def test_jobs_start_at_once_beside_the_polls(self, autojump_clock: object) -> None:
-        await play(self._hand_in, seed=2, executors=self.EXECUTORS)
+        await run_scenario(self._hand_in, seed=2, executors=self.EXECUTORS)
 
-    async def _hand_in(self, cluster: Cluster, world: World, rng: Random) -> None:
+    async def _hand_in(self, cluster: Cluster, world: Simulation, rng: Random) -> None:
         await cluster.wait_for_leader()
-        await hand_in(cluster, world, rng, 40, 0.1)
+        await submit_jobs(cluster, world, rng, 40, 0.1)
         await check_all_end(cluster, timeout_s=15.0)
         assert world.starts >= 40
 
     async def test_leases_of_runs_are_renewed_beside_the_polls(
         self, autojump_clock: object
     ) -> None:
-        cluster = await play(self._run_long, seed=3, executors=self.EXECUTORS)
+        cluster = await run_scenario(self._run_long, seed=3, executors=self.EXECUTORS)
         assert cluster.leader is not None
 
-    async def _run_long(self, cluster: Cluster, world: World, rng: Random) -> None:
+    async def _run_long(self, cluster: Cluster, world: Simulation, rng: Random) -> None:
         world.shows_progress = True
         world.run_lasts_s = (14.0, 15.0)
         world.fail_share = 0.0
         await cluster.wait_for_leader()
-        await hand_in(cluster, world, rng, 3, 0.1)
+        await submit_jobs(cluster, world, rng, 3, 0.1)
         await trio.sleep(30.0)
         for job_id in cluster.accepted:
             assert await cluster.wait_ended(job_id, 20.0) is JobPhase.COMPLETED
--- a/tests/test_cell_hosts.py
+++ b/tests/test_cell_hosts.py
@@ -8,10 +8,10 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import check_all_end, hand_in, play
+from cell.fault_injection import crashes, inject_faults
 from cell.rig import Rig, make_info, make_job, make_step
-from cell.trouble import crashes, trouble
-from cell.world import World
+from cell.scenarios import check_all_end, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.coordination.cell.availability import SETTLED_S
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
@@ -306,30 +306,30 @@
         assert following.core.hosts.take_ready() == [HostOrder(host="spare", pool="s")]
 
 
-async def random_waves(cluster: Cluster, world: World, rng: Random) -> None:
+async def random_waves(cluster: Cluster, world: Simulation, rng: Random) -> None:
     """Take all hosts down in turn, by two waves, through trouble."""
     await cluster.wait_for_leader()
     until = trio.current_time() + 30.0
     hosts = sorted({executor.info.host for executor in world.executors.values()})
     cluster.nursery.start_soon(crashes, world, rng, until)
-    cluster.nursery.start_soon(hand_in, cluster, world, rng, 40, 0.5)
+    cluster.nursery.start_soon(submit_jobs, cluster, world, rng, 40, 0.5)
     for number in (1, 2):
         wave = replace(make_wave(*hosts, most_down=number), number=number)
         world.hosts.waves.append(wave)
-        await trouble(cluster, world, rng, trio.current_time() + 15.0)
+        await inject_faults(cluster, world, rng, trio.current_time() + 15.0)
     world.faults.clear()
     for name in cluster.names:
         if name not in cluster.live:
             await cluster.start(name)
     await check_all_end(cluster)
     with trio.fail_after(60.0):
-        while world.hosts.told != {1: True, 2: True}:  # noqa: ASYNC110 - nobody tells the test
+        while world.hosts.reported != {1: True, 2: True}:  # noqa: ASYNC110 - nobody tells the test
             await trio.sleep(0.2)
 
 
 class TestLostList:
     async def test_a_list_that_can_not_be_read_is_told_once(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             leader = await cluster.wait_for_leader()
             world.faults.cut.add((leader, "hosts"))
             world.hosts.waves.append(make_wave("h0"))
@@ -339,23 +339,23 @@
             assert len(told) == 1
             assert told[0].cause
 
-        await play(scenario, seed=31)
+        await run_scenario(scenario, seed=31)
 
 
 class TestWavesUnderTrouble:
     async def test_a_standby_host_comes_when_there_is_no_room(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.hosts.pools["spare"] = "off"
             world.config = replace(world.config, standby_services=frozenset({"off"}))
             await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 60, 0.01)
+            await submit_jobs(cluster, world, rng, 60, 0.01)
             await check_all_end(cluster)
             assert any(e.info.host == "spare" for e in world.executors.values())
 
-        await play(scenario, seed=30)
+        await run_scenario(scenario, seed=30)
 
     @pytest.mark.parametrize("seed", range(200, 206))
     async def test_limits_are_kept_and_waves_completed(
         self, autojump_clock: object, seed: int
     ) -> None:
-        await play(random_waves, seed=seed, executors=5)
+        await run_scenario(random_waves, seed=seed, executors=5)
--- a/tests/test_cell_kept_advice.py
+++ b/tests/test_cell_kept_advice.py
@@ -20,7 +20,7 @@
 from galenastall.bench.cell_load.workload import Workload, load_workload
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.mechanisms import Mechanism
-from galenastall.node.cell.advice_proxy import KEPT_ANSWERS, AdviceProxy
+from galenastall.node.cell.advice_proxy import CACHED_ANSWERS, AdviceProxy
 from galenastall.protocol.cell.messages import (
     AdviceAnswer,
     AwaitAdvice,
@@ -121,7 +121,7 @@
 
     async def test_what_is_kept_is_bounded(self, autojump_clock: object) -> None:
         host = make_host()
-        steps = tuple(StepKey(JOB, 0, number) for number in range(KEPT_ANSWERS + 5))
+        steps = tuple(StepKey(JOB, 0, number) for number in range(CACHED_ANSWERS + 5))
         for step in steps:
             await host.ask(get(step))
         found: RecoveredAdvice = await host.ask(RecoverAdvice(steps=steps))
--- a/tests/test_cell_large_writes.py
+++ b/tests/test_cell_large_writes.py
@@ -13,8 +13,8 @@
 from returns.result import Result
 
 from cell.cluster import Cluster, make_job
-from cell.play import check_all_end, hand_in, play
-from cell.world import World
+from cell.scenarios import check_all_end, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.coordination.cell.job_runs import JobRun
 from galenastall.platform.submissions import decode_job
 from galenastall.state.cell.jobs import CellJob, Queue
@@ -31,11 +31,11 @@
 
 class TestAppendsAboveTheLimit:
     async def test_changes_that_gathered_are_written_in_parts(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             world.store.append_bytes = FEW_BYTES
             await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, JOBS, 0.0)
+            await submit_jobs(cluster, world, rng, JOBS, 0.0)
             await trio.sleep(2.0)
             await check_all_end(cluster)
             assert len(cluster.accepted) == JOBS
@@ -44,12 +44,12 @@
             assert world.store.largest_append <= FEW_BYTES
             assert len(world.store.claims) == 1
 
-        await play(scenario, seed=1)
+        await run_scenario(scenario, seed=1)
 
     async def test_a_leader_lost_between_two_parts_leaves_nothing_behind(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.fail_share = 0.0
             world.store.append_bytes = FEW_BYTES
             await cluster.wait_for_leader()
@@ -65,7 +65,7 @@
             await check_all_end(cluster)
             assert len(cluster.accepted) > JOBS
 
-        await play(scenario, seed=3)
+        await run_scenario(scenario, seed=3)
 
 
 class TestRowsAboveTheLimit:
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -6,10 +6,10 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import changed_quotas_in_trouble, hand_in, play
 from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
+from cell.scenarios import changing_quotas_with_faults, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from cell.weakenings import replaced
-from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.coordination.cell.scheduler import CellScheduler
@@ -219,25 +219,25 @@
 class TestRandomTrouble:
     @pytest.mark.parametrize("seed", SEEDS)
     async def test_limits_hold_through_all_of_it(self, autojump_clock: object, seed: int) -> None:
-        await play(changed_quotas_in_trouble, seed=seed)
+        await run_scenario(changing_quotas_with_faults, seed=seed)
 
     @pytest.mark.parametrize("seed", SEEDS_OF_RESTARTS)
     async def test_limits_hold_where_executors_restart_under_their_ids(
         self, autojump_clock: object, seed: int
     ) -> None:
-        await play(changed_quotas_in_trouble, seed=seed, keeps_ids=True)
+        await run_scenario(changing_quotas_with_faults, seed=seed, keeps_ids=True)
 
     async def test_a_leader_that_counts_no_runs_is_noticed(self, autojump_clock: object) -> None:
         with replaced(WorkspaceUse, "add", lambda self, task, **_: None):
-            await play(busy_workspace, seed=0)
+            await run_scenario(busy_workspace, seed=0)
 
 
-async def busy_workspace(cluster: Cluster, world: World, rng: Random) -> None:
+async def busy_workspace(cluster: Cluster, world: Simulation, rng: Random) -> None:
     """Hand in more than a workspace may run at once, to a leader that breaks its limit."""
     await cluster.wait_for_leader()
     world.set_workspaces(make_workspace("small", cores=2000))
     await trio.sleep(4.0)
-    await hand_in(cluster, world, rng, 20, 0.05)
+    await submit_jobs(cluster, world, rng, 20, 0.05)
     await trio.sleep(5.0)
     assert any("workspace small has" in violation for violation in world.violations)
     world.violations.clear()
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -520,7 +520,7 @@
 
 
 class _Host:
-    standing = _Standing()
+    leadership = _Standing()
 
 
 class TestMetrics:
