--- a/tests/test_cell_succession.py
+++ b/tests/test_cell_succession.py
@@ -6,8 +6,8 @@
 import trio
 
 from cell.cluster import TIMINGS, Cluster, make_job
-from cell.play import check_all_end, hand_in, play
-from cell.world import World
+from cell.scenarios import check_all_end, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.coordination.cell.succession import (
     BEHIND_LAG_S,
     CALM_LAG_S,
@@ -22,7 +22,7 @@
     successor_of,
 )
 from galenastall.node.cell.handover import CAN_LEAD_WITHIN_S
-from galenastall.node.cell.heartbeats import REPEATED_AFTER, ToldAddresses
+from galenastall.node.cell.heartbeats import REPEAT_AFTER_HEARTBEATS, AddressBroadcast
 from galenastall.node.cell.loop_lag import LONGEST_SAMPLE_S, LoopLag
 from galenastall.state.ids import HostId
 
@@ -37,13 +37,13 @@
 """A takeover among equal hosts: silence, a look at the store that stands still, and claims."""
 
 
-def fill(world: World) -> None:
+def fill(simulation: Simulation) -> None:
     """Give the state the size that it has under load."""
-    world.store.values["history"] = b"x" * STATE_BYTES
+    simulation.store.values["history"] = b"x" * STATE_BYTES
 
 
-def claims_of(world: World) -> list[str]:
-    return [host for host, _ in world.store.claims]
+def claims_of(simulation: Simulation) -> list[str]:
+    return [host for host, _ in simulation.store.claims]
 
 
 class TestLoading:
@@ -57,58 +57,56 @@
         33.3  leader.loaded     by a host whose link is fast; nobody led for 15 s
     """
 
-    async def test_a_host_that_reads_the_state_for_long_is_not_replaced(
-        self, autojump_clock: object
-    ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+    async def test_a_leader_that_loads_slowly_is_not_replaced(self, autojump_clock: object) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
-            fill(world)
+            fill(simulation)
             await trio.sleep(2.0)
             for name in cluster.names:
-                world.faults.load_bytes_per_s[name] = SLOW_LINK
-            before = len(world.store.claims)
+                simulation.faults.load_bytes_per_s[name] = SLOW_LINK
+            before = len(simulation.store.claims)
             cluster.kill(first)
             await cluster.wait_for_leader(timeout_s=STATE_BYTES / SLOW_LINK + 2.0)
             await trio.sleep(2.0)
-            assert len(world.store.claims) == before + 1
+            assert len(simulation.store.claims) == before + 1
 
-        await play(scenario, seed=1, hosts=6)
+        await run_scenario(scenario, seed=1, hosts=6)
 
-    async def test_a_host_that_never_gets_the_state_is_replaced(
+    async def test_a_leader_that_never_finishes_loading_is_replaced(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
-            fill(world)
+            fill(simulation)
             await trio.sleep(2.0)
             cluster.kill(first)
             stuck = min(name for name in cluster.names if name != first)
-            world.faults.load_bytes_per_s[stuck] = 1.0
+            simulation.faults.load_bytes_per_s[stuck] = 1.0
             await cluster.wait_for_other_leader(first)
             assert await cluster.wait_for_leader(timeout_s=20.0) != stuck
-            assert stuck in claims_of(world)
+            assert stuck in claims_of(simulation)
 
-        await play(scenario, seed=2)
+        await run_scenario(scenario, seed=2)
 
-    async def test_jobs_handed_in_meanwhile_are_taken_once_the_state_is_there(
+    async def test_jobs_submitted_while_loading_are_accepted_afterwards(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 10, 0.05)
-            fill(world)
+            await submit_jobs(cluster, simulation, rng, 10, 0.05)
+            fill(simulation)
             await trio.sleep(2.0)
             for name in cluster.names:
-                world.faults.load_bytes_per_s[name] = 2 * SLOW_LINK
+                simulation.faults.load_bytes_per_s[name] = 2 * SLOW_LINK
             cluster.kill(first)
             await cluster.wait_for_other_leader(first)
-            assert await cluster.submit(make_job(world, rng, 99))
+            assert await cluster.submit(make_job(simulation, rng, 99))
             await check_all_end(cluster)
 
-        await play(scenario, seed=3)
+        await run_scenario(scenario, seed=3)
 
 
-class TestWhoClaims:
+class TestClaimPreference:
     """Of hosts of unlike size a large one leads.
 
     The leader (2.15 cores) was lost and several hosts claimed within 5 ms. Where one of 0.516 cores
@@ -119,7 +117,7 @@
     async def test_a_large_host_takes_over_though_small_ones_would_claim_first(
         self, autojump_clock: object, seed: int
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(2.0)
             leads = await cluster.wait_for_leader()
@@ -128,10 +126,10 @@
             killed_at = trio.current_time()
             second = await cluster.wait_for_other_leader(leads)
             assert cluster.weights[second] == LARGE
-            assert claims_of(world)[-1] == second
+            assert claims_of(simulation)[-1] == second
             assert trio.current_time() - killed_at < TAKEOVER_S + TIMINGS.claim_jitter_s
 
-        await play(
+        await run_scenario(
             scenario,
             seed=seed,
             hosts=8,
@@ -142,7 +140,7 @@
     async def test_a_small_host_that_has_just_started_leaves_the_claim_to_a_large_one(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(2.0)
             leads = await cluster.wait_for_leader()
@@ -151,7 +149,7 @@
             await cluster.start("entry-0")
             assert cluster.weights[await cluster.wait_for_other_leader(leads)] == LARGE
 
-        await play(
+        await run_scenario(
             scenario,
             seed=20,
             hosts=5,
@@ -160,10 +158,10 @@
         )
 
     @pytest.mark.parametrize("weight", [SMALL, LARGE])
-    async def test_hosts_of_one_size_take_over_as_soon_as_ever(
+    async def test_hosts_of_equal_weight_take_over_without_delay(
         self, autojump_clock: object, weight: float
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
             await trio.sleep(2.0)
             cluster.kill(first)
@@ -171,76 +169,78 @@
             await cluster.wait_for_other_leader(first)
             assert trio.current_time() - killed_at < TAKEOVER_S
 
-        await play(scenario, seed=21, hosts=5, weights=[weight] * 5, claim_delays_s=[0.0] * 5)
+        await run_scenario(
+            scenario, seed=21, hosts=5, weights=[weight] * 5, claim_delays_s=[0.0] * 5
+        )
 
     async def test_small_hosts_take_over_where_no_large_one_reaches_the_store(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(2.0)
             leads = await cluster.wait_for_leader()
             large = {name for name in cluster.names if cluster.weights[name] == LARGE}
-            world.faults.store_refuses |= large - {leads}
+            simulation.faults.store_refuses |= large - {leads}
             cluster.kill(leads)
             killed_at = trio.current_time()
             second = await cluster.wait_for_other_leader(leads)
             assert cluster.weights[second] == SMALL
             assert trio.current_time() - killed_at < TAKEOVER_S + 1.0
 
-        await play(scenario, seed=22, hosts=5, weights=[SMALL] * 3 + [LARGE] * 2)
+        await run_scenario(scenario, seed=22, hosts=5, weights=[SMALL] * 3 + [LARGE] * 2)
 
 
-class TestHandOver:
+class TestHandover:
     """A small host that leads hands over to a large one that is well, once."""
 
-    async def test_a_small_leader_hands_over_as_soon_as_a_large_host_is_well(
+    async def test_a_small_leader_hands_over_as_soon_as_a_large_host_is_eligible(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             cluster.kill("entry-2")
             await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 10, 0.05)
+            await submit_jobs(cluster, simulation, rng, 10, 0.05)
             await trio.sleep(3.0)
-            before = len(world.store.claims)
+            before = len(simulation.store.claims)
             await cluster.start("entry-2")
             await trio.sleep(2.5)
             assert cluster.leader == "entry-2"
             await trio.sleep(10.0)
-            assert len(world.store.claims) == before + 1
+            assert len(simulation.store.claims) == before + 1
             await check_all_end(cluster)
 
-        await play(scenario, seed=30, weights=[SMALL, SMALL, LARGE])
+        await run_scenario(scenario, seed=30, weights=[SMALL, SMALL, LARGE])
 
     async def test_it_stays_while_the_large_host_can_not_reach_the_store(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             cluster.kill("entry-2")
             first = await cluster.wait_for_leader()
             await trio.sleep(3.0)
-            world.faults.store_refuses.add("entry-2")
+            simulation.faults.store_refuses.add("entry-2")
             await cluster.start("entry-2")
-            before = len(world.store.claims)
+            before = len(simulation.store.claims)
             await trio.sleep(10.0)
             assert cluster.leader == first
-            assert len(world.store.claims) == before
-            world.faults.clear()
+            assert len(simulation.store.claims) == before
+            simulation.faults.clear()
             await trio.sleep(8.0)
             assert cluster.leader == "entry-2"
 
-        await play(scenario, seed=31, weights=[SMALL, SMALL, LARGE])
+        await run_scenario(scenario, seed=31, weights=[SMALL, SMALL, LARGE])
 
 
 class TestFallingBehind:
     """A leader whose loop is late gives way before its callers do."""
 
-    async def test_a_leader_that_falls_behind_gives_way_and_does_not_lead_again_soon(
+    async def test_a_leader_that_falls_behind_hands_over_and_does_not_lead_again_soon(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 10, 0.05)
+            await submit_jobs(cluster, simulation, rng, 10, 0.05)
             await trio.sleep(SETTLED_S)
             begun_at = trio.current_time()
             with trio.move_on_after(2.0):
@@ -256,25 +256,25 @@
             assert cluster.leader == third
             await check_all_end(cluster)
 
-        await play(scenario, seed=40, hosts=4)
+        await run_scenario(scenario, seed=40, hosts=4)
 
     async def test_hosts_that_all_fall_behind_do_not_pass_the_leadership_around(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(SETTLED_S)
-            before = len(world.store.claims)
+            before = len(simulation.store.claims)
             for _ in range(400):
                 for live in cluster.live.values():
                     live.host.members.lag.add(LONGEST_SAMPLE_S)
                 await trio.sleep(0.05)
-            assert len(world.store.claims) == before
+            assert len(simulation.store.claims) == before
 
-        await play(scenario, seed=41, hosts=4)
+        await run_scenario(scenario, seed=41, hosts=4)
 
 
-class TestTurnedAway:
+class TestLeaderRefusedByStore:
     """A leader that the store turns away hands over to a host that the store serves.
 
     The store turned the leader away and served the others; 84 of 180 jobs were late in the 1.3 s
@@ -282,56 +282,56 @@
     """
 
     @pytest.mark.parametrize("kind", ["refused", "silent"])
-    async def test_a_leader_that_the_store_turns_away_hands_over(
+    async def test_a_leader_refused_by_the_store_hands_over(
         self, autojump_clock: object, kind: str
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 10, 0.05)
+            await submit_jobs(cluster, simulation, rng, 10, 0.05)
             await trio.sleep(1.0)
             begun_at = trio.current_time()
             if kind == "refused":
-                world.faults.store_refuses.add(first)
+                simulation.faults.store_refuses.add(first)
             else:
-                world.faults.cut.add((first, "store"))
+                simulation.faults.cut.add((first, "store"))
             await cluster.wait_for_other_leader(first)
             longest_s = STORE_REFUSES_S if kind == "refused" else STORE_SILENT_S
             assert trio.current_time() - begun_at < longest_s + CAN_LEAD_WITHIN_S + 0.25
             await trio.sleep(5.0)
             await check_all_end(cluster)
 
-        await play(scenario, seed=50, hosts=5)
+        await run_scenario(scenario, seed=50, hosts=5)
 
-    async def test_a_leader_keeps_its_place_while_the_store_turns_everybody_away(
+    async def test_a_leader_stays_while_the_store_refuses_all_hosts(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             first = await cluster.wait_for_leader()
             await trio.sleep(1.0)
-            before = len(world.store.claims)
-            world.faults.store_refuses.update(cluster.names)
+            before = len(simulation.store.claims)
+            simulation.faults.store_refuses.update(cluster.names)
             await trio.sleep(4.0)
-            world.faults.clear()
+            simulation.faults.clear()
             await trio.sleep(2.0)
             assert cluster.leader == first
-            assert len(world.store.claims) == before
+            assert len(simulation.store.claims) == before
 
-        await play(scenario, seed=51, hosts=5)
+        await run_scenario(scenario, seed=51, hosts=5)
 
     @pytest.mark.parametrize("seed", [60, 61, 62])
-    async def test_answers_that_get_lost_do_not_pass_the_leadership_around(
+    async def test_lost_answers_do_not_pass_the_leadership_around(
         self, autojump_clock: object, seed: int
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
-            before = len(world.store.claims)
-            world.faults.lost = 0.3
+            before = len(simulation.store.claims)
+            simulation.faults.lost = 0.3
             await trio.sleep(10.0)
-            assert len(world.store.claims) <= before + 2
-            world.faults.clear()
+            assert len(simulation.store.claims) <= before + 2
+            simulation.faults.clear()
 
-        await play(scenario, seed=seed, hosts=5)
+        await run_scenario(scenario, seed=seed, hosts=5)
 
 
 def contender(host: str, weight: float = 1.0, **fields: object) -> Contender:
@@ -380,14 +380,14 @@
         assert by_lag is not None
         assert (by_lag.is_behind, "0.31 s late" in by_lag.cause) == (True, True)
 
-    def test_who_keeps_up_goes_before_who_is_heavier_and_the_youngest_goes_first(self) -> None:
+    def test_successors_are_ordered_by_lag_then_weight_then_youngest(self) -> None:
         late = contender("late", LARGE, lag_s=LATE)
         old, young = contender("old"), contender("young", uptime_s=2.0)
         assert successor_of([late, old, young]) == young
         assert successor_of([late]) == late
         assert successor_of([]) is None
 
-    def test_a_host_that_is_not_willing_is_not_waited_for(self) -> None:
+    def test_an_unwilling_host_is_not_waited_for(self) -> None:
         assert (
             heaviest_of([contender("a", SMALL), contender("b", LARGE, is_willing=False)]) == SMALL
         )
@@ -400,35 +400,35 @@
         lag.add(5.0)
         assert lag.seconds < CALM_LAG_S
 
-    def test_a_second_of_late_wake_ups_has(self) -> None:
+    def test_a_process_with_a_second_of_late_wake_ups_has_fallen_behind(self) -> None:
         lag = LoopLag()
         for _ in range(20):
             lag.add(LONGEST_SAMPLE_S)
         assert lag.seconds > BEHIND_LAG_S
 
 
-class TestToldAddresses:
+class TestAddressBroadcast:
     HOSTS = tuple(HostId(f"host-{number}") for number in range(97))
     ADDRESSES: dict[str, str] = dict.fromkeys(HOSTS, "10.0.0.1:7720")
 
-    def told_a_beat(self, told: ToldAddresses) -> int:
-        told.set_current(dict(self.ADDRESSES))
-        return sum(1 for host in self.HOSTS if told.next_for(host))
+    def count_sent(self, broadcast: AddressBroadcast) -> int:
+        broadcast.set_current(dict(self.ADDRESSES))
+        return sum(1 for host in self.HOSTS if broadcast.next_for(host))
 
-    def test_all_are_told_first_and_a_part_of_them_with_each_beat_from_then_on(self) -> None:
-        told = ToldAddresses()
-        assert self.told_a_beat(told) == len(self.HOSTS)
-        most = -(-len(self.HOSTS) // REPEATED_AFTER) + 1
-        counts = [self.told_a_beat(told) for _ in range(4 * REPEATED_AFTER)]
+    def test_all_hosts_get_the_addresses_first_and_then_a_share_with_each_heartbeat(self) -> None:
+        broadcast = AddressBroadcast()
+        assert self.count_sent(broadcast) == len(self.HOSTS)
+        most = -(-len(self.HOSTS) // REPEAT_AFTER_HEARTBEATS) + 1
+        counts = [self.count_sent(broadcast) for _ in range(4 * REPEAT_AFTER_HEARTBEATS)]
         assert max(counts) <= most
         assert sum(counts) >= 3 * len(self.HOSTS)
 
-    def test_a_change_and_a_new_life_are_told_with_the_next_beat(self) -> None:
-        told = ToldAddresses()
-        self.told_a_beat(told)
-        told.forget(self.HOSTS[50])
-        assert told.next_for(self.HOSTS[50]) == self.ADDRESSES
-        assert told.next_for(self.HOSTS[50]) == {}
+    def test_changed_addresses_and_restarted_hosts_are_served_with_the_next_heartbeat(self) -> None:
+        broadcast = AddressBroadcast()
+        self.count_sent(broadcast)
+        broadcast.forget(self.HOSTS[50])
+        assert broadcast.next_for(self.HOSTS[50]) == self.ADDRESSES
+        assert broadcast.next_for(self.HOSTS[50]) == {}
         changed = {**self.ADDRESSES, "host-97": "10.0.0.2:7720"}
-        told.set_current(changed)
-        assert [told.next_for(host) for host in self.HOSTS] == [changed] * len(self.HOSTS)
+        broadcast.set_current(changed)
+        assert [broadcast.next_for(host) for host in self.HOSTS] == [changed] * len(self.HOSTS)
--- a/tests/test_cell_weakenings.py
+++ b/tests/test_cell_weakenings.py
@@ -7,13 +7,13 @@
 
 from cell.alone import play_alone
 from cell.cluster import Cluster
-from cell.play import check_all_end, hand_in, random_trouble
+from cell.scenarios import check_all_end, random_faults, submit_jobs
+from cell.simulation import Simulation
 from cell.weakenings import (
     WEAKENINGS,
     leases_reach_beyond_the_confirmation,
     standbys_claim_without_a_look,
 )
-from cell.world import World
 
 SEEDS = range(300, 305)
 
@@ -28,7 +28,7 @@
 def fails(seed: int) -> bool:
     """Whether a check of the random trouble fails."""
     try:
-        play_alone(random_trouble, seed=seed)
+        play_alone(random_faults, seed=seed)
     except Exception as error:
         if isinstance(innermost(error), AssertionError):
             return True
@@ -50,13 +50,13 @@
             assert not any(fails(seed) for seed in SEEDS[:3])
 
 
-async def leader_cut_off_with_an_executor(cluster: Cluster, world: World, rng: Random) -> None:
+async def leader_cut_off_with_an_executor(cluster: Cluster, world: Simulation, rng: Random) -> None:
     """Leave a leader alone with one executor, while the others lead and can't reach that one."""
     world.run_lasts_s = (18.0, 20.0)
     world.shows_progress = True
     world.fail_share = 0.0
     first = await cluster.wait_for_leader()
-    await hand_in(cluster, world, rng, 8, 0.02)
+    await submit_jobs(cluster, world, rng, 8, 0.02)
     await trio.sleep(1.0)
     others = [name for name in cluster.names if name != first]
     for name in others:
--- a/tests/test_cell_workspaces.py
+++ b/tests/test_cell_workspaces.py
@@ -6,8 +6,8 @@
 import trio
 
 from cell.cluster import Cluster, make_job
-from cell.play import play
-from cell.world import World
+from cell.scenarios import run_scenario
+from cell.simulation import Simulation
 from galenastall.coordination.cell.config_age import OUTDATED_AFTER_S, is_outdated
 from galenastall.protocol.cell.messages import SubmitVerdict
 from galenastall.state.cell.phases import JobPhase
@@ -30,14 +30,14 @@
     async def test_a_job_of_another_workspace_is_as_if_not_there(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             world.set_workspaces(A)
             job = make_job(world, rng, 1)
             world.set_workspaces(A, B)
             await trio.sleep(SPREADS_WITHIN_S)
             assert await cluster.submit(job)
-            desk = cluster.live["entry-1"].host.desk
+            desk = cluster.live["entry-1"].host.caller_handler
             assert (await desk.phase(job.job_id, patience_s=3.0, workspace="b")).unwrap() is None
             assert (await desk.cancel(job.job_id, patience_s=3.0, workspace="b")).unwrap() is None
             other = make_job(world, rng, 1)
@@ -47,7 +47,7 @@
             assert taken.verdict is SubmitVerdict.TAKEN
             assert await cluster.wait_ended(job.job_id) is JobPhase.COMPLETED
 
-        await play(scenario, seed=3)
+        await run_scenario(scenario, seed=3)
 
 
 class TestOutdated:
@@ -69,14 +69,14 @@
     async def test_a_call_by_an_outdated_version_is_let_in_anew(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             old = world.config.version
             world.set_workspaces(A)
             await trio.sleep(SPREADS_WITHIN_S + OUTDATED_AFTER_S)
             job = make_job(world, rng, 1)
             world.jobs[job.job_id] = job
-            desk = cluster.live["entry-1"].host.desk
+            desk = cluster.live["entry-1"].host.caller_handler
             submitted = await desk.submit(job, patience_s=3.0, config_version=old)
             assert submitted.is_outdated
             assert not submitted.may_be_stored
@@ -86,7 +86,7 @@
             again = await desk.submit(job, patience_s=3.0, config_version=version)
             assert again.verdict is SubmitVerdict.ACCEPTED
 
-        await play(scenario, seed=4)
+        await run_scenario(scenario, seed=4)
 
 
 class TestVersionsTravel:
@@ -94,7 +94,7 @@
     async def test_a_host_that_the_store_refuses_follows_through_others(
         self, autojump_clock: object, refused: str
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             leader = await cluster.wait_for_leader()
             await trio.sleep(1.0)
             follower = next(name for name in cluster.names if name != leader)
@@ -104,12 +104,12 @@
             await trio.sleep(SPREADS_WITHIN_S)
             assert cluster.live[name].host.config.version == world.config.version
 
-        await play(scenario, seed=5)
+        await run_scenario(scenario, seed=5)
 
     async def test_a_look_brings_a_version_that_no_read_has_brought_yet(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             world.set_workspaces(A)
@@ -117,10 +117,10 @@
             await config.look()
             assert config.version == world.config.version
 
-        await play(scenario, seed=6)
+        await run_scenario(scenario, seed=6)
 
     async def test_many_who_wait_share_a_look(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             config = cluster.live["entry-0"].host.config
@@ -139,4 +139,4 @@
             await config.look()
             assert looks == 1
 
-        await play(scenario, seed=7)
+        await run_scenario(scenario, seed=7)
--- a/tests/test_platform_access.py
+++ b/tests/test_platform_access.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from galenastall.node.cell.caller_desk import Submitted
+from galenastall.node.cell.caller_handler import SubmitOutcome
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.platform.access import KeyCheck, digest_of
 from galenastall.platform.config import WireConfig
@@ -145,11 +145,11 @@
 
     async def submit(
         self, job: CellJob, *, patience_s: float, config_version: int, may_be_stored: bool
-    ) -> Submitted:
+    ) -> SubmitOutcome:
         if config_version < self.least_version:
-            return Submitted(verdict=SubmitVerdict.UNKNOWN, is_outdated=True)
+            return SubmitOutcome(verdict=SubmitVerdict.UNKNOWN, is_outdated=True)
         self.jobs.append(job)
-        return Submitted(verdict=SubmitVerdict.ACCEPTED)
+        return SubmitOutcome(verdict=SubmitVerdict.ACCEPTED)
 
 
 async def ask(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,11 +13,11 @@
 import trio
 from returns.result import Failure, Result
 
-from cell.world import World
+from cell.simulation import Simulation
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
-from galenastall.node.cell.caller_desk import Submitted
+from galenastall.node.cell.caller_handler import SubmitOutcome
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.platform.advisor import PlatformAdvisor
 from galenastall.platform.calls import Address, PlatformCalls
@@ -220,7 +220,7 @@
     async def renew(self, born_ms: int | None, called_id: str) -> tuple[ListingAnswer, str]:
         """Return the answer to a call for the listing of `called_id`, and who is there."""
         async with trio.open_nursery() as nursery:
-            world = World(rng=Random(1), nursery=nursery, executors=1)
+            world = Simulation(rng=Random(1), nursery=nursery, executors=1)
             executor = world.executors["executor-1"]
             there_id = make_executor_id("executor-1", born_ms)
             executor.info = replace(executor.info, executor_id=there_id)
@@ -491,8 +491,8 @@
 class SlowDesk:
     """A desk that does not learn whether a job was stored."""
 
-    async def submit(self, job: CellJob, **_: object) -> Submitted:
-        return Submitted(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
+    async def submit(self, job: CellJob, **_: object) -> SubmitOutcome:
+        return SubmitOutcome(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
 
 
 class TestJobsFace:
@@ -756,7 +756,7 @@
         async with trio.open_nursery() as nursery:
             store = StoreFace()
             store_address = await serve(nursery, store)
-            world = World(rng=Random(1), nursery=nursery, executors=2)
+            world = Simulation(rng=Random(1), nursery=nursery, executors=2)
             world.fail_share = 0.0
             advisor = await serve(nursery, AdvisorFace())
             for executor_id in list(world.executors):
@@ -799,7 +799,7 @@
             assert (await callers[1].ask("POST", f"/q/{JOB}", body))[0] == 200
             assert await callers[1].wait_state(JOB, "completed") == "completed"
             assert await callers[0].ask("GET", "/q/") == (200, {"pending": 0})
-            leader = 0 if processes[0].host.standing.term is not None else 1
+            leader = 0 if processes[0].host.leadership.term is not None else 1
             scopes[leader].cancel()
             other = callers[1 - leader]
             assert await other.wait_state(JOB, "completed") == "completed"
@@ -825,7 +825,7 @@
 ANY = Anything()
 
 
-def remember(world: World, job_id: str, body: Any, config: CellConfig | None) -> None:
+def remember(world: Simulation, job_id: str, body: Any, config: CellConfig | None) -> None:
     """Tell the world what it will be asked to run."""
     assert config is not None
     queue = config.routes[0].queue
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -21,7 +21,7 @@
 from galenastall.platform.standin.processes import SOURCE, start_process
 from galenastall.platform.standin.server import PlatformStandin, StandinPlan
 from galenastall.platform.store import CLAIM_KEY, STATE_TOPIC
-from galenastall.standin.cell.live_world import JobPayload, StepPayload
+from galenastall.standin.cell.live_simulation import JobPayload, StepPayload
 from galenastall.state.resources import Resources
 from galenastall.transport.clock import TrioClock
 
