--- a/src/galenastall/node/cell/advice_dispatcher.py
+++ b/src/galenastall/node/cell/advice_dispatcher.py
@@ -1,4 +1,4 @@
-"""Spread calls for advice over the entry hosts: the advisor serves one a time for each of them."""
+"""Distributes calls for advice over the entry hosts; the advisor serves one at a time per host."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -17,15 +17,15 @@
 from galenastall.state.ids import HostId
 
 ADVICE_SLACK_S: Final = 0.5
-"""Wait for advice beyond the time that the call is known to take."""
+"""Time allowed for an answer beyond the call's expected duration."""
 MAX_TRIES: Final = 3
-"""Hosts through which one call is tried: some may just have been killed."""
+"""Hosts through which a call is tried before it fails: some may just have been killed."""
 AVOID_FAILED_HOST_S: Final = 1.0
 """How long a host through which a call failed is not used."""
 
 
 class AdviceDispatcher:
-    """Gives each call to a host that makes no other one; urgent calls go first."""
+    """Assigns each call to a host that has none under way; urgent calls go first."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         available_hosts: Callable[[], tuple[HostId, ...]],
         nursery: trio.Nursery,
     ) -> None:
-        """Ask through `helpers`, which include this host."""
+        """Make calls through `available_hosts`, which include this host."""
         self._context = context
         self._link = link
         self._available_hosts = available_hosts
         self._nursery = nursery
         self._urgent: deque[tuple[AskAdvice, int]] = deque()
         self._other: deque[tuple[AskAdvice, int]] = deque()
-        """Calls that wait for a host, with the tries that they have had."""
+        """Calls that wait for a host, with the number of tries so far."""
         self._busy: set[HostId] = set()
         self._avoided_until: dict[HostId, float] = {}
 
@@ -53,7 +53,7 @@
 
     @contextmanager
     def holding(self, host: HostId) -> Iterator[None]:
-        """Ask nothing through a host in the meantime: a call of an earlier leader has its turn."""
+        """Assign no calls to a host meanwhile: a call of an earlier leader is under way there."""
         self._busy.add(host)
         try:
             yield
--- a/src/galenastall/node/cell/advice_proxy.py
+++ b/src/galenastall/node/cell/advice_proxy.py
@@ -1,4 +1,4 @@
-"""Asks the advisor on behalf of the leader, one call at a time, and keeps what it says."""
+"""Calls the advisor on behalf of the leader, one call at a time, and caches the answers."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -23,12 +23,12 @@
 from galenastall.state.ids import HostId
 
 CACHED_ANSWERS: Final = 64
-"""Answers that a host keeps, a minute of its calls; each takes 2 kB."""
+"""Answers that a host caches: a minute of its calls, at 2 kB each."""
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """A call that has the advisor's turn."""
+    """A call to the advisor."""
 
     message: GetAdvice
     until: float
@@ -44,13 +44,13 @@
 
 
 class AdviceProxy:
-    """Serves the leader's calls for advice in their order.
+    """Serves the leader's calls for advice in order of arrival.
 
-    A call goes on when the leader that asked is lost, and its answer is kept for the next one.
+    A call continues after the leader that made it is lost; its answer is cached for the next one.
     """
 
     def __init__(self, *, link: PeerLink, advisor: AdvisorPort | None) -> None:
-        """Ask `advisor`; without one all calls are refused."""
+        """Forward calls to `advisor`; without one all calls are refused."""
         self._host_id = link.host_id
         self._advisor = advisor
         self._call_slot = trio.Lock()
@@ -62,7 +62,7 @@
 
     async def _on_get(self, _: HostId, message: GetAdvice) -> Any:
         if self._advisor is None:
-            return self._error(Reason.UNAVAILABLE, "the settings name no advisor")
+            return self._error(Reason.UNAVAILABLE, "no advisor is configured")
         call = _Call(message=message, until=trio.current_time() + message.timeout_s)
         with trio.move_on_at(call.until):
             async with self._call_slot:
@@ -119,7 +119,7 @@
         return self._last_answer(message.step)
 
     def _last_answer(self, step: StepKey) -> AdviceAnswer | StepError:
-        """Return the last answer about a step: its call may have ended just before."""
+        """Return the last answer if it is for this step: its call may just have ended."""
         if not self._cached or self._cached[-1].message.step != step:
             return self._error(Reason.UNAVAILABLE, "the call has ended without an answer")
         last = self._cached[-1]
@@ -128,7 +128,7 @@
 
     def _answer_of(self, call: _Call) -> AdviceAnswer | StepError:
         if call.answer is None:
-            return self._error(Reason.TIMEOUT, "no answer in time")
+            return self._error(Reason.TIMEOUT, "the advisor did not answer in time")
         return call.answer.failure() if isinstance(call.answer, Failure) else call.answer.unwrap()
 
     def _error(self, reason: Reason, detail: str) -> StepError:
--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -1,4 +1,4 @@
-"""A new leader collects the advice that hosts got for earlier leaders."""
+"""Lets a new leader collect the advice that hosts received for earlier leaders."""
 
 from collections.abc import Callable
 from typing import Final
@@ -21,21 +21,21 @@
 from galenastall.state.ids import HostId
 
 COLLECT_FOR_S: Final = 3.0
-"""How long hosts that a new leader hears for the first time are asked: tickets last for 2.5 s, and
-each host makes itself known within 0.5 s."""
+"""How long a new leader queries hosts that appear: tickets are valid for 2.5 s, and each host
+announces itself within 0.5 s."""
 ANSWER_WITHIN_S: Final = 0.5
-"""Wait for a host's answer, which takes some milliseconds."""
+"""Time-out for a host's answer, which takes some milliseconds."""
 FIRST_ANSWERS_WITHIN_S: Final = 0.15
-"""How long the first decision waits for the answers: a question put before would be put twice, and
-takes a second. Executors have not yet told what they run either."""
+"""How long the first decision waits for the answers: without them it would repeat calls that take
+a second. Executors have not yet listed their runs by then either."""
 POLL_EVERY_S: Final = 0.05
 
 
 class AdviceRecovery:
-    """Asks each host once, and waits for the calls that are under way there.
+    """Queries each host once for cached answers, and awaits the call that is under way there.
 
-    Without it the hosts of a new leader are busy for up to 1.1 s with calls whose answers are lost,
-    and everything is asked again.
+    Without it the hosts are busy for up to 1.1 s with calls whose answers are lost, and the new
+    leader has to repeat all calls.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         dispatcher: AdviceDispatcher,
         available_hosts: Callable[[], tuple[HostId, ...]],
     ) -> None:
-        """Ask `helpers`, which include this host; `desk` is told which of them are busy."""
+        """Query `available_hosts`, which include this host, and keep `dispatcher` off busy ones."""
         self._context = context
         self._link = link
         self._dispatcher = dispatcher
@@ -54,11 +54,11 @@
         self._queried: set[HostId] = set()
         self._unanswered: set[HostId] = set()
         self._answered = trio.Event()
-        """Set, and replaced, whenever a host has answered or failed to."""
+        """Set and replaced whenever a host has answered or its query has failed."""
         self._adopted = 0
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Collect; reports started once the hosts that are known have answered."""
+        """Collect advice; reports started once the known hosts have answered or timed out."""
         steps = self._context.core.kept_advice.wanted_steps()
         until = trio.current_time() + COLLECT_FOR_S
         async with trio.open_nursery() as nursery:
@@ -94,7 +94,11 @@
         event.set()
 
     def _adopt(self, answers: tuple[KeptAnswer, ...], *, asked_at: float) -> None:
-        """Take a host's answers; it measured the tickets' time after it was asked."""
+        """Adopt a host's answers.
+
+        The host measured the tickets' remaining time after `asked_at`, so counting from `asked_at`
+        is safe.
+        """
         for kept in answers:
             self._adopted += self._context.core.kept_advice.adopt(
                 kept.step,
--- a/src/galenastall/node/cell/call_counts.py
+++ b/src/galenastall/node/cell/call_counts.py
@@ -1,13 +1,13 @@
-"""How many calls a leader makes to executors, and how many of them get no answer in time."""
+"""Counts a leader's calls to executors, and those that get no answer in time."""
 
 from collections import Counter
 
 
 class CallCounts:
-    """Counts calls by what they are for."""
+    """Counts calls by kind."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start with all counts at zero."""
         self._calls: Counter[str] = Counter()
         self._unanswered: Counter[str] = Counter()
 
@@ -18,7 +18,7 @@
             self._unanswered[kind] += 1
 
     def take(self) -> dict[str, str]:
-        """Return the counts since the last time, as fields of a log line."""
+        """Return the counts since the last call of this method, as fields of a log event."""
         fields = {f"{kind}_calls": str(count) for kind, count in sorted(self._calls.items())}
         for kind, count in sorted(self._unanswered.items()):
             fields[f"{kind}_unanswered"] = str(count)
--- a/src/galenastall/node/cell/caller_handler.py
+++ b/src/galenastall/node/cell/caller_handler.py
@@ -1,4 +1,7 @@
-"""Callers' operations on jobs, from any entry host: found leader, retries, true refusals."""
+"""Callers' operations on jobs at any entry host: locates the leader, retries, and answers.
+
+A job is reported as not run only if that is certain.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -32,43 +35,43 @@
 """How long a submission waits for a leader before it is refused; a takeover takes about 1.1 s."""
 LEADERLESS_SHARE: Final = 0.6
 """Share of a caller's time after which a submission that a leader may have stored is answered while
-no leader is heard: in a data centre that is cut off the caller's next try may reach another one;
-it would else be told after 2.9 of its 3 s. A leader answers within 0.4 of that time."""
+there is no leader. In an isolated data centre the caller's next try can reach another one; without
+this limit it would be answered after 2.9 of its 3 s. A leader answers within 0.4 of that time."""
 ANSWER_MARGIN_S: Final = 0.15
-"""Kept of a caller's time for the way back."""
+"""Part of a caller's time reserved for returning the answer."""
 RETRY_S: Final = 0.05
 RETRY_AFTER_S: Final = 1.0
-"""When callers are told to come back: by then a takeover is mostly over."""
+"""Retry delay suggested to callers: by then most takeovers have finished."""
 _Call = TypeVar("_Call", SubmitJob, AskJob, CancelJob, CountPending)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SubmitOutcome:
-    """What became of a submission."""
+    """Outcome of a submission."""
 
     verdict: SubmitVerdict
     cause: str = ""
     retry_after_s: float = RETRY_AFTER_S
     is_outdated: bool = False
-    """Whether the leader has a newer configuration, by which the caller must be let in anew."""
+    """Whether the leader has a newer configuration, by which the caller must be admitted again."""
     may_be_stored: bool = False
     """Whether a try may have stored the job."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Deadlines:
-    """Until when a submission goes on, in this host's time."""
+    """Deadlines of a submission, in this host's time."""
 
     until: float
-    """When its caller has to have an answer."""
+    """When the caller must have an answer."""
     not_stored_until: float
-    """The same while no leader may have stored the job."""
+    """Deadline while no leader may have stored the job."""
     no_leader_until: float
-    """The same while no leader is heard."""
+    """Deadline while there is no leader."""
 
     @classmethod
     def of(cls, patience_s: float, *, now: float) -> "_Deadlines":
-        """Share out a caller's time."""
+        """Derive the deadlines from the time that the caller waits."""
         until = now + patience_s - ANSWER_MARGIN_S
         return cls(
             until=until,
@@ -79,24 +82,25 @@
         )
 
     def end(self, *, may_be_stored: bool) -> float:
-        """Return until when to go on."""
+        """Return until when to retry."""
         return self.until if may_be_stored else self.not_stored_until
 
     def answer_s(self, now: float) -> float:
         """Return how long a leader may take for an answer.
 
-        One that is heard and has not answered by `unheard_until` is slow, and may take all of it.
+        After `no_leader_until` a leader that still sends heartbeats is slow and gets all the time
+        that is left.
         """
         return (self.no_leader_until if now < self.no_leader_until else self.until) - now
 
 
 class CallerHandler:
-    """Passes callers' operations to the leader."""
+    """Forwards callers' operations to the leader, and serves them where this host leads."""
 
     def __init__(
         self, *, host_id: HostId, link: PeerLink, leadership: Leadership, config: ConfigWatcher
     ) -> None:
-        """Answer here if this host leads, else through `link`."""
+        """Forward to the leader named by `leadership`, through `link`."""
         self._host_id = host_id
         self._config = config
         self._link = link
@@ -114,14 +118,14 @@
         config_version: int = UNKNOWN_VERSION,
         may_be_stored: bool = False,
     ) -> SubmitOutcome:
-        """Hand a job in; NOT_RUN only if it is stored nowhere and never will be.
+        """Submit a job; returns NOT_RUN only if the job is not stored and never will be.
 
-        Only a leader can say that: without one, an earlier try of the same job may have been taken
-        elsewhere. `may_be_stored` says so of an earlier call here.
+        Only a leader can determine that: without one, an earlier try of the same job may have been
+        accepted elsewhere. `may_be_stored` says that an earlier call here may have stored it.
         """
         deadlines = _Deadlines.of(patience_s, now=trio.current_time())
-        cause = "no leader is heard"
-        # A leader that went away may have stored the job; the next one knows within a second.
+        cause = "no leader is known"
+        # A lost leader may have stored the job; the next one knows within a second.
         while trio.current_time() < deadlines.end(may_be_stored=may_be_stored):
             now = trio.current_time()
             if not self._leadership.has_leader and now >= deadlines.no_leader_until:
@@ -159,7 +163,8 @@
     ) -> Result[JobPhase | None, StepError]:
         """Return a job's phase, None if the workspace has no such job.
 
-        CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
+        Fails with CONFLICT if the leader has a newer configuration, by which the caller must
+        be admitted again.
         """
         return await self._query(
             AskJob,
@@ -179,7 +184,8 @@
     ) -> Result[JobPhase | None, StepError]:
         """Cancel a job; returns its phase, None if the workspace has no such job.
 
-        CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
+        Fails with CONFLICT if the leader has a newer configuration, by which the caller must
+        be admitted again.
         """
         return await self._query(
             CancelJob,
@@ -192,9 +198,10 @@
     async def pending(
         self, queue_name: str, *, patience_s: float, config_version: int = UNKNOWN_VERSION
     ) -> Result[int, StepError]:
-        """Return how many accepted jobs of a queue have had no start.
+        """Return how many accepted jobs of a queue have not had their first start.
 
-        CONFLICT: the leader has a newer configuration, by which the caller must be let in anew.
+        Fails with CONFLICT if the leader has a newer configuration, by which the caller must
+        be admitted again.
         """
         message = CountPending(queue_name=queue_name, config_version=config_version)
         answer = await self._retry(lambda _: message, patience_s)
@@ -223,9 +230,9 @@
     async def _retry(
         self, build: Callable[[float], object], patience_s: float
     ) -> Result[Any, StepError]:
-        """Repeat an idempotent call until it is answered or the time is over."""
+        """Retry an idempotent call until it is answered or the time is up."""
         until = trio.current_time() + patience_s - ANSWER_MARGIN_S
-        answer = self._failure(Reason.UNAVAILABLE, "no leader is heard")
+        answer = self._failure(Reason.UNAVAILABLE, "no leader is known")
         while trio.current_time() < until:
             left_s = until - trio.current_time()
             answer = await self._call(build(left_s), left_s)
@@ -235,14 +242,14 @@
         return answer
 
     async def _call(self, message: object, timeout_s: float) -> Result[Any, StepError]:
-        """Call the leader once; the call is broken off when another host leads."""
+        """Call the leader once; the call is cancelled when the leader changes."""
         leader = self._leadership.leader
         changed = self._leadership.changed
         if leader is None:
             with trio.move_on_after(min(timeout_s, RETRY_S)):
                 await changed.wait()
-            return self._failure(Reason.UNREACHABLE, "no leader is heard")
-        answer: Result[Any, StepError] = self._failure(Reason.CUT, "another host leads now")
+            return self._failure(Reason.UNREACHABLE, "no leader is known")
+        answer: Result[Any, StepError] = self._failure(Reason.CUT, "the leader has changed")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_when, changed, nursery.cancel_scope)
             answer = await self._link.call(peer=leader, message=message, timeout_s=timeout_s)
@@ -270,11 +277,11 @@
         message: _Call,
         serve: Callable[[LeaderHandler, _Call], Awaitable[Any]],
     ) -> Any:
-        """Answer a call to the leader, unless it was let in by a configuration that is outdated."""
+        """Serve a call as leader, unless it was admitted by an outdated configuration."""
         self._config.note_version(message.config_version, sender)
         handler = self._leadership.leader_handler
         if handler is None:
-            return self._refusal(Reason.NOT_OWNER, "this host does not lead")
+            return self._refusal(Reason.NOT_OWNER, "this host is not the leader")
         if self._config.is_outdated(message.config_version):
             detail = f"version {message.config_version} of the configuration is outdated"
             return self._refusal(Reason.CONFLICT, detail)
--- a/src/galenastall/node/cell/cell_host.py
+++ b/src/galenastall/node/cell/cell_host.py
@@ -1,4 +1,4 @@
-"""One entry host of a cell: its parts, wired together."""
+"""An entry host of a cell, assembled from its parts."""
 
 from dataclasses import dataclass
 from typing import Final, Protocol
@@ -27,12 +27,12 @@
 from galenastall.transport.logs import Recorder
 
 HANDOVER_S: Final = 0.3
-"""How long a stopping leader waits for its successor before it drains."""
+"""How long a stopping leader waits for its successor to take over before it drains."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellPorts:
-    """The platform, through its adapter."""
+    """The platform's ports, implemented by its adapter."""
 
     state: StatePort
     fleet: FleetPort
@@ -44,28 +44,28 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CellHostSettings:
-    """Who a host is."""
+    """Identity and election parameters of a host."""
 
     host_id: HostId
     peer_address: str
     """`IP:port` at which peers reach its link."""
     weight: float
-    """Cores that it can use for leading; heavier hosts are preferred as leaders."""
+    """Cores available for leading; hosts with a larger weight are preferred as leaders."""
     claim_delay_s: float
-    """This host's place among claimants, as a delay in seconds."""
+    """Delay in seconds before this host claims the leadership, which orders claimants."""
     may_start: bool
     """Whether the whole system may be starting for the first time."""
 
 
 class RunnableLink(PeerLink, Protocol):
-    """A peer link that has to be run."""
+    """A peer link with a `run` method."""
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; reports started once peers can connect."""
 
 
 class CellHost:
-    """Serves callers' operations, stands by for the leadership, and leads when it is its turn."""
+    """Serves callers' operations, takes part in the election, and leads when elected."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         clock: Clock,
         recorder: Recorder,
     ) -> None:
-        """Wire the parts; `run` starts them."""
+        """Create the parts; `run` starts them."""
         self._recorder = recorder
         self.link = link
         self.config = ConfigWatcher(port=ports.config, link=self.link, recorder=recorder)
@@ -126,7 +126,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should come here: one data centre that is cut off sends them on."""
+        """Whether new callers should be routed here; False in an isolated data centre."""
         return self.config.config is not None and self.leadership.is_confirmed
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -139,9 +139,9 @@
             self._recorder.record("host.started")
 
     async def leave(self, timeout_s: float) -> None:
-        """Hand over what others can take, within `timeout_s` and a little more.
+        """Hand over the leadership, within `timeout_s` plus `HANDOVER_S`.
 
-        Callers' operations go on being served, through the new leader.
+        Callers' operations are still served, through the new leader.
         """
         was_leading = self.leadership.term is not None
         await self.leadership.leave(timeout_s)
--- a/src/galenastall/node/cell/cell_metrics.py
+++ b/src/galenastall/node/cell/cell_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry host of a cell, beside the counts of its log events."""
+"""Metrics of an entry host of a cell, in addition to the counts of its log events."""
 
 from galenastall.node.cell.cell_host import CellHost
 from galenastall.transport.metrics import Histogram, Metrics
@@ -7,10 +7,10 @@
 
 
 class CellMetrics:
-    """Registers what a scrape shows."""
+    """Registers an entry host's histograms and gauges."""
 
     def __init__(self, *, metrics: Metrics) -> None:
-        """Create the histograms; gauges follow with `watch`."""
+        """Create the histograms; `watch` adds the gauges."""
         self._metrics = metrics
         self.submit_seconds: Histogram = metrics.histogram(
             "galenastall_submit_seconds",
@@ -20,7 +20,7 @@
         )
 
     def watch(self, host: CellHost) -> None:
-        """Show the state of a host at each scrape."""
+        """Register gauges that read the state of `host` at each scrape."""
         gauge = self._metrics.gauge
         leadership = host.leadership
         gauge(
--- a/src/galenastall/node/cell/commit_loop.py
+++ b/src/galenastall/node/cell/commit_loop.py
@@ -1,4 +1,4 @@
-"""Group commit: one append under the term's token at a time, repeated until its fate is known."""
+"""Group commit: one append at a time under the term's token, retried until its outcome is known."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -13,24 +13,24 @@
 from galenastall.state.errors import Reason, StepError
 
 SHORTEST_TIMEOUT_S: Final = 0.25
-"""Least wait for an append's answer before the next try, which takes 7 ms; where answers get lost,
-each lost one holds up all work for this long."""
+"""Minimum wait for an append's answer before the next try. An append takes 7 ms; each lost answer
+delays all work by this much."""
 TIMEOUT_FACTOR: Final = 4.0
-"""The next try begins after this many times what appends took lately."""
+"""The next try begins after this many times the duration of the last answered append."""
 NEXT_TRY_AFTER_S: Final = 0.3
-"""Pause between further tries; a store that comes back is found out within it."""
+"""Interval between further tries, and thus the longest delay until a recovered store is noticed."""
 ANSWER_WITHIN_S: Final = 1.5
-"""How long a try may take; a slow store takes up to 0.4 s."""
+"""Time-out of a try; a slow store takes up to 0.4 s."""
 MAX_UNDER_WAY: Final = 4
-"""Tries under way at once: half of the connections to the store."""
+"""Limit of concurrent tries: half of the connections to the store."""
 RETRY_PAUSE_S: Final = 0.05
-"""Pause before an append is repeated under its sequence number."""
+"""Pause after a failed try before the append is retried under the same sequence number."""
 CONFIRM_KEY: Final = "confirm"
-"""Key that an idle leader rewrites."""
+"""Key that an idle leader rewrites to have the store confirm its term."""
 
 
 def split_appends(values_by_key: dict[str, bytes], *, max_bytes: int) -> list[dict[str, bytes]]:
-    """Split values into appends of at most so many bytes, in their order; a value stays whole."""
+    """Split values, in order, into appends of at most `max_bytes`; a value is never split."""
     parts: list[dict[str, bytes]] = [{}]
     size = 0
     for key, value in values_by_key.items():
@@ -44,7 +44,7 @@
 
 
 class _PendingAppend:
-    """One append, tried until its fate is known."""
+    """An append that is retried until its outcome is known."""
 
     def __init__(self, *, values_by_key: dict[str, bytes]) -> None:
         self.values_by_key = values_by_key
@@ -53,7 +53,7 @@
         self.is_over = False
         self.failure: StepError | None = None
         self.answered = trio.Event()
-        """Set, and replaced, whenever a try has ended."""
+        """Set and replaced whenever a try has ended."""
 
     def notify(self) -> None:
         event, self.answered = self.answered, trio.Event()
@@ -61,7 +61,7 @@
 
 
 class CommitLoop:
-    """Writes the core's batches."""
+    """Makes the core's batches durable."""
 
     def __init__(
         self,
@@ -73,8 +73,8 @@
     ) -> None:
         """Write to `state` in the term of `context`.
 
-        `read_anew` brings what starts must keep to; it is called before the first starts of the
-        term, and after an outage.
+        `refresh_inputs` rereads the capacities and limits that bound starts; it is called before
+        the first starts of the term and after each outage.
         """
         self._context = context
         self._state = state
@@ -83,20 +83,20 @@
         self._sequence = 0
         self._requested = trio.Event()
         self._inputs_may_be_stale = True
-        """Whether no start has left since the term began, or since the store was away."""
+        """Whether no start has been sent since the term began or the store last failed."""
         self.last_append_s = 0.0
-        """How long the last answered append took."""
+        """Duration of the last answered append."""
         self.failing_since: float | None = None
-        """When appends began to fail; None while they go through."""
+        """When appends began to fail; None while they succeed."""
         self.refused_since: float | None = None
-        """When the store began to refuse appends; None while they go through."""
+        """When the store began to refuse appends; None while they succeed."""
 
     def request(self) -> None:
-        """Ask for an append soon."""
+        """Request an append soon."""
         self._requested.set()
 
     async def run(self, send: Callable[[list[StartOrder]], None]) -> None:
-        """Append until cancelled; starts that may leave go to `send`."""
+        """Append until cancelled; pass starts that have become durable to `send`."""
         begun_at = float("-inf")
         while True:
             with trio.move_on_after(self._timings.confirm_every_s):
@@ -107,20 +107,22 @@
             send(await self.commit())
 
     async def commit(self) -> list[StartOrder]:
-        """Make all changes so far durable; return the starts that may leave.
+        """Make all changes so far durable; return the starts that may be sent.
 
-        Nothing is acted on before its last part is durable. Parts that a lost term leaves behind
-        hold assignments whose orders never left, which the next leader's first listings settle.
+        A batch takes effect only once its last part is durable. If the term is lost in between, the
+        written parts contain assignments whose orders were never sent; the next leader resolves
+        them with the first listings.
         """
         context = self._context
         batch = context.core.take_batch()
         values = batch.values_by_key or {CONFIRM_KEY: b"%d" % self._sequence}
-        # A store refuses an append above its limit as often as it is sent, and all work would stop.
+        # The store refuses an append above its size limit on every retry, so all work would stop.
         for part in split_appends(values, max_bytes=self._state.append_bytes):
             self._sequence += 1
             await self._append(part)
         if batch.starts and self._inputs_may_be_stale:
-            # Capacities and limits may have shrunk meanwhile, and executors need not guard theirs.
+            # Capacities and limits may have shrunk meanwhile, and executors do not have to enforce
+            # their own.
             await self._refresh_inputs()
             self._inputs_may_be_stale = False
         starts = context.core.commit(batch, wall=context.wall())
@@ -129,13 +131,14 @@
         return starts
 
     async def _append(self, values_by_key: dict[str, bytes]) -> None:
-        """Append, and again beside a try that gets no answer, until one is answered.
+        """Append, with concurrent retries while earlier tries are unanswered, until one succeeds.
 
-        The store takes each sequence number once, so tries under way at once do no harm. With one
-        try a time a leader was found silent at the end of an outage, for the last one still hung.
+        The store applies each sequence number once, so concurrent tries are harmless. With a single
+        try at a time, a leader appeared unresponsive at the end of an outage because its last try
+        still hung.
         """
         pending = _PendingAppend(values_by_key=values_by_key)
-        # Each try keeps a slow store busy for some more 0.2 s, so the second waits longer there.
+        # Each try costs a slow store about 0.2 s more, so the second try waits longer there.
         pause_s = max(SHORTEST_TIMEOUT_S, TIMEOUT_FACTOR * self.last_append_s)
         async with trio.open_nursery() as nursery:
             while not pending.is_over:
@@ -173,7 +176,7 @@
         pending.notify()
 
     def _update_outage(self, pending: "_PendingAppend") -> None:
-        """Note that appends fail, or go through again."""
+        """Record that appends fail, or succeed again."""
         if pending.is_over:
             self._note_regained()
         elif self.failing_since is None:
--- a/src/galenastall/node/cell/config_watcher.py
+++ b/src/galenastall/node/cell/config_watcher.py
@@ -1,4 +1,4 @@
-"""Keeps this host's configuration: never an older version than one already in force."""
+"""Keeps this host's configuration up to date, and never replaces it by an older version."""
 
 from typing import Any, Final
 
@@ -16,28 +16,28 @@
 RETRY_S: Final = 0.3
 """Pause after a read that failed."""
 PEER_TIMEOUT_S: Final = 0.8
-"""Wait for another host's configuration."""
+"""Time-out for another host's configuration."""
 REFRESH_WITHIN_S: Final = 0.4
-"""Longest look for a newer version: callers wait for it."""
+"""Time-out of a refresh, which callers wait for."""
 REFRESH_EVERY_S: Final = 0.3
-"""Least time between two looks: any number of unknown keys costs three looks a second."""
+"""Minimum time between two refreshes, so that any number of unknown keys costs three a second."""
 
 
 class ConfigWatcher:
-    """Follows the configuration, from the store and from whichever host has a newer version."""
+    """Follows the configuration in the store, and at the host that last announced a newer one."""
 
     def __init__(self, *, port: ConfigPort, link: PeerLink, recorder: Recorder) -> None:
-        """Read from `port`."""
+        """Read from `port`, and from other hosts through `link`."""
         self._port = port
         self._link = link
         self._recorder = recorder
         self._newer_version_seen = trio.Event()
         self._source: HostId | None = None
-        """Whom to ask: the host that was last heard of."""
+        """The host that last announced this version or a newer one."""
         self._is_lost = False
         self._in_force_since = 0.0
         self._refresh_ended: trio.Event | None = None
-        """Set at the end of the look that is under way."""
+        """Set when the refresh under way ends; None if there is none."""
         self._refreshed_at = float("-inf")
         self.config: CellConfig | None = None
         link.handle(GetConfig, self._on_get)
@@ -52,12 +52,12 @@
         return self.config.version if self.config is not None else UNKNOWN_VERSION
 
     def is_outdated(self, version: int) -> bool:
-        """Whether a call that was let in by an older version must be looked at anew."""
+        """Whether a call admitted by this version must be admitted again by the current one."""
         own_for_s = trio.current_time() - self._in_force_since
         return is_outdated(version=version, own_version=self.version, own_for_s=own_for_s)
 
     def note_version(self, version: int, host: HostId | None) -> None:
-        """Note that a host has this version."""
+        """Record that a host has this version."""
         if host is None:
             return
         if version >= self.version:
@@ -66,7 +66,7 @@
             self._newer_version_seen.set()
 
     async def look(self) -> None:
-        """Look for a newer version now, at the store and at a host; one look serves all callers."""
+        """Query the store and a host for a newer version; concurrent callers share one query."""
         if self._refresh_ended is not None:
             with trio.move_on_after(REFRESH_WITHIN_S):
                 await self._refresh_ended.wait()
@@ -96,7 +96,7 @@
         other_query.cancel()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the configuration until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_hosts)
             while True:
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -1,4 +1,4 @@
-"""The leader's side of one executor: long polls that renew its lease, and orders."""
+"""The leader's session with one executor: long polls that renew its lease, and orders."""
 
 from typing import Final
 
@@ -13,25 +13,26 @@
 from galenastall.state.errors import StepError
 
 BUSY_WAIT_S: Final = 1.0
-"""Long poll of an executor that runs something: renews a lease ten times over."""
+"""Long poll of an executor that runs something: renews each lease ten times before it expires."""
 LONG_BUSY_WAIT_S: Final = 1.6
-"""The same while very many are polled; still within the time after which one gets no new work."""
+"""The same while very many are polled; still short enough that an executor keeps getting work."""
 LONG_POLL_THRESHOLD: Final = 500
-"""Executors polled at once from which on the longer poll is used: 500 calls a second take some
-0.4 s of the leader's thread."""
+"""The longer poll is used above this many concurrent polls: 500 calls a second take about 0.4 s of
+the leader's thread."""
 IDLE_WAIT_S: Final = 1.2
-"""Long poll of an idle executor; still within the time after which it gets no new work."""
+"""Long poll of an idle executor; still short enough that it keeps getting work."""
 LATE_ANSWER_S: Final = 0.6
-"""Wait for an answer beyond the long poll; a round trip takes 1 to 8 ms."""
+"""Time allowed for an answer beyond the long poll; a round trip takes 1 to 8 ms."""
 RETRY_S: Final = 0.2
 """Pause after a failed call."""
 DURABLE_WAIT_S: Final = 0.5
-"""How long the next poll waits until ends are durable; leases must go on in an outage."""
+"""How long the next poll waits for ends to become durable; in an outage leases must still be
+renewed."""
 ACKNOWLEDGES_WITHIN_S: Final = 1.0
-"""Ends are acknowledged while a listing is no older: an executor that has started again since would
-forget ends that nobody has read. Longer than DURABLE_WAIT_S, and shorter than a restart."""
+"""Ends are acknowledged only while the last listing is no older: an executor that has restarted
+since would forget ends that nobody has read. Longer than DURABLE_WAIT_S, shorter than a restart."""
 BATCH_PAUSE_S: Final = 0.02
-"""Pause between two polls, so that ends that come together cost one call."""
+"""Pause between two polls, so that ends that arrive together cost one call."""
 
 _OUTCOME_BY_VERDICT: Final = {
     StartVerdict.STARTED: StartOutcome.STARTED,
@@ -47,15 +48,15 @@
 
 
 class ExecutorSession:
-    """Polls one incarnation of an executor until it ends or the term does."""
+    """Polls one incarnation of an executor until the incarnation or the term ends."""
 
     def __init__(self, *, context: TermContext, executor: Executor) -> None:
-        """Speak to `executor` in the term of `context`."""
+        """Manage `executor` in the term of `context`."""
         self._context = context
         self._executor = executor
         self._is_polling_now = False
         self._woken = trio.Event()
-        """Set, and replaced, to end a wait for a turn."""
+        """Set and replaced to end a wait for a poll slot."""
         self._is_waiting_for_slot = False
 
     async def run(self) -> None:
@@ -80,7 +81,7 @@
         return executors_by_id.get(self._executor.executor_id) is self._executor
 
     async def _wait_for_poll_slot(self) -> bool:
-        """Wait until a poll may leave; return whether it had to wait."""
+        """Wait until a poll may be sent; return whether it had to wait."""
         if self._executor.needs_polling(trio.current_time()):
             return False
         slot_at = self._context.idle_polls.next_turn(trio.current_time())
@@ -93,7 +94,7 @@
         return True
 
     def wake(self) -> None:
-        """Poll now if the session waits for its turn; the executor has been given something."""
+        """Poll now if the session waits for a poll slot, because the executor was assigned work."""
         if self._is_waiting_for_slot:
             event, self._woken = self._woken, trio.Event()
             event.set()
@@ -101,7 +102,7 @@
     def _wait_s(self) -> float:
         executor = self._executor
         if executor.lost_at is not None or not executor.clock.is_known:
-            # An executor that starts again is to see its token before orders that come late.
+            # A restarted executor must see its new token before orders that arrive late.
             return 0.0
         if not self._executor.runs_by_task:
             return IDLE_WAIT_S
@@ -115,7 +116,7 @@
                 await self._context.committed.wait()
 
     async def poll_now(self) -> None:
-        """Get a listing now, beside the long poll."""
+        """Fetch a listing now, concurrently with the long poll."""
         if self._is_waiting_for_slot:
             self.wake()
             return
@@ -148,9 +149,9 @@
         return self._take(answer.unwrap(), asked_seq, token)
 
     def _noted(self) -> int:
-        """Return the position up to which ends may be forgotten.
+        """Return the position up to which the executor may forget ends.
 
-        It is 0 where the executor may have started again since its last listing.
+        It is 0 if the executor may have restarted since its last listing.
         """
         executor = self._executor
         is_confirmed = executor.lost_at is None and executor.has_answered(
@@ -159,11 +160,11 @@
         return executor.durable if is_confirmed else 0
 
     def _deadline_ms(self) -> int | None:
-        """Return the deadline to name now; None for an executor that does not answer.
+        """Return the lease deadline to send now; None for an executor that does not answer.
 
-        Each deadline that is named, also in a call that gets lost, puts off the time at which the
-        runs there count as lapsed, and grants a lease to one that has started again meanwhile. So
-        a call after one without an answer names none.
+        Each deadline sent, even in a call that gets lost, delays the time at which the runs there
+        count as expired, and grants a lease to an executor that has restarted meanwhile. So a call
+        that follows an unanswered one sends no deadline.
         """
         executor = self._executor
         if executor.lost_at is not None or executor.is_doubted or executor.has_restarted:
@@ -204,12 +205,12 @@
     def _on_failure(self, error: StepError) -> None:
         if self._executor.lost_at is None:
             self._executor.lost_at = trio.current_time()
-            # One that starts again and sees this token first refuses what was sent before.
+            # A restarted executor that sees this token first refuses all calls sent before.
             self._context.raise_token(self._executor.executor_id)
             self._context.note("executor.lost", self._executor.executor_id, cause=str(error))
 
     async def start(self, order: StartOrder) -> None:
-        """Send a start, and again with the same run number while its fate is open."""
+        """Send a start, and retry it with the same run number while its outcome is unknown."""
         context = self._context
         self.wake()
         is_wanted = True
@@ -223,9 +224,9 @@
                 await self._wait_for_listing(order)
 
     async def _wait_for_listing(self, order: StartOrder) -> None:
-        """Wait until a listing has told whether an order without an answer was carried out.
+        """Wait for a listing that shows whether an unanswered order was carried out.
 
-        An order that is sent again needlessly may be carried out late, by a later incarnation.
+        An order that is retried needlessly may be carried out late, by a later incarnation.
         """
         await trio.sleep(RETRY_S)
         while self._executor.is_doubted and self._context.core.is_wanted(order):  # noqa: ASYNC110
@@ -259,7 +260,7 @@
         return _OUTCOME_BY_VERDICT[verdict]
 
     async def throttle(self, order: PaceOrder) -> None:
-        """Send a pace; the core repeats it until it is confirmed."""
+        """Send a throttling rate; the core repeats it until it is confirmed."""
         context, executor = self._context, self._executor
         token = context.token_of(executor.executor_id)
         answer = await context.executors.pace(
@@ -286,7 +287,7 @@
             context.wake()
 
     def _is_carried_out(self, answer: Result[OrderAnswer, StepError], token: int) -> bool:
-        """Whether an order was carried out; one refused for its token ends the term."""
+        """Whether an order was carried out; an order refused for its token ends the term."""
         if isinstance(answer, Failure):
             return False
         verdict = answer.unwrap().verdict
@@ -295,7 +296,7 @@
         return verdict is StartVerdict.STARTED
 
     def _on_fenced(self, token: int) -> None:
-        """Give the term up, unless a later incarnation has been shown a higher token in it."""
+        """Give up the term, unless it issued a higher token itself, to a later incarnation."""
         executor_id = self._executor.executor_id
         if self._context.is_newest(executor_id, token):
             self._context.lose(f"executor {executor_id} has seen a higher token")
--- a/src/galenastall/node/cell/executor_sessions.py
+++ b/src/galenastall/node/cell/executor_sessions.py
@@ -1,4 +1,4 @@
-"""The leader's sessions with executors: one each, opened as they are listed."""
+"""The leader's sessions with executors: one per executor, opened when the executor is listed."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class ExecutorSessions:
-    """Opens sessions for the executors of a term's table, and hands orders to them."""
+    """Opens sessions for the executors in a term's table, and passes orders to them."""
 
     def __init__(self, *, context: TermContext, nursery: trio.Nursery) -> None:
         """Run sessions and orders in `nursery`."""
@@ -18,10 +18,10 @@
         self._nursery = nursery
         self._by_id: dict[str, ExecutorSession] = {}
         self._opened_version = -1
-        """Version of the table of executors at which sessions were opened last."""
+        """Version of the table of executors when sessions were last opened."""
 
     def open(self) -> None:
-        """Open sessions for executors that are new in the table; those of others end themselves."""
+        """Open sessions for executors new in the table; those of removed ones end on their own."""
         core = self._context.core
         if self._opened_version == core.executors_version:
             return
@@ -42,7 +42,7 @@
                 self._nursery.start_soon(session.start, order)
 
     def send_orders(self) -> None:
-        """Send the stops and paces of the last decision, and ask for the listings that it needs."""
+        """Send the last decision's stops and throttling rates, and fetch the listings it needs."""
         core = self._context.core
         for stop in core.take_stops():
             session = self._by_id.get(stop.executor_id)
--- a/src/galenastall/node/cell/fleet_follower.py
+++ b/src/galenastall/node/cell/fleet_follower.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of executors again and again, and at once when asked to."""
+"""Polls the platform's list of executors, periodically and on request."""
 
 from collections.abc import Callable
 from typing import Final
@@ -11,13 +11,13 @@
 from galenastall.protocol.cell.ports import FleetPort
 
 FLEET_EVERY_S: Final = 0.3
-"""Between two reads of the list: drains allow 2 s, and a read costs little."""
+"""Interval between two reads of the list: drains allow 2 s, and a read is cheap."""
 
 TakeList = Callable[[tuple[ExecutorInfo, ...]], None]
 
 
 class FleetFollower:
-    """Reads for one term."""
+    """Polls the list of executors during one term."""
 
     def __init__(self, *, context: TermContext, fleet: FleetPort) -> None:
         """Read from `fleet` in the term of `context`."""
@@ -27,10 +27,10 @@
         self._reading = trio.CancelScope()
         self._wanted = trio.Event()
         self._listed = trio.Event()
-        """Set, and replaced, whenever a list has come."""
+        """Set and replaced whenever a list has arrived."""
 
     async def run(self, take: TakeList) -> None:
-        """Read until cancelled; each list goes to `take`."""
+        """Poll until cancelled; pass each list to `take`."""
         while True:
             self._wanted = trio.Event()
             with trio.CancelScope() as self._reading:
@@ -39,7 +39,7 @@
                 await self._wanted.wait()
 
     async def read_now(self, *, within_s: float) -> None:
-        """Wait for a list that is asked for from now on, for so many seconds at most."""
+        """Wait up to `within_s` for a list whose read starts after this call."""
         self._wanted.set()
         self._reading.cancel()
         with trio.move_on_after(within_s):
--- a/src/galenastall/node/cell/handover.py
+++ b/src/galenastall/node/cell/handover.py
@@ -1,4 +1,4 @@
-"""A leader gives its place to a host that can carry the work better."""
+"""Handover of the leadership to a host that is better able to lead."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -18,18 +18,18 @@
 from galenastall.transport.logs import Recorder
 
 CHECK_EVERY_S: Final = 0.1
-"""Between two looks at who should lead: a leader that is too small fails starts meanwhile."""
+"""Interval between checks for a better leader: one that is too small fails starts meanwhile."""
 CAN_LEAD_WITHIN_S: Final = 0.4
-"""Wait for a host's answer that it reaches the store; slower ones would lead no better."""
+"""Time-out for a host to confirm that it reaches the store; a slower one would lead no better."""
 CAN_LEAD_RETRY_S: Final = 5.0
-"""A host that could not lead is not asked again before."""
+"""Pause before a host that could not lead is queried again."""
 
 
 class LeaderHandover:
-    """Watches one term, and ends it in favour of a better host.
+    """Monitors one term and ends it in favour of a better host.
 
-    The successor has just reached the store, or the handover would leave nobody to lead. Leading
-    goes on until then.
+    The successor must first confirm that it reaches the store, or the handover could leave the cell
+    without a leader. This host leads until then.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         read_store: Callable[[], Awaitable[Result[StoreView, StepError]]],
         on_behind: Callable[[], None],
     ) -> None:
-        """`look` looks at the store; `on_behind` is told if this host falls behind."""
+        """`on_behind` is called if this host hands over because it falls behind."""
         self._read_store = read_store
         self._term = term
         self._peers = peers
@@ -57,7 +57,7 @@
         self._not_before_by_host: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Watch until the term is handed over or cancelled."""
+        """Monitor the term until it is handed over or cancelled."""
         while True:
             await trio.sleep(CHECK_EVERY_S)
             handover = self._propose()
@@ -82,9 +82,9 @@
         return handover_of(health, contenders)
 
     async def _is_confirmed(self, handover: Handover) -> bool:
-        """Whether the successor can lead, and this host can't if that is the reason.
+        """Whether the successor can lead and, if the cause is the store, this host still cannot.
 
-        A store that is back after an outage serves both; a leader that stays keeps its place.
+        After an outage the store serves both hosts, and then the leader stays.
         """
         found: list[bool] = []
         async with trio.open_nursery() as nursery:
--- a/src/galenastall/node/cell/hosts_driver.py
+++ b/src/galenastall/node/cell/hosts_driver.py
@@ -1,4 +1,4 @@
-"""The leader's side of hosts: their list, orders to them, and what the operator is told."""
+"""The leader's work on hosts: polls their list, sends them orders, reports maintenance waves."""
 
 from typing import Final
 
@@ -11,17 +11,17 @@
 from galenastall.state.errors import Reason, StepError
 
 POLL_EVERY_S: Final = 0.5
-"""Between two looks at waves, and at the list of hosts while it is needed; a host is down for 2 s,
-and reads of the list are priced."""
+"""Interval between two reads of the waves, and of the list of hosts while it is needed; a host is
+down for 2 s, and reads of the list are charged for."""
 RETRY_S: Final = 0.3
-"""Pause before an order or a message to the operator is repeated."""
+"""Pause before an order or a report to the operator is retried."""
 
 
 class HostsDriver:
-    """Follows hosts and waves during one term."""
+    """Follows hosts and maintenance waves during one term."""
 
     def __init__(self, *, context: TermContext, hosts: HostsPort, host_id: str) -> None:
-        """Give orders in the name of `host_id`, which leads in the term of `context`."""
+        """Send orders as `host_id`, which leads in the term of `context`."""
         self._context = context
         self._hosts = hosts
         self._host_id = host_id
@@ -51,7 +51,7 @@
         self._context.wake()
 
     async def _report_wave(self, number: int, *, is_completed: bool) -> None:
-        """Tell the operator of a wave, once its state is durable here."""
+        """Report a wave's state to the operator once it is durable."""
         await self._context.committed.wait()
         self._sequence += 1
         while True:
@@ -68,7 +68,7 @@
             await trio.sleep(RETRY_S)
 
     async def send(self, order: HostOrder) -> None:
-        """Send an order until its fate is known."""
+        """Send an order, and retry it until its outcome is known."""
         context = self._context
         is_wanted = True
         while is_wanted:
--- a/src/galenastall/node/cell/leader_handler.py
+++ b/src/galenastall/node/cell/leader_handler.py
@@ -1,4 +1,4 @@
-"""Answers entry hosts' calls about jobs in the leader's name."""
+"""The leader's handlers for entry hosts' calls about jobs."""
 
 from collections.abc import Callable
 from typing import Final
@@ -22,12 +22,12 @@
 from galenastall.state.errors import Reason, StepError
 
 BEGIN_WITHIN_S: Final = 0.7
-"""A submission whose writing has not begun by then is withdrawn and answered as not run."""
+"""A submission whose append has not begun by then is withdrawn and answered as not run."""
 SHARE_OF_PATIENCE: Final = 0.4
-"""Of the time that a caller waits, at most this much is spent before it is told that its job is
-not stored or that this is not known: it can still ask again."""
+"""Largest share of a caller's time after which it is answered that its job is not stored, or that
+the outcome is unknown, so that it can still retry."""
 STORE_OUTAGE_S: Final = 0.5
-"""Once appends have failed for longer, submissions are refused at once: they would only wait."""
+"""Once appends have failed for longer, submissions are refused at once instead of waiting."""
 
 
 class LeaderHandler:
@@ -36,13 +36,13 @@
     def __init__(
         self, *, term: LeaderTerm, host_id: str, has_followers: Callable[[], bool]
     ) -> None:
-        """Answer from the core of `term`; `has_followers` says whether most hosts follow it."""
+        """Answer from the core of `term`; `has_followers`: whether most hosts follow it."""
         self._term = term
         self._host_id = host_id
         self._has_followers = has_followers
 
     async def submit(self, message: SubmitJob) -> SubmitAnswer | StepError:
-        """Take a job in, and answer once its fate is known or the caller's patience ends."""
+        """Accept a job; answer once the outcome is known or the caller's time share is used up."""
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
         term = self._term
@@ -59,7 +59,7 @@
         if term.core.withdraw(message.job.job_id):
             if term.loss:
                 return self._error(Reason.NOT_OWNER, term.loss)
-            term.context.note("job.withdrawn", message.job.job_id, cause="the store is away")
+            term.context.note("job.withdrawn", message.job.job_id, cause="the store is unavailable")
             return self._not_stored()
         await self._wait_durable(run, max(timeout_s - BEGIN_WITHIN_S, 0.0))
         if run.is_durable:
@@ -67,18 +67,18 @@
         return SubmitAnswer(verdict=SubmitVerdict.UNKNOWN, cause="no answer from the store")
 
     def _not_stored(self) -> SubmitAnswer:
-        """Answer for a job that this leader has not stored, while the store is away.
+        """Answer for a job that this leader has not stored while the store is unavailable.
 
-        While most hosts follow this leader there is no other, so no one else has stored it either.
+        While most hosts follow this leader there is no other, so no other can have stored the job.
         """
-        cause = "the store is away"
+        cause = "the store is unavailable"
         if self._has_followers():
             return SubmitAnswer(verdict=SubmitVerdict.NOT_RUN, cause=cause)
         cause += ", and so are most hosts"
         return SubmitAnswer(verdict=SubmitVerdict.UNKNOWN, cause=cause)
 
     async def _wait_durable(self, run: JobRun, timeout_s: float) -> None:
-        """Wait until a job's acceptance is durable, the time is over or the term has ended."""
+        """Wait until a job's acceptance is durable, the time is up or the term has ended."""
         with trio.move_on_after(timeout_s):
             while not run.is_durable and not self._term.loss:
                 await self._term.context.committed.wait()
@@ -90,7 +90,7 @@
         run = self._find(message)
         if run is not None and run.is_durable:
             return JobAnswer(phase=run.shown_phase)
-        # Only a leader whom the store confirms after the question may say that a job is unknown.
+        # Only a leader confirmed by the store after the query arrived may call a job unknown.
         if not await self._confirm(message.patience_s):
             return self._error(Reason.UNAVAILABLE, "the store does not confirm this leader")
         run = self._find(message)
@@ -115,17 +115,17 @@
                 await term.context.committed.wait()
         if run.shown_phase in ENDED_PHASES:
             return JobAnswer(phase=run.shown_phase)
-        return self._error(Reason.TIMEOUT, "cancelled, and not yet durable")
+        return self._error(Reason.TIMEOUT, "cancelled, but not yet durable")
 
     def _find(self, message: AskJob | CancelJob) -> JobRun | None:
-        """Return the job that is asked for; None if the caller's workspace has none of that id."""
+        """Return the requested job; None if the caller's workspace has no job with this id."""
         run = self._term.core.jobs_by_id.get(message.job_id)
         if run is None or not may_see(owner=run.job.workspace, workspace=message.workspace):
             return None
         return run
 
     async def count_pending(self, message: CountPending) -> PendingAnswer | StepError:
-        """Return how many jobs of a queue wait for their first start."""
+        """Return how many accepted jobs of a queue wait for their first start."""
         if not self._term.ready.is_set():
             return self._error(Reason.NOT_OWNER, "not leading yet")
         return PendingAnswer(count=self._term.core.pending_of(message.queue_name))
@@ -136,7 +136,7 @@
         return self._term.ready.is_set() and not self._term.loss
 
     async def _confirm(self, timeout_s: float) -> bool:
-        """Whether the store confirms the term by a call sent from now on."""
+        """Whether the store confirms the term by a call sent after this point."""
         asked_at = trio.current_time()
         self._term.request_commit()
         with trio.move_on_after(timeout_s):
--- a/src/galenastall/node/cell/leader_search.py
+++ b/src/galenastall/node/cell/leader_search.py
@@ -1,4 +1,4 @@
-"""How a host that hears no leader learns of one from other hosts."""
+"""Finds the leader by querying other hosts while this host receives no heartbeats."""
 
 from bisect import bisect_right
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 from galenastall.state.ids import HostId
 
 QUERY_EVERY_S: Final = 0.5
-"""Between two rounds of questions while no leader is heard."""
+"""Interval between two rounds of queries while there is no leader."""
 QUERIED_AT_ONCE: Final = 3
-"""Hosts that a round asks: the one that led before, and others in turn."""
+"""Hosts queried in a round: the previous leader, and others in rotation."""
 QUERY_TIMEOUT_S: Final = 0.3
-"""Wait for their answers, which take some milliseconds."""
+"""Time-out for their answers, which take some milliseconds."""
 
 
 class LeaderView(Protocol):
@@ -24,33 +24,34 @@
 
     @property
     def has_leader(self) -> bool:
-        """Whether this host leads or hears who does."""
+        """Whether this host leads or receives a leader's heartbeats."""
 
     @property
     def last_leader(self) -> str:
-        """The leader that was heard last; empty if none was."""
+        """The leader whose heartbeat arrived last; empty if none ever did."""
 
     @property
     def other_hosts(self) -> Iterable[str]:
         """All other hosts whose addresses are known."""
 
     def leader_answer(self) -> LeaderAnswer:
-        """Return the leader that is heard here."""
+        """Return the leader that this host follows."""
 
     def on_leader_answer(self, found: LeaderAnswer) -> None:
-        """Take what another host has said of the leader."""
+        """Process another host's answer about the leader."""
 
 
 class LeaderSearch:
-    """Asks other hosts who leads while none is heard, and answers them.
+    """Queries other hosts for the leader while there is none, and answers their queries.
 
-    A leader makes itself known to the hosts that it knows of, and the others find it at the store.
-    A host that can't reach the store, or that stops, would not learn of a leader that has just
-    started: such hosts refused all callers for 5 s beside a leader that they could reach.
+    A leader sends heartbeats to the hosts that it knows of, and the other hosts find it in the
+    store. A host that cannot reach the store, or that is stopping and does not read it, would not
+    learn of a newly started leader: such hosts refused all callers for 5 s although they could
+    reach that leader.
     """
 
     def __init__(self, *, link: PeerLink, view: LeaderView) -> None:
-        """Ask through `link`."""
+        """Query hosts through `link`, for the leadership state in `view`."""
         self._link = link
         self._view = view
         self._queried_last: str = link.host_id
@@ -67,7 +68,7 @@
                     nursery.start_soon(self._query, host)
 
     def _next_queried(self) -> list[str]:
-        """Return the host that led before, which hears its successor first, and others in turn."""
+        """Return the previous leader, which learns of its successor first, and others in turn."""
         before = self._view.last_leader
         others = sorted(set(self._view.other_hosts) - {before})
         split = bisect_right(others, self._queried_last)
--- a/src/galenastall/node/cell/leader_term.py
+++ b/src/galenastall/node/cell/leader_term.py
@@ -1,4 +1,4 @@
-"""One term of leadership, from the claim to the loss of it."""
+"""One leader term, from the claim until the leadership is lost or given up."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -30,24 +30,25 @@
 from galenastall.transport.logs import Recorder
 
 DECIDE_EVERY_S: Final = 0.004
-"""Least time between two decisions, so that events that come together share one."""
+"""Minimum time between two decisions, so that events that arrive together share one."""
 DECIDE_PAUSE_FACTOR: Final = 3.0
-"""A decision is followed by a pause of so many times its own length, so that deciding takes a
-quarter of the leader's time at most, and polls and appends go on beside it."""
+"""A decision is followed by a pause of this many times its duration, so that deciding takes at most
+a quarter of the leader's time and polls and appends can proceed."""
 DECIDE_AT_LEAST_EVERY_S: Final = 0.1
-"""Longest time between two decisions: leases lapse and occurrences come due without an event."""
+"""Longest time between two decisions: leases expire and occurrences come due without an event."""
 LIST_WITHIN_S: Final = 0.5
-"""How long starts wait for the list of executors after an outage: it may still be away where
-appends go through, and a read takes 7 ms."""
+"""How long starts wait for the list of executors after an outage: it can still be unavailable when
+appends succeed again; a read takes 7 ms."""
 LOAD_RETRY_S: Final = 0.1
 REPORT_EVERY_S: Final = 1.0
 SLOW_APPEND_S: Final = 0.1
-"""An append takes 7 ms; with one above this a takeover takes a second and more."""
+"""Appends above this count as slow: a normal one takes 7 ms, and with a slow store a takeover takes
+more than a second."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TermParts:
-    """What a term needs; the same for all terms of a process."""
+    """Dependencies of a term, shared by all terms of a process."""
 
     state: StatePort
     fleet: FleetPort
@@ -60,11 +61,11 @@
     timings: CellTimings
     config: Callable[[], CellConfig | None]
     refresh_config: Callable[[], Awaitable[None]]
-    """Brings a newer version of `config`, if there is one."""
+    """Fetches a newer version of `config`, if there is one."""
     available_hosts: Callable[[], tuple[HostId, ...]]
-    """Entry hosts through which the advisor can be asked."""
+    """Entry hosts through which the advisor can be called."""
     lag_s: Callable[[], float]
-    """By how many seconds the loop of this process is late on average."""
+    """Average lag of this process's event loop in seconds."""
     without: Without = ALL_ON
 
 
@@ -98,35 +99,35 @@
         self._scope = trio.CancelScope()
         self._config_version = -1
         self.ready = trio.Event()
-        """Set once the stored state was taken over."""
+        """Set once the stored state has been loaded."""
         self.loss = ""
-        """Why the term has ended; empty before."""
+        """Why the term has ended; empty while it lasts."""
 
     @property
     def confirm_age_s(self) -> float:
-        """Seconds since the sending of the last call that the store confirmed."""
+        """Seconds since the last call that the store confirmed was sent."""
         return trio.current_time() - self.context.confirmed_at
 
     @property
     def store_outage_s(self) -> float:
-        """For how long appends have failed; 0 while they go through."""
+        """For how long appends have failed; 0 while they succeed."""
         since = self._commits.failing_since
         return 0.0 if since is None else trio.current_time() - since
 
     @property
     def store_refuses_s(self) -> float:
-        """For how long the store has refused appends; 0 while they go through."""
+        """For how long the store has refused appends; 0 while they succeed."""
         since = self._commits.refused_since
         return 0.0 if since is None else trio.current_time() - since
 
     @property
     def last_append_s(self) -> float:
-        """How long the last answered append took."""
+        """Duration of the last answered append."""
         return self._commits.last_append_s
 
     @property
     def is_store_slow(self) -> bool:
-        """Whether the store takes its time, so that a takeover would, too."""
+        """Whether the store is slow, so that a takeover would be slow as well."""
         confirm_is_late = self.confirm_age_s > self._parts.timings.confirm_every_s + SLOW_APPEND_S
         return confirm_is_late or self._commits.last_append_s > SLOW_APPEND_S
 
@@ -142,12 +143,13 @@
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Fence, load and lead; returns when the term has ended."""
+        """Fence earlier terms, load the state and lead; returns when the term has ended."""
         with self._scope:
             if await self._fence():
                 async with trio.open_nursery() as nursery:
-                    # A leader that loads is alive, and its confirmations show that: seven hosts
-                    # claimed one after the other while the one before was loading, 15 s in all.
+                    # Commits run while the state loads, so that the other hosts see that this
+                    # leader is alive. Without that, seven hosts claimed in turn, each while the
+                    # one before was still loading, for 15 s in all.
                     sessions = ExecutorSessions(context=self.context, nursery=nursery)
                     nursery.start_soon(self._commits.run, sessions.start)
                     if not await self._load():
@@ -184,7 +186,7 @@
         return True
 
     async def _load(self) -> bool:
-        """Read the stored state; False if that takes so long that another host should lead."""
+        """Read the stored state; False on a time-out, after which another host should lead."""
         error: StepError | None = None
         begun_at = trio.current_time()
         with trio.move_on_after(self._parts.timings.load_within_s):
@@ -195,7 +197,7 @@
                     return True
                 error = answer.failure()
                 await trio.sleep(LOAD_RETRY_S)
-        self._on_lost(f"load: {error or 'not in time'}")
+        self._on_lost(f"load: {error or 'timed out'}")
         return False
 
     def _restore(self, values_by_key: dict[str, bytes], *, took_s: float) -> None:
@@ -230,7 +232,7 @@
             await trio.sleep(max(DECIDE_EVERY_S, DECIDE_PAUSE_FACTOR * took_s))
 
     async def _report_forever(self) -> None:
-        """Tell how far behind this host's loop is, and what calls it makes to executors."""
+        """Log the event loop's lag, the last append's duration and the calls to executors."""
         while True:
             await trio.sleep(REPORT_EVERY_S)
             fields = self.context.call_counts.take()
@@ -239,7 +241,7 @@
             self.context.note("leader.load", lag_ms=lag_ms, append_ms=append_ms, **fields)
 
     async def _refresh_inputs(self) -> None:
-        """Read the configuration and the list of executors as they are now."""
+        """Read the current configuration and list of executors."""
         await self._parts.refresh_config()
         self._apply_config()
         await self._fleet.read_now(within_s=LIST_WITHIN_S)
@@ -277,5 +279,5 @@
             self._commits.request()
 
     def request_commit(self) -> None:
-        """Have changes made durable soon, without waiting for the next decision."""
+        """Request an append without waiting for the next decision."""
         self._commits.request()
--- a/src/galenastall/node/cell/leadership.py
+++ b/src/galenastall/node/cell/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, as this host knows it: heartbeats, looks at the store, claims and terms."""
+"""This host's leadership state: heartbeats, reads of the store, claims and terms."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -26,15 +26,15 @@
 from galenastall.transport.logs import Recorder
 
 TICK_S: Final = 0.05
-"""Between two looks at what to do about the leadership."""
+"""Interval between two steps of the election."""
 HELLO_EVERY_S: Final = 0.5
-"""Between two messages by which a standby makes itself known to the leader."""
+"""Interval between two `Hello` messages of a standby to the leader."""
 HANDOVER_TRIES: Final = 3
-"""Looks and claims at a handover; an append of the leader that stops may come in between."""
+"""Reads and claims at a handover: an append of the stopping leader between them fails a claim."""
 
 
 class Leadership:
-    """Runs the election on this host, and the term when it wins."""
+    """Runs the election on this host, and a leader term whenever this host wins."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         timings: CellTimings,
         on_newer_config: Callable[[int], None],
     ) -> None:
-        """`on_newer_config` takes a version of the configuration that a leader has."""
+        """`on_newer_config` is called with the configuration version that a leader announces."""
         self._host_id = host_id
         self._members = members
         self._election = election
@@ -55,13 +55,13 @@
         self._on_newer_config = on_newer_config
         self._is_asked_to_claim = False
         self._has_claimed = False
-        """Whether this process has ever sent a claim; any other claim of this host is of an earlier
-        life."""
+        """Whether this process has sent a claim; otherwise a claim in this host's name is of an
+        earlier process."""
         self._link: PeerLink = parts.link
         self._recorder: Recorder = parts.recorder
         self._search = LeaderSearch(link=self._link, view=self)
         self.changed = trio.Event()
-        """Set, and replaced, whenever another host leads."""
+        """Set and replaced whenever the leader changes."""
         self.term: LeaderTerm | None = None
         """The term of this host, if it leads."""
         self.leader_handler: LeaderHandler | None = None
@@ -71,19 +71,19 @@
 
     @property
     def leader(self) -> HostId | None:
-        """The host that leads, or None if none is heard."""
+        """The current leader; None if no heartbeat has arrived recently."""
         if self.term is not None:
             return self._host_id
         return HostId(self._election.leader) if self.has_leader and self._election.leader else None
 
     @property
     def has_leader(self) -> bool:
-        """Whether this host leads or hears who does."""
+        """Whether this host leads or receives a leader's heartbeats."""
         return self.term is not None or self._election.is_heard(trio.current_time())
 
     @property
     def last_leader(self) -> str:
-        """The leader that was heard last; empty if none was."""
+        """The leader whose heartbeat arrived last; empty if none ever did."""
         return self._election.leader
 
     @property
@@ -98,49 +98,49 @@
 
     @property
     def token(self) -> int:
-        """Token of this host's term, or of the leader that it hears."""
+        """Token of this host's term, or of the leader that it follows."""
         return self.term.token if self.term is not None else self._election.token
 
     @property
     def job_count(self) -> int:
-        """Jobs that this host knows as leader."""
+        """Jobs in this host's state as leader; 0 unless it leads."""
         return len(self.term.core.jobs_by_id) if self.term is not None else 0
 
     @property
     def executor_count(self) -> int:
-        """Executors that this host knows as leader."""
+        """Executors in this host's table as leader; 0 unless it leads."""
         return len(self.term.core.executors_by_id) if self.term is not None else 0
 
     @property
     def waiting_by_reason(self) -> dict[WaitReason, int]:
-        """Steps that wait for this host as leader, by what kept them from starting."""
+        """Number of waiting steps by wait reason; empty unless this host leads."""
         return self.term.core.waiting_by_reason if self.term is not None else {}
 
     @property
     def used_by_workspace(self) -> dict[str, Resources]:
-        """What each workspace may have running, as this host knows it as leader."""
+        """Resources counted against each workspace's limit; empty unless this host leads."""
         return self.term.core.used_by_workspace if self.term is not None else {}
 
     @property
     def stopped_by_rule(self) -> dict[StopRule, int]:
-        """Runs that this host has stopped in its term as leader."""
+        """Runs stopped in this host's current term, by rule; empty unless this host leads."""
         return self.term.core.stopped_by_rule if self.term is not None else {}
 
     @property
     def last_append_s(self) -> float:
-        """How long this host's last append as leader took."""
+        """Duration of this host's last append as leader."""
         return self.term.last_append_s if self.term is not None else 0.0
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a leader is heard whom the store has just confirmed: callers may come here."""
+        """Whether the store has confirmed the current leader recently, so callers can be served."""
         longest_s = self._timings.ready_confirm_s
         if self.term is not None:
             return self.term.confirm_age_s <= longest_s
         return self._election.is_confirmed(trio.current_time(), longest_s)
 
     def available_hosts(self) -> tuple[HostId, ...]:
-        """Return the hosts that can be asked to do something for the leader, itself included."""
+        """Return the hosts that can make calls on the leader's behalf, this one included."""
         return (self._host_id, *self._members.peers.available(trio.current_time()))
 
     async def run(self) -> None:
@@ -154,9 +154,9 @@
                 await trio.sleep(TICK_S)
 
     async def leave(self, timeout_s: float) -> None:
-        """Hand the leadership over, if this host has it, and claim no more.
+        """Hand over the leadership if this host has it, and stop claiming it.
 
-        Waits up to `timeout_s` for a slow store: a takeover in the midst of it costs a second.
+        Waits up to `timeout_s` while the store is slow: a takeover then takes a second longer.
         """
         self._members.is_leaving = True
         with trio.move_on_after(timeout_s):
@@ -169,7 +169,7 @@
                 self._members.say_hello(leader)
             return
         successor = self._members.peers.successor(trio.current_time())
-        term.give_up("this process stops")
+        term.give_up("this process is stopping")
         if successor is not None:
             self._recorder.record("leader.hands_over", peer=successor)
             self._link.send(peer=successor, message=TakeOver(token=term.token))
@@ -188,16 +188,17 @@
         if move is Move.LOOK:
             nursery.start_soon(self._read_store)
         elif move is Move.CLAIM:
-            # Another claim may have come since the last look; two claims cost a second takeover.
+            # Another host may have claimed since the last read; a second claim causes a second
+            # takeover.
             await self._read_store()
             if self._election.next_move(trio.current_time()) is Move.CLAIM:
-                await self._claim(nursery, cause="no heartbeat, and the state's end stands still")
+                await self._claim(nursery, cause="no heartbeat, and no append to the state log")
 
     async def _take_over(self, nursery: trio.Nursery) -> None:
-        """Claim at the request of a leader that stops; its last append may still move the end."""
+        """Claim at a stopping leader's request; its last append may still move the log end."""
         for _ in range(HANDOVER_TRIES):
             await self._read_store()
-            await self._claim(nursery, cause="the leader hands over")
+            await self._claim(nursery, cause="handover from the previous leader")
             if self.term is not None:
                 return
 
@@ -221,7 +222,9 @@
     async def _claim(self, nursery: trio.Nursery, *, cause: str) -> None:
         tip = self._election.tip
         if tip is None:
-            self._recorder.record("leader.claim_failed", cause="the state's end is not known")
+            self._recorder.record(
+                "leader.claim_failed", cause="the end of the state log is not known"
+            )
             return
         claimed_at = trio.current_time()
         self._has_claimed = True
@@ -298,7 +301,7 @@
             await trio.sleep(HELLO_EVERY_S)
 
     def leader_answer(self) -> LeaderAnswer:
-        """Return the leader that is heard here, for a host that hears none."""
+        """Return the leader that this host follows, for a host that has none."""
         leader = self.leader
         if leader is None:
             return LeaderAnswer()
@@ -306,7 +309,7 @@
         return LeaderAnswer(token=self.token, host_id=leader, address=known)
 
     def on_leader_answer(self, found: LeaderAnswer) -> None:
-        """Follow a leader that another host hears, unless it is older than the one heard last."""
+        """Follow a leader that another host named, unless its token is older than the last one."""
         is_other = found.address and found.host_id != self._host_id
         if is_other and not self.has_leader and found.token >= self._election.token:
             self._members.make_known_to(found.host_id, found.address)
@@ -337,7 +340,7 @@
 
     async def _on_can_lead(self, sender: HostId, _: CanLead) -> Any:
         if self._members.is_leaving:
-            detail = "this host stops"
+            detail = "this host is stopping"
             return StepError(
                 step="leader.can_lead", peer=self._host_id, reason=Reason.REFUSED, detail=detail
             )
--- a/src/galenastall/node/cell/loop_lag.py
+++ b/src/galenastall/node/cell/loop_lag.py
@@ -1,4 +1,4 @@
-"""By how much this process's loop is late: what a host that falls behind knows of itself."""
+"""Lag of this process's event loop, by which a host detects that it falls behind."""
 
 from typing import Final
 
@@ -6,13 +6,13 @@
 
 SAMPLE_EVERY_S: Final = 0.05
 SHARE_OF_SAMPLE: Final = 0.05
-"""How much a sample moves the average: some 20 samples in a row count, so a second at least."""
+"""Weight of a sample in the moving average: about 20 samples, so at least a second, count."""
 LONGEST_SAMPLE_S: Final = 0.5
-"""A sample counts as this at most: a process that was frozen for seconds has not fallen behind."""
+"""Upper bound of a sample: a process that was frozen for seconds has not fallen behind."""
 
 
 class LoopLag:
-    """Samples how late a sleep ends, and keeps a moving average."""
+    """Keeps a moving average of how late sleeps end."""
 
     def __init__(self) -> None:
         """Start without samples."""
@@ -20,11 +20,11 @@
 
     @property
     def seconds(self) -> float:
-        """Return by how many seconds the loop is late on average."""
+        """Return the event loop's average lag in seconds."""
         return self._mean_s
 
     def add(self, late_s: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         counted_s = min(max(late_s, 0.0), LONGEST_SAMPLE_S)
         self._mean_s += SHARE_OF_SAMPLE * (counted_s - self._mean_s)
 
--- a/src/galenastall/node/cell/membership.py
+++ b/src/galenastall/node/cell/membership.py
@@ -1,4 +1,4 @@
-"""The other hosts of a cell as this one knows them: where they are and what they said."""
+"""The other hosts of a cell as this one knows them: their addresses and last reported status."""
 
 from dataclasses import replace
 from typing import Final
@@ -14,13 +14,13 @@
 from galenastall.state.ids import HostId
 
 FOLLOWS_WITHIN_S: Final = 0.6
-"""A host that has made itself known within this time follows this leader: one message and more."""
+"""A host counts as a follower if its last `Hello` is no older: a little over one interval."""
 AVAILABLE_WITHIN_S: Final = 1.2
-"""A host that has not made itself known for longer, two messages, is asked for nothing."""
+"""A host whose last `Hello` is older, a little over two intervals, is sent no requests."""
 
 
 class Membership:
-    """Knows where other hosts are reached, and makes this host known."""
+    """Keeps the addresses of other hosts, and announces this host to them."""
 
     def __init__(
         self, *, link: PeerLink, address: str, weight: float, config: ConfigWatcher
@@ -37,9 +37,9 @@
         self.peers = PeerTable(
             available_within_s=AVAILABLE_WITHIN_S, follows_within_s=FOLLOWS_WITHIN_S
         )
-        """The hosts that have made themselves known here."""
+        """The hosts that have sent a `Hello` to this one."""
         self.lag = LoopLag()
-        """By how much this host's loop is late."""
+        """Lag of this host's event loop."""
         self.is_leaving = False
         link.handle(Hello, self._on_hello)
 
@@ -49,15 +49,15 @@
         return set(self._addresses_by_host) - {str(self._link.host_id)}
 
     def address_of(self, host: str) -> str:
-        """Return where a host is reached; empty if that is not known."""
+        """Return a host's address; empty if unknown."""
         return self._addresses_by_host.get(host, "")
 
     def refuse_to_lead(self, for_s: float) -> None:
-        """Tell others for so long that this host should not lead."""
+        """Announce to others for `for_s` seconds that this host should not lead."""
         self._unwilling_until = trio.current_time() + for_s
 
     def say_hello(self, leader: str) -> None:
-        """Make this host known to a leader."""
+        """Announce this host and its status to a leader."""
         message = Hello(
             address=self.address,
             weight=self.weight,
@@ -70,16 +70,16 @@
         self._link.send(peer=HostId(leader), message=message)
 
     def make_known_to(self, leader: str, address: str) -> None:
-        """Have a leader that is reached there send its heartbeats here, too."""
+        """Register a leader's address and announce this host, so that it sends heartbeats here."""
         self._set_address(leader, address)
         self.say_hello(leader)
 
     def begin_term(self) -> None:
-        """Begin to send heartbeats: this host has told nobody anything yet."""
+        """Start sending heartbeats as leader; no host has been sent addresses yet."""
         self._broadcast = AddressBroadcast()
 
     def send_heartbeats(self, plain: Beat) -> None:
-        """Send a heartbeat to all other hosts; some are told all addresses with it."""
+        """Send a heartbeat to all other hosts; for some it includes the addresses of all hosts."""
         known = {**self.peers.addresses_by_host(), self._link.host_id: self.address}
         self._broadcast.set_current({str(host): address for host, address in known.items()})
         for host in map(HostId, self.others):
@@ -88,7 +88,7 @@
             self._link.send(peer=host, message=message)
 
     def learn_addresses(self, leader: HostId, beat: Beat) -> None:
-        """Take all addresses, if a heartbeat carries them, and its leader's in any case."""
+        """Adopt all addresses that a heartbeat carries, or at least its leader's."""
         if beat.addresses_by_host:
             self._addresses_by_host = {**beat.addresses_by_host, str(leader): beat.address}
             self._apply_addresses()
--- a/src/galenastall/node/cell/peer_table.py
+++ b/src/galenastall/node/cell/peer_table.py
@@ -1,4 +1,4 @@
-"""The other hosts of a cell that made themselves known to this one, and which of them is fit."""
+"""The other hosts of a cell that have announced themselves to this one, and their availability."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,79 +10,79 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerStatus:
-    """What a host said of itself when it was last heard."""
+    """A host's status as of its last `Hello`."""
 
     address: str
     weight: float
     started_at: float
-    """This host's time at which the other's process started."""
-    heard_at: float
+    """When the other host's process started, on this host's clock."""
+    last_seen_at: float
     is_leaving: bool
     lag_s: float
     is_willing: bool
 
 
 class PeerTable:
-    """Keeps the last that each other host said of itself; hosts are never forgotten."""
+    """Keeps the last reported status of each other host; entries are never removed."""
 
     def __init__(self, *, available_within_s: float, follows_within_s: float) -> None:
-        """Take the longest silence of a host that is fit, and of one that follows this host."""
+        """Set the longest time since the last `Hello` of an available host, and of a follower."""
         self._available_within_s = available_within_s
         self._follows_within_s = follows_within_s
         self._by_id: dict[HostId, PeerStatus] = {}
 
     def on_hello(self, sender: HostId, hello: Hello, now: float) -> bool:
-        """Take what a host says of itself; return whether its process is new here."""
+        """Record a host's status; return whether its process is new to this host."""
         before = self._by_id.get(sender)
         self._by_id[sender] = PeerStatus(
             address=hello.address,
             weight=hello.weight,
             started_at=now - hello.uptime_s,
-            heard_at=now,
+            last_seen_at=now,
             is_leaving=hello.is_leaving,
             lag_s=hello.lag_s,
             is_willing=hello.is_willing,
         )
-        return before is None or hello.uptime_s < now - before.heard_at
+        return before is None or hello.uptime_s < now - before.last_seen_at
 
     def addresses_by_host(self) -> dict[HostId, str]:
-        """Return where each of them is reached."""
-        return {host: heard.address for host, heard in self._by_id.items()}
+        """Return the hosts' addresses."""
+        return {host: status.address for host, status in self._by_id.items()}
 
     def available(self, now: float) -> tuple[HostId, ...]:
-        """Return the hosts that can be asked to do something: heard of late, and staying."""
+        """Return the hosts that can take requests: recently seen, and not stopping."""
         return tuple(host for host, _ in self._available(now))
 
     def successor(self, now: float) -> HostId | None:
-        """Return the fit host that should lead next."""
+        """Return the available host that should lead next."""
         best = successor_of(self.contenders(now))
         return HostId(best.host) if best is not None else None
 
     def contenders(self, now: float) -> list[Contender]:
-        """Return the fit hosts as they last described themselves."""
+        """Return the available hosts with their last reported status."""
         return [
             Contender(
                 host=host,
-                weight=heard.weight,
-                uptime_s=now - heard.started_at,
-                lag_s=heard.lag_s,
-                is_willing=heard.is_willing,
+                weight=status.weight,
+                uptime_s=now - status.started_at,
+                lag_s=status.lag_s,
+                is_willing=status.is_willing,
             )
-            for host, heard in self._available(now)
+            for host, status in self._available(now)
         ]
 
     def has_followers(self, now: float) -> bool:
-        """Whether most of the hosts that were ever heard, this one included, follow it now.
+        """Whether a majority of all hosts ever seen, this one included, follow this host now.
 
-        A host stops making itself known here once it hears a newer leader, so a takeover shows
-        after the time within which followers are heard at the latest.
+        A host stops sending `Hello` here once it follows a newer leader, so a takeover becomes
+        visible within `follows_within_s`.
         """
         oldest = now - self._follows_within_s
-        following = 1 + sum(1 for heard in self._by_id.values() if heard.heard_at > oldest)
+        following = 1 + sum(1 for status in self._by_id.values() if status.last_seen_at > oldest)
         return 2 * following > len(self._by_id) + 1
 
     def _available(self, now: float) -> Iterator[tuple[HostId, PeerStatus]]:
         oldest = now - self._available_within_s
-        for host, heard in self._by_id.items():
-            if heard.heard_at > oldest and not heard.is_leaving:
-                yield host, heard
+        for host, status in self._by_id.items():
+            if status.last_seen_at > oldest and not status.is_leaving:
+                yield host, status
--- a/src/galenastall/node/cell/term_context.py
+++ b/src/galenastall/node/cell/term_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one term of leadership share."""
+"""State shared by the parts of one leader term."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,11 +14,11 @@
 from galenastall.transport.logs import Recorder
 
 TOKENS_PER_TERM: Final = 1_000_000
-"""Executors are shown the term's token times this, and a number within the term."""
+"""Executors see the term's token times this, plus a counter within the term."""
 
 
 class TermContext:
-    """Core, token and signals of a term."""
+    """The core, token and events of a term."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         recorder: Recorder,
         on_lost: Callable[[str], None],
     ) -> None:
-        """`confirmed_at`: when the last call that the store confirmed was sent."""
+        """`confirmed_at` is when the last call that the store confirmed was sent."""
         self.core = core
         self.token = token
         self.confirmed_at = confirmed_at
@@ -39,11 +39,11 @@
         self.idle_polls = PollPace()
         self.call_counts = CallCounts()
         self.polls_under_way = 0
-        """Polls of this term that have no answer yet."""
+        """Polls of this term without an answer yet."""
         self.committed = trio.Event()
-        """Set, and replaced, whenever a batch has become durable."""
+        """Set and replaced whenever a batch has become durable."""
         self.changed = trio.Event()
-        """Set when there is something to decide."""
+        """Set when the core has input for a decision."""
         self._clock = clock
         self._token_number = 0
         self._tokens_by_executor: dict[str, int] = {}
@@ -52,15 +52,15 @@
         self._on_lost = on_lost
 
     def token_of(self, executor_id: str) -> int:
-        """Return the token to show an incarnation of an executor."""
+        """Return the token to send to an incarnation of an executor."""
         token = self._tokens_by_executor.get(executor_id)
         return self.raise_token(executor_id) if token is None else token
 
     def raise_token(self, executor_id: str) -> int:
-        """Have an incarnation, once it is shown its token, refuse all calls sent before.
+        """Issue a higher token to an incarnation, which then refuses all calls sent before.
 
-        An executor that starts again has seen no token, so calls that were meant for an earlier
-        incarnation would be carried out by the new one, however late they come.
+        A restarted executor has seen no token yet. Without a higher one it would carry out calls
+        meant for an earlier incarnation, however late they arrive.
         """
         self._token_number += 1
         token = self.token * TOKENS_PER_TERM + self._token_number
@@ -69,7 +69,7 @@
         return token
 
     def is_newest(self, executor_id: str, token: int) -> bool:
-        """Whether no higher token was given out in this term for an executor of this name."""
+        """Whether no higher token was issued in this term to an executor of this name."""
         return token >= self._newest_token_by_name.get(executor_name(executor_id), token)
 
     def wall(self) -> float:
@@ -77,18 +77,18 @@
         return self._clock.wall()
 
     def wake(self) -> None:
-        """Have the core decide soon."""
+        """Request a decision of the core soon."""
         self.changed.set()
 
     def lose(self, cause: str) -> None:
-        """End the term: a newer leader stands."""
+        """End the term because a newer leader was detected."""
         self._on_lost(cause)
 
     def note(self, step: str, *subjects: str, cause: str = "", **fields: str) -> None:
-        """Log a decision."""
+        """Log an event with its subjects, cause and fields."""
         self._recorder.record(step, subjects=subjects, cause=cause, fields=fields)
 
     def notify_committed(self) -> None:
-        """Wake whoever waits for durability."""
+        """Wake all tasks that wait for durability."""
         event, self.committed = self.committed, trio.Event()
         event.set()
--- a/src/galenastall/standin/cell/__init__.py
+++ b/src/galenastall/standin/cell/__init__.py
@@ -1,1 +1,1 @@
-"""A cell's executors in memory, for tests and the stand-in of the operations platform."""
+"""In-memory executors of a cell, for tests and the stand-in of the operations platform."""
--- a/src/galenastall/standin/cell/executors.py
+++ b/src/galenastall/standin/cell/executors.py
@@ -1,7 +1,7 @@
-"""Executors of a cell as the platform describes them, and a watch over what must never happen.
+"""Simulated executors of a cell, after the platform's description, with invariant checks.
 
-Runs do no work: they last as long as whoever sets the world up says. All executors of one world
-know of each other, as members of a gang must, so that a task that runs twice is noticed at once.
+Runs do no work; the simulation's owner sets how long they last. All executors of a simulation know
+each other, as members of a gang must, so that a task that runs twice is detected at once.
 """
 
 from abc import ABC, abstractmethod
@@ -28,17 +28,17 @@
 from galenastall.state.resources import NOTHING, Resources
 
 GANG_WAIT_S: Final = 3.0
-"""How long a member waits for the others of its gang, as the platform states it."""
+"""How long a gang member waits for the others, as the platform specifies it."""
 STOP_S: Final = 0.2
 """How long a stop takes."""
 CRASH_AFTER_S: Final = 0.01
-"""How long a task that crashes its executor has been there by then."""
+"""How long a task that crashes its executor runs before it does so."""
 SHRUNK_GRACE_S: Final = 3.0
-"""For how long starts may go by an earlier, larger capacity: the list of executors is behind."""
+"""How long starts may use an earlier, larger capacity: the leader's list of executors lags."""
 CRASH_LIMIT: Final = 3
-"""Executors that a task may crash before more starts of it count."""
+"""Crashes by a task after which its further starts are counted."""
 STARTS_AFTER_CRASHES: Final = 3
-"""Starts of a task after so many crashes that are one too many."""
+"""Starts of a task after `CRASH_LIMIT` crashes that count as a violation."""
 
 
 @dataclass(kw_only=True)
@@ -53,24 +53,24 @@
     started_at: float = 0.0
     stops_at: float | None = None
     crashes_at: float | None = None
-    """When it crashes its executor."""
+    """When the run crashes its executor."""
     waits_until: float | None = None
 
 
 class Executor:
-    """One incarnation of an executor, by the rules that the platform gives for it."""
+    """One incarnation of an executor, by the platform's rules."""
 
     def __init__(
         self, *, simulation: "ExecutorSimulation", info: ExecutorInfo, rate: float = 1.0
     ) -> None:
-        """Start it; its steady clock runs at `rate`, slower than 1 by 2% at most."""
+        """Start the executor; its monotonic clock runs at `rate`, at most 2% slower than 1."""
         self.simulation = simulation
         self.info = info
         self.rate = rate
         self.born = trio.current_time()
         self.is_up = True
         self._earlier_capacities: list[tuple[float, Resources]] = []
-        """Capacities that it has had, each with the time until which it had it."""
+        """Earlier capacities, each with the time until which it was in force."""
         self.fence = 0
         self.deadline_ms = 0.0
         self.expired_at = float("-inf")
@@ -81,16 +81,16 @@
         self.changed = trio.Event()
 
     def clock_ms(self) -> float:
-        """Return the reading of its clock."""
+        """Return the executor's clock in milliseconds."""
         return (trio.current_time() - self.born) * 1000.0 * self.rate + 500_000.0
 
     def resize(self, capacity: Resources) -> None:
-        """Change its capacity; what runs there goes on."""
+        """Change the capacity; current runs continue."""
         self._earlier_capacities.append((trio.current_time(), self.info.capacity))
         self.info = replace(self.info, capacity=capacity)
 
     def allowed(self) -> Resources:
-        """Return the capacity that starts have to keep to now."""
+        """Return the capacity that bounds starts now."""
         allowed = self.info.capacity
         for until, earlier in self._earlier_capacities:
             if trio.current_time() < until + SHRUNK_GRACE_S:
@@ -98,7 +98,7 @@
         return allowed
 
     def sweep(self) -> None:
-        """Bring the runs up to now."""
+        """Bring the runs up to date: ends those that are due or whose lease has expired."""
         now = trio.current_time()
         if not self.is_up:
             return
@@ -114,7 +114,7 @@
         self._end_due(now)
 
     def _sweep_all(self) -> None:
-        """Bring this executor, whose lease may have lapsed, and all runs up to now."""
+        """Bring this executor, whose lease may have expired, and all others up to date."""
         self.sweep()
         self.simulation.sweep()
 
@@ -131,7 +131,7 @@
                 self.end(run, RunEnd.FAILED if run.fails else RunEnd.DONE)
 
     def end(self, run: Run, how: RunEnd) -> None:
-        """End a run and list its end."""
+        """End a run and add its end to the listing."""
         if self.runs.pop(run.task, None) is None:
             return
         self.position += 1
@@ -142,7 +142,7 @@
         event.set()
 
     def start(self, order: StartOrder, deadline_ms: float, token: int) -> StartVerdict:
-        """Start a run, as an order with this token and deadline asks."""
+        """Carry out a start with this token and lease deadline."""
         self._sweep_all()
         if token < self.fence:
             return StartVerdict.FENCED
@@ -165,7 +165,7 @@
         return StartVerdict.STARTED
 
     def stop(self, order: StopOrder, token: int) -> StartVerdict:
-        """Stop a run, or have it rejected if it comes later."""
+        """Stop a run; if it has not started yet, a later start of it is rejected."""
         self._sweep_all()
         if token < self.fence:
             return StartVerdict.FENCED
@@ -177,7 +177,7 @@
         return StartVerdict.STARTED
 
     def hold(self, deadline_ms: float | None, noted: int, token: int) -> StartVerdict:
-        """Renew the lease, and forget ends up to `noted`."""
+        """Renew the lease, and forget ends up to position `noted`."""
         self._sweep_all()
         if token < self.fence:
             return StartVerdict.FENCED
@@ -191,7 +191,7 @@
         return StartVerdict.STARTED
 
     def listing(self) -> Listing:
-        """Return what runs and what has ended."""
+        """Return the current runs and the ends that have not been acknowledged."""
         self._sweep_all()
         now = trio.current_time()
         return Listing(
@@ -210,13 +210,13 @@
 
 
 class ExecutorSimulation(ABC):
-    """All executors, and what they did that they must never do."""
+    """All executors of a simulation, and the violations of invariants that they detected."""
 
     def __init__(self) -> None:
-        """Create a world without executors."""
+        """Create a simulation without executors."""
         self.executors: dict[str, Executor] = {}
         self.earlier_incarnations: list[Executor] = []
-        """Incarnations whose id a later one has."""
+        """Incarnations that were replaced by a later one with the same id."""
         self.violations: list[str] = []
         self.alone: list[tuple[TaskKey, int]] = []
         self.acknowledged_done: set[TaskKey] = set()
@@ -229,11 +229,11 @@
         self.crashing_tasks: set[TaskKey] = set()
         """Tasks that crash each executor that starts them."""
         self.crashes_of: defaultdict[TaskKey, list[float]] = defaultdict(list)
-        """When executors crashed by a task."""
+        """Times at which a task crashed executors."""
         self.requires_tickets = False
         """Whether starts carry a ticket, which holds for one incarnation of an executor."""
         self.shows_progress = False
-        """Whether listings tell how far runs are; else some figure that mostly rises."""
+        """Whether listings show the true progress of runs, instead of a mostly rising number."""
         self.quotas = QuotaChecker()
 
     def workspace_of(self, task: TaskKey) -> str:
@@ -246,7 +246,7 @@
 
     @abstractmethod
     def attempts_of(self, task: TaskKey) -> int:
-        """Return after how many failed runs a task must not start again."""
+        """Return the number of failed runs after which a task must not start again."""
 
     @abstractmethod
     def draw_run(self, order: StartOrder) -> tuple[float, bool]:
@@ -254,10 +254,10 @@
 
     @abstractmethod
     def draw_gang_s(self, members: Iterable[Run]) -> float:
-        """Return how long a gang's run lasts once all members are there."""
+        """Return how long a gang's run lasts once all members have started."""
 
     def crash(self, executor: Executor) -> None:
-        """End an incarnation, with all that runs there; its entry stays listed for a while."""
+        """End an incarnation with all its runs; its entry stays listed for a while."""
         self.sweep()
         executor.is_up = False
         for run in list(executor.runs.values()):
@@ -265,24 +265,24 @@
                 self._break_gang(run)
 
     def crash_by_task(self, executor: Executor) -> None:
-        """Crash an executor by the tasks there that do so."""
+        """Crash an executor because of the crashing tasks that run there."""
         for task in executor.runs.keys() & self.crashing_tasks:
             self.crashes_of[task].append(trio.current_time())
             executor.runs[task].crashes_at = None
         self.crash(executor)
         self.on_crashed_by_task(executor)
 
-    def on_crashed_by_task(self, executor: Executor) -> None:  # noqa: B027 - nothing by itself
-        """Have the executor's host come back, where the world does so."""
+    def on_crashed_by_task(self, executor: Executor) -> None:  # noqa: B027 - no-op by default
+        """Handle a crash by a task; a simulation may restart the executor's host."""
 
     def sweep(self) -> None:
-        """Bring all runs up to now."""
+        """Bring all runs up to date."""
         running = [executor for executor in self.executors.values() if executor.runs]
         for executor in running:
             executor.sweep()
 
     def on_start(self, executor: Executor, order: StartOrder) -> Run:
-        """Check a start, and return its run."""
+        """Check a start against the invariants, and return its run."""
         self.starts += 1
         task = order.task
         step = self.step_of(task)
@@ -313,7 +313,7 @@
         )
 
     def _check_crashes(self, task: TaskKey) -> None:
-        """Check that a task is not started on and on though executors crash under it."""
+        """Check that a task that keeps crashing executors is not started indefinitely."""
         crashes = self.crashes_of[task]
         if len(crashes) < CRASH_LIMIT:
             return
@@ -323,7 +323,7 @@
             self.violations.append(f"{task} starts {len(later)} times after {third:.2f}")
 
     def join_gang(self, run: Run) -> None:
-        """Have a gang begin its work once its last member is there."""
+        """Start a gang's work once its last member has joined."""
         step = self.step_of(run.task)
         if not step.is_gang:
             return
@@ -336,11 +336,11 @@
             for member in members.values():
                 member.waits_until = None
                 member.fails = fails and member.task == first
-                # The others of a failed run are broken by the one that fails.
+                # Only the first member fails; its failure then breaks the others' runs.
                 member.ends_at = ends_at if member.fails or not fails else None
 
     def check_capacity(self, executor: Executor) -> None:
-        """Check that what runs on an executor fits it."""
+        """Check that an executor's runs fit its capacity."""
         used = NOTHING
         for run in executor.runs.values():
             used = used + run.need
@@ -350,7 +350,7 @@
             self.violations.append(f"{at} is over its capacity: {used} by {runs}")
 
     def check_quota(self, started: Run) -> None:
-        """Check that the workspace of a run that has just started may have so much at once."""
+        """Check that a run that has just started keeps its workspace within the limit."""
         name = self.workspace_of(started.task)
         if name == NO_WORKSPACE:
             return
@@ -365,7 +365,7 @@
             self.violations.append(f"{violation}, with {started.task} at {trio.current_time():.2f}")
 
     def on_end(self, executor: Executor, run: Run, how: RunEnd) -> None:
-        """Note an end; a gang breaks with any end but the common one."""
+        """Record an end; any end other than DONE breaks the rest of a gang."""
         self.ended_at.setdefault((run.task, run.run), trio.current_time())
         if how is RunEnd.DONE:
             self.done.add(run.task)
@@ -383,7 +383,7 @@
                     executor.end(member, RunEnd.BROKEN)
 
     def on_acknowledged(self, executor: Executor, end: ListedEnd) -> None:
-        """Take note of an end; one that a lapse of the lease came after is never taken note of."""
+        """Record that the leader acknowledged an end, unless the lease expired after that end."""
         if executor.expired_at > self.ended_at[end.task, end.run]:
             return
         self.acknowledged_ends[end.task].append((self.ended_at[end.task, end.run], end.end))
@@ -391,7 +391,7 @@
             self.acknowledged_done.add(end.task)
 
     def check_history(self) -> None:
-        """Check starts against ends that were taken note of, also those noted after the start."""
+        """Check starts against acknowledged ends, including those acknowledged after the start."""
         for task, starts in self.starts_of.items():
             ends = self.acknowledged_ends[task]
             is_gang = self.step_of(task).is_gang
--- a/src/galenastall/standin/cell/live_simulation.py
+++ b/src/galenastall/standin/cell/live_simulation.py
@@ -1,4 +1,4 @@
-"""Executors whose runs last as their jobs' payloads say."""
+"""Simulated executors whose runs last as long as their jobs' payloads specify."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -11,11 +11,11 @@
 from galenastall.state.resources import Resources
 
 DEFAULT_RUN_S: Final = 1.0
-"""Run time of a task whose payload names none."""
+"""Run time of a task whose payload specifies none."""
 
 
 class StepPayload(msgspec.Struct, frozen=True, kw_only=True):
-    """What an executor has to know of a step, and what its tasks really do."""
+    """A step's definition, and the simulated behaviour of its tasks."""
 
     count: int = 1
     cores_milli: int = 0
@@ -26,13 +26,13 @@
     fails: bool = False
 
     def to_step(self) -> Step:
-        """Return the product's type."""
+        """Convert to the scheduler's step type."""
         need = Resources(cores_milli=self.cores_milli, memory_mb=self.memory_mb)
         return Step(count=self.count, need=need, after=self.after, is_gang=self.is_gang)
 
 
 class JobPayload(msgspec.Struct, frozen=True, kw_only=True):
-    """A job's payload, in JSON."""
+    """A job's payload, encoded as JSON."""
 
     steps: tuple[StepPayload, ...]
     attempts: int = 1
@@ -43,13 +43,13 @@
     """Executors for processes that run in real time."""
 
     def __init__(self) -> None:
-        """Create a world without executors."""
+        """Create a simulation without executors."""
         super().__init__()
         self.shows_progress = True
         self._payloads_by_job: dict[str, JobPayload] = {}
 
     def on_start(self, executor: Executor, order: StartOrder) -> Run:
-        """Read the payload of a job that is new here, and check the start."""
+        """Decode the payload of a job at its first start, and check the start."""
         if order.task.job not in self._payloads_by_job:
             payload = msgspec.json.decode(order.payload, type=JobPayload)
             self._payloads_by_job[order.task.job] = payload
@@ -59,7 +59,7 @@
         return self._payloads_by_job[task.job].steps[task.step]
 
     def workspace_of(self, task: TaskKey) -> str:
-        """Return the workspace that a task's payload names."""
+        """Return the workspace named in the payload of a task's job."""
         return self._payloads_by_job[task.job].workspace
 
     def step_of(self, task: TaskKey) -> Step:
@@ -67,7 +67,7 @@
         return self._payload_of(task).to_step()
 
     def attempts_of(self, task: TaskKey) -> int:
-        """Return after how many failed runs a task must not start again."""
+        """Return the number of failed runs after which a task must not start again."""
         return self._payloads_by_job[task.job].attempts
 
     def draw_run(self, order: StartOrder) -> tuple[float, bool]:
@@ -76,5 +76,5 @@
         return payload.run_s, payload.fails
 
     def draw_gang_s(self, members: Iterable[Run]) -> float:
-        """Return how long a gang's run lasts once all members are there."""
+        """Return how long a gang's run lasts once all members have started."""
         return max(self._payload_of(member.task).run_s for member in members)
--- a/src/galenastall/standin/cell/quota_checker.py
+++ b/src/galenastall/standin/cell/quota_checker.py
@@ -1,4 +1,4 @@
-"""Watches that no workspace has more at once than the platform allows it."""
+"""Checks that no workspace uses more resources at once than its limit allows."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -10,22 +10,22 @@
 from galenastall.state.resources import NOTHING, Resources
 
 OVERAGE: Final = 0.1
-"""Share of its limit by which a workspace may be over it, beside one task."""
+"""Share of its limit by which a workspace may exceed it, in addition to one task."""
 LIMIT_GRACE_S: Final = 3.0
-"""For how long starts may go by an earlier limit."""
+"""How long starts may use an earlier limit."""
 
 
 class QuotaChecker:
-    """Knows the limits that may be in force, and judges each start by them."""
+    """Checks each start against the limits that may be in force."""
 
     def __init__(self) -> None:
-        """Begin without limits."""
+        """Start without limits."""
         self._by_name: dict[str, Workspace] = {}
         self._earlier: defaultdict[str, list[tuple[float, Workspace]]] = defaultdict(list)
-        """Each with the time until which it was in force."""
+        """Earlier versions of each workspace, with the time until which each was in force."""
 
     def set_workspaces(self, workspaces: Iterable[Workspace]) -> None:
-        """Put a newer version of the configuration into force."""
+        """Apply a newer version of the configuration."""
         now = trio.current_time()
         by_name = {workspace.name: workspace for workspace in workspaces}
         for name, workspace in self._by_name.items():
@@ -34,16 +34,16 @@
         self._by_name = by_name
 
     def violation(self, name: str, *, used: Resources, started: Resources) -> str:
-        """Return what is wrong if a start of `started` brings a workspace to `used`."""
+        """Describe the violation if starting `started` brings a workspace to `used`; else empty."""
         allowed = self._allowed(name)
         if not allowed or any(_allows(each, used - started) for each in allowed):
             return ""
         return f"workspace {name} has {used} at once, allowed is {allowed[-1].limit}"
 
     def _allowed(self, name: str) -> list[Workspace]:
-        """Return the versions of a workspace of which any may be in force; none if it is unknown.
+        """Return the versions of a workspace that may be in force; none if it is unknown.
 
-        A workspace that was removed has no limit.
+        A removed workspace has no limit.
         """
         current = self._by_name.get(name)
         if current is None:
@@ -53,7 +53,7 @@
 
 
 def _allows(workspace: Workspace, used_before: Resources) -> bool:
-    """Whether a workspace that has `used_before` may start one task more."""
+    """Whether a workspace that uses `used_before` may start one more task."""
     limit = workspace.limit
     over = Resources(
         cores_milli=_with_overage(limit.cores_milli),
@@ -68,5 +68,5 @@
 
 
 def sum_of(needs: Iterable[Resources]) -> Resources:
-    """Return what some runs have together."""
+    """Return the total of some runs' resources."""
     return sum(needs, NOTHING)
--- a/tests/cell/cluster.py
+++ b/tests/cell/cluster.py
@@ -1,4 +1,4 @@
-"""Cell hosts in one process over a world in memory, and callers that hand jobs in."""
+"""Cell hosts in one process on a simulated platform, and callers that submit jobs."""
 
 from dataclasses import dataclass
 from random import Random
@@ -23,7 +23,7 @@
 
 @dataclass(kw_only=True)
 class LiveHost:
-    """A host that runs, and the scope that kills it."""
+    """A running host, and the scope that kills it."""
 
     host: CellHost
     scope: trio.CancelScope
@@ -31,7 +31,7 @@
 
 
 class Cluster:
-    """Some hosts that are killed, cut off and started again."""
+    """Hosts that tests can kill, isolate and restart."""
 
     def __init__(
         self, *, simulation: Simulation, rng: Random, nursery: trio.Nursery, hosts: int = 3
@@ -41,16 +41,16 @@
         self.nursery = nursery
         self.live: dict[str, LiveHost] = {}
         self.all_recorders: list[Recorder] = []
-        """Recorders of all incarnations of all hosts, to see afterwards what they did."""
+        """Recorders of all incarnations of all hosts, for inspection after a run."""
         self.names = [f"entry-{number}" for number in range(hosts)]
         self.weights: dict[str, float] = {}
-        """Weights of hosts; one that is not named has 1."""
+        """Weights of hosts; the default is 1."""
         self.claim_delays_s: dict[str, float] = {}
-        """Delays of hosts' claims; others go in the order of their names."""
+        """Claim delays of hosts; by default they increase in the order of the names."""
         self.accepted: set[str] = set()
         self.refused: set[str] = set()
         self.cancelled: set[str] = set()
-        """Jobs whose cancelling was acknowledged."""
+        """Jobs whose cancellation was acknowledged."""
         self.cancel_asked: set[str] = set()
 
     async def start_all(self) -> None:
@@ -102,7 +102,7 @@
 
     @property
     def leader(self) -> str | None:
-        """The host that leads with the highest token."""
+        """The host whose term has the highest token."""
         terms = [
             (live.host.leadership.term.token, name)
             for name, live in self.live.items()
@@ -113,7 +113,7 @@
     async def wait_for_other_leader(self, first: str) -> str:
         """Wait until a host other than `first` leads."""
         with trio.fail_after(10.0):
-            while self.leader == first:  # noqa: ASYNC110 - the hosts tell nobody in tests
+            while self.leader == first:  # noqa: ASYNC110 - hosts have no event for it
                 await trio.sleep(0.02)
         return await self.wait_for_leader()
 
@@ -131,7 +131,7 @@
         return self.live[self.rng.choice(names)].host if names else None
 
     async def submit(self, job: CellJob, tries: int = 3) -> bool:
-        """Hand a job in as a caller does, with retries at any host."""
+        """Submit a job as a caller does, with retries at random hosts."""
         self.simulation.jobs[job.job_id] = job
         was_rejected = True
         for _ in range(tries):
@@ -155,7 +155,7 @@
         return False
 
     def _is_admitted(self, host: CellHost, job: CellJob) -> bool:
-        """Whether the configuration in force at a host names the workspace of a job."""
+        """Whether the configuration in force at a host contains the workspace of a job."""
         config = host.config.current()
         names = [workspace.name for workspace in config.workspaces] if config else []
         return job.workspace in {NO_WORKSPACE, *names}
@@ -177,7 +177,7 @@
         return False
 
     async def phase(self, job_id: str) -> JobPhase | None:
-        """Return a job's phase once a host answers."""
+        """Query random hosts until one answers, and return the job's phase."""
         while True:
             host = self.any_host()
             if host is not None:
@@ -199,7 +199,7 @@
         return JobPhase.RUNNING
 
     def check_refusals(self) -> None:
-        """A job whose submissions were all refused has never run."""
+        """Record a violation for each job that ran although all its submissions were refused."""
         started = {
             task.job
             for executor in (
@@ -213,7 +213,7 @@
 
 
 def make_job(simulation: Simulation, rng: Random, number: int) -> CellJob:
-    """Return a job of one or two steps, some of them gangs."""
+    """Return a random job of one or two steps, some of them gangs."""
     steps = [_make_step(rng, ())]
     if rng.random() < 0.4:
         steps.append(_make_step(rng, (0,)))
--- a/tests/cell/fault_injection.py
+++ b/tests/cell/fault_injection.py
@@ -1,4 +1,4 @@
-"""Random trouble for a cluster, drawn from a seed."""
+"""Random faults for a cluster, drawn from a seeded generator."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -12,13 +12,13 @@
 from galenastall.state.resources import Resources
 
 FaultInjector = Callable[[Cluster, Simulation, Random], Awaitable[bool]]
-"""Begins some trouble; returns whether it has ended already."""
+"""Injects a fault; returns whether the fault has already ended."""
 
 FAULT_INJECTORS: list[FaultInjector] = []
 
 
 def fault_injector(begin: FaultInjector) -> FaultInjector:
-    """File a kind of trouble; the order of the file is the order of the draws."""
+    """Register a fault injector; the order in this file determines which one a draw selects."""
     FAULT_INJECTORS.append(begin)
     return begin
 
@@ -96,7 +96,7 @@
 async def inject_faults(
     cluster: Cluster, simulation: Simulation, rng: Random, until: float
 ) -> None:
-    """Bring about random trouble until then; some of it overlaps."""
+    """Inject random faults until `until`; some of them overlap."""
     while trio.current_time() < until:
         begin = FAULT_INJECTORS[rng.randrange(len(FAULT_INJECTORS))]
         lasts_s = rng.uniform(0.5, 6.0)
@@ -111,9 +111,9 @@
 async def restarts(
     cluster: Cluster, simulation: Simulation, rng: Random, until: float, *, is_late: bool
 ) -> None:
-    """Restart executors over and over, some of them where not all calls or answers pass.
+    """Restart executors repeatedly, some of them while calls or answers are lost.
 
-    `is_late`: some calls are carried out late, also by a later incarnation.
+    `is_late`: some calls are carried out late, possibly by a later incarnation.
     """
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(0.5, 3.0))
@@ -147,7 +147,7 @@
 
 
 async def crashes(simulation: Simulation, rng: Random, until: float) -> None:
-    """Crash executors now and then; each is born again at its host."""
+    """Crash executors at random intervals; each is restarted on its host."""
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(4.0, 12.0))
         up = [e for e in simulation.executors.values() if e.is_up]
@@ -163,11 +163,11 @@
 
 WORKSPACES = ("large", "small", "tiny")
 MAX_STEP_CORES_MILLI = 12_000
-"""What the widest step needs."""
+"""Cores that the widest step needs."""
 
 
 def draw_workspaces(rng: Random) -> list[Workspace]:
-    """Return workspaces of which some have limits below what their widest gangs need."""
+    """Return workspaces, some of them with limits below what their widest gangs need."""
     cores = [rng.choice([0, 2_000, MAX_STEP_CORES_MILLI, 20_000]) for _ in WORKSPACES]
     return [
         Workspace(name=name, limit=Resources(cores_milli=limit))
@@ -176,7 +176,7 @@
 
 
 async def quota_changes(simulation: Simulation, rng: Random, until: float) -> None:
-    """Change the limits of workspaces now and then, at times far below what they use."""
+    """Change the limits of workspaces at random intervals, sometimes far below their usage."""
     while trio.current_time() < until:
         simulation.set_workspaces(*draw_workspaces(rng))
         await trio.sleep(rng.uniform(2.0, 8.0))
--- a/tests/cell/scenarios.py
+++ b/tests/cell/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on a cluster, and what must hold after each."""
+"""Runs of scenarios on a simulated cluster, with checks of the invariants after each."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from random import Random
@@ -23,10 +23,10 @@
     claim_delays_s: Sequence[float] = (),
     keeps_ids: bool = False,
 ) -> Cluster:
-    """Play a scenario on a cluster; fails on anything that must never happen.
+    """Run a scenario on a cluster; fails if an invariant is violated.
 
-    Weights and delays of claims are those of the first hosts; `keeps_ids`: executors that start
-    again have the ids that they had.
+    Weights and claim delays apply to the first hosts; `keeps_ids`: restarted executors keep their
+    ids.
     """
     rng = Random(seed)
     async with trio.open_nursery() as nursery:
@@ -52,14 +52,14 @@
     *,
     first: int = 0,
 ) -> None:
-    """Hand in jobs with the numbers from `first` on."""
+    """Submit `jobs` jobs, numbered from `first`, at random intervals of `every_s` on average."""
     for number in range(first, first + jobs):
         cluster.nursery.start_soon(cluster.submit, make_job(simulation, rng, number))
         await trio.sleep(rng.uniform(0.0, 2 * every_s))
 
 
 async def check_all_end(cluster: Cluster, timeout_s: float = 90.0) -> None:
-    """Wait for all accepted jobs, also those that are accepted meanwhile."""
+    """Check that all accepted jobs end, including those accepted meanwhile."""
     ended: set[str] = set()
     while new := sorted(cluster.accepted - ended):
         for job_id in new:
@@ -78,7 +78,7 @@
 
 
 async def random_faults(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
-    """Hand jobs in through a minute of trouble, then see all of them ended."""
+    """Submit jobs during 40 s of random faults, then check that all accepted ones end."""
     await cluster.wait_for_leader()
     until = trio.current_time() + 40.0
     cluster.nursery.start_soon(crashes, simulation, rng, until)
@@ -97,7 +97,7 @@
 async def changing_quotas_with_faults(
     cluster: Cluster, simulation: Simulation, rng: Random
 ) -> None:
-    """Hand in jobs of some workspaces through random trouble while their limits change."""
+    """Submit jobs of several workspaces under random faults while the workspaces' limits change."""
     simulation.set_workspaces(*draw_workspaces(rng))
     cluster.nursery.start_soon(quota_changes, simulation, rng, trio.current_time() + 40.0)
     await random_faults(cluster, simulation, rng)
@@ -111,7 +111,7 @@
     requires_tickets: bool = False,
     is_late: bool = False,
 ) -> None:
-    """Hand jobs in while executors restart again and again, then see all of them ended."""
+    """Submit jobs while executors restart repeatedly, then check that all accepted ones end."""
     simulation.requires_tickets = requires_tickets
     simulation.run_lasts_s = (0.1, 2.0)
     await cluster.wait_for_leader()
--- a/tests/cell/simulation.py
+++ b/tests/cell/simulation.py
@@ -1,7 +1,7 @@
-"""A platform in memory for cell hosts: store, executors, links and faults, all on trio's clock.
+"""An in-memory platform for cell hosts: store, executors, links and faults, all on trio's clock.
 
-It plays what the platform promises and no more: calls may be refused, cut off, left unanswered
-after they were carried out, or carried out seconds later. It watches for what must never happen.
+It guarantees only what the platform guarantees: calls may be refused, lost, carried out without an
+answer, or carried out seconds later. It checks invariants while it runs.
 """
 
 from collections.abc import Iterable
@@ -32,27 +32,27 @@
 
 @dataclass(kw_only=True)
 class Faults:
-    """What goes wrong now; changed by tests while hosts run."""
+    """The faults in effect; tests change them while hosts run."""
 
     cut: set[tuple[str, str]] = field(default_factory=set)
-    """Pairs of caller and callee between which calls get lost."""
+    """Pairs of caller and callee between which calls are lost."""
     answers_cut: set[tuple[str, str]] = field(default_factory=set)
-    """Pairs of caller and callee between which calls arrive and answers get lost."""
+    """Pairs of caller and callee between which calls arrive but answers are lost."""
     store_refuses: set[str] = field(default_factory=set)
-    """Hosts that the store turns away."""
+    """Hosts whose calls the store refuses."""
     lost: float = 0.0
-    """Share of calls that are carried out and not answered."""
+    """Share of calls that are carried out but not answered."""
     late: float = 0.0
-    """Share of calls that are not answered and carried out late."""
+    """Share of calls that are not answered and are carried out late."""
     late_s: tuple[float, float] = (2.0, 6.0)
-    """How much later, at least and at most."""
+    """Minimum and maximum delay of late calls."""
     slow_s: float = 0.0
-    """Added to each answer of the store."""
+    """Delay added to each answer of the store."""
     load_bytes_per_s: dict[str, float] = field(default_factory=dict)
-    """How fast a host's link carries the state; hosts that are not named load at once."""
+    """Rate at which a host loads the state; hosts without an entry load at once."""
 
     def clear(self) -> None:
-        """End all trouble."""
+        """End all faults."""
         self.cut.clear()
         self.answers_cut.clear()
         self.store_refuses.clear()
@@ -61,7 +61,7 @@
 
 
 class Simulation(ExecutorSimulation):
-    """Everything outside the hosts, and the watch over what must hold."""
+    """Everything outside the hosts, with the checks of the invariants."""
 
     def __init__(
         self, *, rng: Random, nursery: trio.Nursery, executors: int = 4, keeps_ids: bool = False
@@ -70,7 +70,7 @@
         self.rng = rng
         self.nursery = nursery
         self.keeps_ids = keeps_ids
-        """Whether an executor that starts again on a host has the id that it had there."""
+        """Whether an executor that restarts on a host keeps its id."""
         self.faults = Faults()
         self.store = Store()
         self.hosts = Hosts(simulation=self)
@@ -84,15 +84,15 @@
         self.fail_share = 0.05
         self.run_lasts_s = (0.2, 2.5)
         self.crash_downtime_s = (1.0, 3.0)
-        """How long a host that a task has crashed stays away."""
+        """Minimum and maximum downtime of a host that a task has crashed."""
         self._started = 0
         self.renewals = 0
-        """Calls for a listing so far."""
+        """Number of polls for a listing so far."""
         for number in range(executors):
             self.start_executor(f"host-{number}")
 
     def start_executor(self, host: str) -> Executor:
-        """Start an executor on a host, unless one is up there."""
+        """Start an executor on a host, or return the one that is up there."""
         living = (e for e in self.executors.values() if e.is_up and e.info.host == host)
         if (executor := next(living, None)) is not None:
             return executor
@@ -116,7 +116,7 @@
         return executor
 
     def _name_on(self, host: str) -> str:
-        """Return the id of an executor that starts on a host now."""
+        """Return the id for an executor that starts on a host now."""
         names = (name for name, executor in self.executors.items() if executor.info.host == host)
         known = next(names, None) if self.keeps_ids else None
         return known or f"executor-{self._started}"
@@ -136,7 +136,7 @@
         self.start_executor(executor.info.host)
 
     async def _delist(self, executor: Executor) -> None:
-        """Remove an entry after three heartbeats of silence."""
+        """Remove an entry after three missed heartbeats."""
         await trio.sleep(self.rng.uniform(3.0, 4.5))
         self.delist(executor)
 
@@ -151,7 +151,7 @@
         return self.jobs[task.job].workspace
 
     def set_workspaces(self, *workspaces: Workspace) -> None:
-        """Have the operator write a version with these workspaces."""
+        """Write a new configuration version with these workspaces, as the operator would."""
         version = self.config.version + 1
         self.config = replace(self.config, version=version, workspaces=workspaces)
         self.quotas.set_workspaces(workspaces)
@@ -171,14 +171,14 @@
 
 
 class HostView:
-    """The platform's ports as one host reaches them."""
+    """The platform's ports as seen from one host."""
 
     def __init__(self, *, simulation: Simulation, host_id: str) -> None:
         self.simulation = simulation
         self.host_id = host_id
 
     async def _call(self, callee: str, timeout_s: float, act: Any) -> Result[Any, StepError]:
-        """Carry a call out, or what the faults make of it."""
+        """Carry out a call, subject to the current faults."""
         simulation, faults = self.simulation, self.simulation.faults
         await trio.sleep(simulation.rng.uniform(0.001, 0.004))
         if callee == "store" and self.host_id in faults.store_refuses:
@@ -305,7 +305,7 @@
         return self._checked(answer)
 
     def _executor(self, executor_id: str) -> Executor | None:
-        """Return whichever incarnation of an executor is up: calls name no other."""
+        """Return the incarnation of an executor that is up, if any: calls reach no other."""
         executor = self.simulation.executors.get(executor_name(executor_id))
         return executor if executor is not None and executor.is_up else None
 
@@ -385,7 +385,7 @@
 
 
 class MemoryLink:
-    """A peer link in memory; messages pass unless the pair is cut."""
+    """An in-memory peer link; messages pass unless the pair is cut."""
 
     def __init__(self, *, simulation: Simulation, host_id: str) -> None:
         self.simulation = simulation
--- a/tests/cell/simulation_hosts.py
+++ b/tests/cell/simulation_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of the tests' world: maintenance, pools, and what is told of waves."""
+"""The hosts of the simulated platform: maintenance, pools, and reports of waves."""
 
 from collections import defaultdict
 from typing import TYPE_CHECKING
@@ -17,17 +17,17 @@
 
 
 class Hosts:
-    """The platform's hosts: which are down for maintenance, and what was told of waves."""
+    """The platform's hosts: which are down for maintenance, and the reports received of waves."""
 
     def __init__(self, *, simulation: "Simulation") -> None:
         self.simulation = simulation
         self.waves: list[MaintenanceWave] = []
         self.begun: defaultdict[int, set[str]] = defaultdict(set)
         self.down: dict[str, int] = {}
-        """Hosts that are down, with the wave that they are down for."""
+        """Hosts that are down, with the maintenance wave that took them down."""
         self.moving: set[str] = set()
         self.pools: dict[str, str] = {}
-        """Pools of hosts that are not in the service, or were not at first."""
+        """Pools of hosts that are, or initially were, outside the service's pool."""
         self.fences: defaultdict[str, int] = defaultdict(int)
         self.reported: dict[int, bool] = {}
         self.report_epoch = 0
@@ -61,7 +61,7 @@
         return self._state_of(host, is_alive=is_alive) is HostState.UP
 
     def order(self, order: HostOrder, token: int) -> HostOutcome | None:
-        """Carry an order out; None if it is fenced."""
+        """Carry out an order; None if it is fenced."""
         if token < self.fences[order.host]:
             return None
         self.fences[order.host] = token
@@ -78,7 +78,7 @@
         if down >= wave.most_down:
             at = f"{trio.current_time():.2f}"
             self.simulation.violations.append(
-                f"{order.host} goes down at {at} beside {down} others"
+                f"{order.host} goes down at {at} while {down} others are down"
             )
         self.begun[order.wave].add(order.host)
         self.down[order.host] = order.wave
@@ -125,6 +125,6 @@
             wave = next(wave for wave in self.waves if wave.number == number)
             if is_completed and not set(wave.hosts) <= self.begun[number]:
                 self.simulation.violations.append(
-                    f"wave {number} is told to be completed and is not"
+                    f"wave {number} is reported as completed but is not"
                 )
         return True
--- a/tests/cell/simulation_store.py
+++ b/tests/cell/simulation_store.py
@@ -1,8 +1,8 @@
-"""The store of the tests' world: a keyed topic with claims, epochs and sequence numbers."""
+"""The store of the simulated platform: a keyed topic with claims, epochs and sequence numbers."""
 
 
 class Store:
-    """Keyed topics with epochs and sequence numbers."""
+    """A keyed topic with a log end, claims, epochs and sequence numbers."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -13,16 +13,16 @@
         self.claimed_weight = 0.0
         self.newest_token = 0
         self.append_bytes = 2_097_152
-        """Most that one append may write; a larger one is refused however often it is sent."""
+        """Size limit of an append; a larger one is refused on every retry."""
         self.largest_append = 0
 
     @property
     def size(self) -> int:
-        """Bytes of all keys and values."""
+        """Total size of all keys and values in bytes."""
         return sum(len(key) + len(value) for key, value in self.values.items())
 
     def claim(self, host_id: str, address: str, weight: float, tip: int) -> int | None:
-        """Append a claim where the state ends; None if anything came first."""
+        """Append a claim at log end `tip`; None if another append came first."""
         if tip != self.tip:
             return None
         self.tip += 1
--- a/tests/test_cell_cut_off.py
+++ b/tests/test_cell_cut_off.py
@@ -1,4 +1,4 @@
-"""Hosts that part of the cell can't reach, and how they learn who leads."""
+"""How hosts that are partly isolated or stopping learn of a new leader."""
 
 from random import Random
 
@@ -11,11 +11,11 @@
 
 FIRST, OTHER, FRESH = "entry-0", "entry-1", "entry-2"
 SOON_S = 1.5
-"""By then a host has noticed that its leader is silent, asked, and heard the other one."""
+"""Enough for a host to miss its leader's heartbeats, query others and follow the new leader."""
 
 
 async def _let_fresh_host_take_over(cluster: Cluster, simulation: Simulation) -> None:
-    """Have a host that has just started, and knows of no host but the leader, lead instead."""
+    """Let a newly started host, which knows no other host than the leader, take over."""
     assert await cluster.wait_for_leader() == FIRST
     await trio.sleep(1.5)
     cluster.kill(FRESH)
@@ -28,21 +28,21 @@
 
 
 class TestLearningOfALeader:
-    """Hosts that can't or won't look at the store still have to learn of a new leader.
+    """Hosts that cannot or do not read the store must still learn of a new leader.
 
-    Five hosts were cut off from the store, and only from it. The leader was one of them, and a host
-    took over that had started 0.4 s before and knew of no host but the leader. All others looked at
-    the store and made themselves known to it. These five, and eight hosts that were stopping and so
-    did not look, went on asking the host that led before, for up to 5 s:
+    Five hosts, the leader among them, lost their connection to the store only. A host took over
+    that had started 0.4 s before and knew no host but the leader. The others found it in the store
+    and announced themselves to it. The five, and eight hosts that were stopping and so did not read
+    the store, kept calling the previous leader for up to 5 s:
 
-        27.45 leader.heard by the host cut off, peer=the second leader
-        28.02 leader.claimed by the host that had just started
+        27.45 leader.heard by a host without the store, peer=the second leader
+        28.02 leader.claimed by the newly started host
         28.16 leader.lost on the second leader, cause=the new one leads with a higher token
-        28.70 to 33.2 job.refused by the host cut off, verdict=unknown
-        33.26 leader.heard by the host cut off, once the store was back
+        28.70 to 33.2 job.refused by the host without the store, verdict=unknown
+        33.26 leader.heard by the host without the store, once the store was back
 
-    They refused 221 submissions in these seconds, after 0.4 to 1.8 s each, while 503 were accepted.
-    Four of the hosts were half of a data centre's, and its callers lost the most.
+    They refused 221 submissions meanwhile, after 0.4 to 1.8 s each, while 503 were accepted. Four
+    of the hosts were half of a data centre's, whose callers were affected most.
     """
 
     async def test_a_host_that_can_not_reach_the_store_follows_a_leader_that_does_not_know_it(
--- a/tests/test_cell_leadership.py
+++ b/tests/test_cell_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership, recovery and work of a cell over a platform in memory."""
+"""Leadership, recovery and scheduling of a cell on a simulated platform."""
 
 from random import Random
 
@@ -338,7 +338,7 @@
     ) -> None:
         async def scenario(cluster: Cluster, simulation: Simulation, rng: Random) -> None:
             leader = await cluster.wait_for_leader()
-            # By then no lease of an earlier leader could go on.
+            # After this, no lease granted by an earlier leader can still be valid.
             await trio.sleep(TIMINGS.lease_s + 1.0)
             await submit_jobs(cluster, simulation, rng, 12, 0.02)
             await trio.sleep(0.1)
@@ -350,7 +350,7 @@
             core = cluster.live[leader].host.leadership.term.core  # type: ignore[union-attr]
             there = core.executors_by_id["executor-1"].runs_by_task
             with trio.fail_after(20.0):
-                while there:  # noqa: ASYNC110 - the core tells nobody in tests
+                while there:  # noqa: ASYNC110 - the core has no event for it
                     await trio.sleep(0.05)
             longest_s = TIMINGS.renewal_s / (1 - TIMINGS.clock_rate_slack) + TIMINGS.lease_slack_s
             assert trio.current_time() - gone_at < longest_s + 0.3
@@ -376,15 +376,15 @@
 
 
 REGRESSIONS = {
-    115: "two incarnations of an executor listed together ended each other in turn",
-    131: "the same, with a run of the newer one taken for lost",
-    142: "a claim whose answer was lost kept hosts from following the leader that stood",
-    168: "a start left after its run had been counted as lapsed in a long outage of the store",
+    115: "two incarnations of an executor listed together ended each other alternately",
+    131: "the same, and a run of the newer one was considered lost",
+    142: "a claim whose answer was lost kept hosts from following the current leader",
+    168: "a start was sent after its run had been counted as expired in a long store outage",
 }
-"""Seeds that failed once, with their cause.
+"""Seeds that have failed, with their cause.
 
-Trio's order of tasks differs between runners, so a seed may pass here over a fault that it showed
-elsewhere; `test_cell_core` holds each cause alone.
+Trio's task order differs between runners, so a seed may pass here although the fault that it
+showed elsewhere is back; `test_cell_core` tests each cause separately.
 """
 
 
--- a/tests/test_cell_succession.py
+++ b/tests/test_cell_succession.py
@@ -1,4 +1,4 @@
-"""Who leads: large hosts before small ones, also while the state is read or a loop is late."""
+"""Succession of leaders: preference for large hosts, slow loads, lagging event loops."""
 
 from random import Random
 
@@ -27,18 +27,18 @@
 from galenastall.state.ids import HostId
 
 LARGE, SMALL = 2.15, 0.516
-"""Cores of the two kinds of hosts."""
+"""Cores of the two sizes of hosts."""
 STATE_BYTES = 3_000_000
-"""With the link below a load takes 2.4 s: longer than the 2 s in which claims followed each other.
-The state itself was 0.36 MB after 42 s; the rest of that time went to a busy link and processor."""
+"""Over the link below a load takes 2.4 s, longer than the 2 s between the claims in `TestLoading`.
+The state there was 0.36 MB after 42 s; a busy link and processor took the rest of the time."""
 SLOW_LINK = 1_250_000.0
-"""Bytes a second through the link of a small host."""
+"""Bytes per second over a small host's link."""
 TAKEOVER_S = 1.0
-"""A takeover among equal hosts: silence, a look at the store that stands still, and claims."""
+"""A takeover among equal hosts: missed heartbeats, a read of a log without appends, and claims."""
 
 
 def fill(simulation: Simulation) -> None:
-    """Give the state the size that it has under load."""
+    """Pad the stored state to `STATE_BYTES`."""
     simulation.store.values["history"] = b"x" * STATE_BYTES
 
 
@@ -47,14 +47,14 @@
 
 
 class TestLoading:
-    """A leader that loads is alive.
+    """A leader that is loading the state must count as alive.
 
-    Of 97 hosts the leader was lost, and seven hosts claimed one after the other, each about 2 s
-    after the one before, while that one was still reading the state through a slow link:
+    Among 97 hosts the leader was lost, and seven hosts claimed in turn, each about 2 s after the
+    one before, while that one was still loading the state over a slow link:
 
-        19.8  leader.claimed    cause=no heartbeat, and the state's end stands still
+        19.8  leader.claimed    after no heartbeat and no append to the state log
         21.9  leader.claimed    by another host, and so on at 24.0, 25.0, 27.2, 29.3 and 31.1 s
-        33.3  leader.loaded     by a host whose link is fast; nobody led for 15 s
+        33.3  leader.loaded     by a host with a fast link; there was no leader for 15 s
     """
 
     async def test_a_leader_that_loads_slowly_is_not_replaced(self, autojump_clock: object) -> None:
@@ -107,10 +107,11 @@
 
 
 class TestClaimPreference:
-    """Of hosts of unlike size a large one leads.
+    """Among hosts of different size a large one must lead.
 
-    The leader (2.15 cores) was lost and several hosts claimed within 5 ms. Where one of 0.516 cores
-    and 10 Mbit/s won, 939 starts failed within 4 s, and not one caller in ten was served in time.
+    The leader (2.15 cores) was lost and several hosts claimed within 5 ms. When a host with 0.516
+    cores and 10 Mbit/s won, 939 starts failed within 4 s, and fewer than one caller in ten was
+    served in time.
     """
 
     @pytest.mark.parametrize("seed", range(10, 16))
@@ -192,7 +193,7 @@
 
 
 class TestHandover:
-    """A small host that leads hands over to a large one that is well, once."""
+    """A small leader hands over to an eligible large host, once."""
 
     async def test_a_small_leader_hands_over_as_soon_as_a_large_host_is_eligible(
         self, autojump_clock: object
@@ -233,7 +234,7 @@
 
 
 class TestFallingBehind:
-    """A leader whose loop is late gives way before its callers do."""
+    """A leader whose event loop lags hands over before its callers time out."""
 
     async def test_a_leader_that_falls_behind_hands_over_and_does_not_lead_again_soon(
         self, autojump_clock: object
@@ -275,10 +276,9 @@
 
 
 class TestLeaderRefusedByStore:
-    """A leader that the store turns away hands over to a host that the store serves.
+    """A leader refused by the store hands over to a host that the store serves.
 
-    The store turned the leader away and served the others; 84 of 180 jobs were late in the 1.3 s
-    until others claimed.
+    The store refused the leader only; 84 of 180 jobs were late in the 1.3 s until others claimed.
     """
 
     @pytest.mark.parametrize("kind", ["refused", "silent"])
