--- a/src/galenastall/coordination/cell/maintenance.py
+++ b/src/galenastall/coordination/cell/maintenance.py
@@ -1,7 +1,7 @@
-"""Waves of maintenance: which host is emptied and taken down next, within what services allow.
+"""Maintenance waves: which host is drained and taken down next, within the limits of services.
 
-An order kills what runs on the host, so the host is emptied first. It is written ahead, like a
-start: the next leader repeats orders whose fate it can't know before it gives others of that wave.
+An order kills the runs on the host, so the host is drained first. Orders are written ahead, like
+starts: the next leader repeats orders of unknown outcome before it issues others of that wave.
 """
 
 from collections.abc import Iterable
@@ -18,19 +18,21 @@
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.state.cell.hosts import HostState, MaintenanceWave, PoolHost, WaveRow
 
-TIME_FOR_WAVE: Final = 0.8
-"""Share of a wave's time after which all its hosts should have begun; the rest is a margin."""
-SEEN_UP_S: Final = 1.0
-"""How long a host counts as down beyond its maintenance: lists may be read before it began."""
+WAVE_START_SHARE: Final = 0.8
+"""Share of a wave's duration within which maintenance of all its hosts should have begun; the rest
+is a safety margin."""
+STALE_LIST_MARGIN_S: Final = 1.0
+"""How long a host counts as down beyond its maintenance: a list may predate the maintenance."""
 GONE_AFTER_S: Final = 5.0
-"""A host counts as gone once lists have lacked it for so long; pages of a list are no snapshot."""
-LEAST_PATIENCE_S: Final = 1.0
-"""How long a host's runs may go on at least before those that need not are stopped."""
+"""A host counts as gone once it is missing from lists for this long. One list is not enough: its
+pages are not a consistent snapshot."""
+MIN_PATIENCE_S: Final = 1.0
+"""Minimum time that runs on a draining host get to end on their own before they are stopped."""
 
 
 @dataclass(kw_only=True, slots=True)
 class WaveProgress:
-    """A wave under way."""
+    """State of a wave."""
 
     wave: MaintenanceWave
     first_seen_at: float
@@ -38,15 +40,15 @@
     ordered: set[str] = field(default_factory=set)
     begun: set[str] = field(default_factory=set)
     begun_at: dict[str, float] = field(default_factory=dict)
-    """Wall time at which this leader learned that a host's maintenance began."""
-    emptying_since: dict[str, float] = field(default_factory=dict)
-    """Wall time since which a host gets nothing new."""
+    """Wall time at which this leader learned that the maintenance of a host began."""
+    draining_since: dict[str, float] = field(default_factory=dict)
+    """Wall time since which a host accepts no new work."""
     is_completed: bool = False
-    is_told: bool = False
-    """Whether the operator was told of this state."""
+    is_reported: bool = False
+    """Whether the current state was reported to the operator."""
 
     def row(self) -> WaveRow:
-        """Return what is stored."""
+        """Return the row to store."""
         return WaveRow(
             number=self.wave.number,
             first_seen_at=self.first_seen_at,
@@ -56,20 +58,20 @@
         )
 
     def patience_s(self, down_s: float) -> float:
-        """Return how long each host may take to become empty by itself.
+        """Return the time that each host has to become empty on its own.
 
-        `down_s` is how long each is down for.
+        `down_s` is the time that each host is down.
         """
         rounds = ceil(len(self.wave.hosts) / max(self.wave.most_down, 1))
-        spare_s = self.wave.duration_s * TIME_FOR_WAVE - rounds * down_s
-        return max(spare_s / rounds, LEAST_PATIENCE_S)
+        spare_s = self.wave.duration_s * WAVE_START_SHARE - rounds * down_s
+        return max(spare_s / rounds, MIN_PATIENCE_S)
 
 
 class Maintenance:
-    """Works through waves."""
+    """Carries out maintenance waves."""
 
     def __init__(self, *, state: CellState, ends: RunEnds) -> None:
-        """Work on these tables."""
+        """Operate on the given state."""
         self._state = state
         self._ends = ends
         self._availability = Availability(state=state)
@@ -77,24 +79,24 @@
         self._progress_by_number: dict[int, WaveProgress] = {}
         self._hosts_by_id: dict[str, PoolHost] = {}
         self._seen_at: dict[str, float] = {}
-        """Wall time at which a list last had a host."""
+        """Wall time at which a host last appeared in a list."""
         self._listed_at = 0.0
         """Wall time of the last list."""
         self.ahead: WriteAhead[int] = WriteAhead()
-        """Numbers of waves whose rows are to be written, and orders that wait for them."""
+        """Numbers of waves with rows to write, and the orders that wait for them."""
 
     @property
     def is_active(self) -> bool:
-        """Whether a wave is under way, so that the list of hosts is needed."""
+        """Whether a wave is in progress, so that the list of hosts is needed."""
         return any(not each.is_completed for each in self._progress_by_number.values())
 
     def restore(self, rows: Iterable[WaveRow]) -> None:
-        """Take over what earlier leaders stored."""
+        """Restore the rows that earlier leaders stored."""
         self._rows_by_number = {row.number: row for row in rows}
 
     def set_waves(self, waves: Iterable[MaintenanceWave], *, wall: float) -> list[HostOrder]:
-        """Take the operator's waves; return the orders that an earlier leader left open."""
-        left_open: list[HostOrder] = []
+        """Set the operator's waves; return orders of earlier leaders whose outcome is unknown."""
+        unresolved: list[HostOrder] = []
         for wave in waves:
             known = self._progress_by_number.get(wave.number)
             if known is not None:
@@ -102,8 +104,8 @@
                 continue
             progress = self._progress_by_number[wave.number] = self._begin(wave, wall)
             self.ahead.mark(wave.number)
-            left_open += [HostOrder(host=h, wave=wave.number) for h in sorted(progress.ordered)]
-        return left_open
+            unresolved += [HostOrder(host=h, wave=wave.number) for h in sorted(progress.ordered)]
+        return unresolved
 
     def _begin(self, wave: MaintenanceWave, wall: float) -> WaveProgress:
         row = self._rows_by_number.get(wave.number)
@@ -120,7 +122,7 @@
         )
 
     def set_hosts(self, hosts: Iterable[PoolHost], *, wall: float) -> None:
-        """Take the platform's list of hosts."""
+        """Update the hosts from the platform's list."""
         self._hosts_by_id = {host.host: host for host in hosts}
         self._listed_at = wall
         for host in self._hosts_by_id:
@@ -136,7 +138,7 @@
         return self._listed_at - self._seen_at.get(host, self._listed_at) >= GONE_AFTER_S
 
     def decide(self, *, wall: float) -> None:
-        """Empty hosts whose turn it is, and order those that are empty."""
+        """Drain the next hosts, and order maintenance of those that are empty."""
         if not self._hosts_by_id:
             return
         for progress in self._progress_by_number.values():
@@ -144,35 +146,35 @@
                 self._advance(progress, wall)
 
     def _advance(self, progress: WaveProgress, wall: float) -> None:
-        left = [host for host in progress.wave.hosts if self._is_left(progress, host)]
+        left = [host for host in progress.wave.hosts if self._is_remaining(progress, host)]
         if not left and not progress.ordered:
             progress.is_completed = True
-            progress.is_told = False
+            progress.is_reported = False
             self.ahead.mark(progress.wave.number)
             self._state.note("wave.completed", str(progress.wave.number))
             return
         down = self._count_down(progress, wall)
-        room = progress.wave.most_down - down - len(progress.emptying_since)
-        for host in self._next_hosts(progress, left)[: max(room, 0)]:
-            progress.emptying_since[host] = wall
+        free_slots = progress.wave.most_down - down - len(progress.draining_since)
+        for host in self._next_hosts(progress, left)[: max(free_slots, 0)]:
+            progress.draining_since[host] = wall
             self._state.note("host.emptied", host, cause=f"wave {progress.wave.number}")
         patience_s = progress.patience_s(self._down_s)
-        for host, since in list(progress.emptying_since.items()):
+        for host, since in list(progress.draining_since.items()):
             if host not in self._hosts_by_id:
-                del progress.emptying_since[host]
+                del progress.draining_since[host]
             else:
-                self._empty(progress, host, is_pressing=wall - since >= patience_s)
+                self._drain(progress, host, is_overdue=wall - since >= patience_s)
 
     @property
     def _down_s(self) -> float:
-        return self._state.timings.maintenance_s + SEEN_UP_S
+        return self._state.timings.maintenance_s + STALE_LIST_MARGIN_S
 
-    def _is_left(self, progress: WaveProgress, host: str) -> bool:
+    def _is_remaining(self, progress: WaveProgress, host: str) -> bool:
         is_open = host not in progress.begun and host not in progress.ordered
         return is_open and not self._is_gone(host)
 
     def _count_down(self, progress: WaveProgress, wall: float) -> int:
-        """Return how many hosts of the wave are, or may be, down for it."""
+        """Return how many hosts of the wave are, or may be, down for maintenance."""
         down = set(progress.ordered)
         for host in progress.begun:
             listed = self._hosts_by_id.get(host)
@@ -183,8 +185,8 @@
         return len(down)
 
     def _next_hosts(self, progress: WaveProgress, left: list[str]) -> list[str]:
-        """Return hosts that are up, those with the fewest runs first."""
-        up = [host for host in left if host not in progress.emptying_since and self._is_up(host)]
+        """Return the remaining hosts that are up, those with the fewest runs first."""
+        up = [host for host in left if host not in progress.draining_since and self._is_up(host)]
         return sorted(up, key=lambda host: (self._run_count(host), host))
 
     def _is_up(self, host: str) -> bool:
@@ -195,8 +197,8 @@
         executor = self._state.executor_on(host)
         return len(executor.runs_by_task) if executor is not None else 0
 
-    def _empty(self, progress: WaveProgress, host: str, *, is_pressing: bool) -> None:
-        """Take work off a host, and order its maintenance once nothing is left there."""
+    def _drain(self, progress: WaveProgress, host: str, *, is_overdue: bool) -> None:
+        """Drain a host, and order its maintenance once it has no runs."""
         executor = self._state.executor_on(host)
         if executor is None:
             self._order(progress, host)
@@ -211,9 +213,9 @@
                 continue
             _, step, task = found
             if step.step.is_long_running:
-                if self._availability.may_take_away(step, task):
+                if self._availability.may_stop(step, task):
                     self._stop(task)
-            elif is_pressing:
+            elif is_overdue:
                 self._stop(task)
 
     def _stop(self, task: TaskRun) -> None:
@@ -221,13 +223,13 @@
         self._ends.stop(task, rule=StopRule.MAINTENANCE, cause=cause)
 
     def _order(self, progress: WaveProgress, host: str) -> None:
-        progress.emptying_since.pop(host, None)
+        progress.draining_since.pop(host, None)
         progress.ordered.add(host)
         number = progress.wave.number
         self.ahead.mark(number, HostOrder(host=host, wave=number))
 
     def on_order(self, order: HostOrder, outcome: HostOutcome, *, wall: float) -> bool:
-        """Apply what became of an order; return whether it should be sent again."""
+        """Apply the outcome of an order; return whether it should be sent again."""
         progress = self._progress_by_number.get(order.wave)
         if progress is None or order.host not in progress.ordered:
             return False
@@ -245,19 +247,19 @@
         return False
 
     def take_rows(self) -> dict[int, WaveRow]:
-        """Return the progress to store."""
+        """Return the rows to store."""
         return {number: self._progress_by_number[number].row() for number in self.ahead.take_keys()}
 
-    def to_tell(self) -> dict[int, bool]:
-        """Return whether each wave is completed whose state the operator was not told yet."""
+    def unreported_waves(self) -> dict[int, bool]:
+        """Return the waves whose state is not yet reported, and whether each is completed."""
         return {
             number: progress.is_completed
             for number, progress in self._progress_by_number.items()
-            if not progress.is_told
+            if not progress.is_reported
         }
 
-    def on_told(self, number: int, *, is_completed: bool) -> None:
-        """Note that the operator was told of a wave's state."""
+    def on_wave_reported(self, number: int, *, is_completed: bool) -> None:
+        """Record that the state of a wave was reported to the operator."""
         progress = self._progress_by_number.get(number)
         if progress is not None and progress.is_completed == is_completed:
-            progress.is_told = True
+            progress.is_reported = True
--- a/src/galenastall/coordination/jobs/attempt_rules.py
+++ b/src/galenastall/coordination/jobs/attempt_rules.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt that is over: end the task, try again, or stop the job."""
+"""Decide what follows the end of an attempt: end the task, retry it, or stop the job."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,54 +9,56 @@
 from galenastall.state.work import TaskPhase
 
 
-class NextMove(StrEnum):
-    """What to do with the task."""
+class NextAction(StrEnum):
+    """What to do with the task after an attempt."""
 
     OFFER = "offer"
-    """Give it out again at once: it provably never started."""
+    """Assign it again at once: it provably never started."""
     RETRY = "retry"
-    """Give it out again after a wait."""
+    """Assign it again after a delay."""
     CLOSE = "close"
-    """It ended for good."""
+    """It has finally ended."""
     STOP_JOB = "stop_job"
-    """It ended for good and its job gives out nothing more."""
+    """It has finally ended, and no further task of its job is assigned."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """A move, and the phase with which the task ends if it does."""
+    """An action, and the phase in which the task ends if it does."""
 
-    move: NextMove
+    action: NextAction
     phase: TaskPhase = TaskPhase.CANCELLED
 
 
-def judge(run: JobRun, index: int, report: TaskReport, settings: ShardSettings) -> Verdict:
+def decide_next_action(
+    run: JobRun, index: int, report: TaskReport, settings: ShardSettings
+) -> Verdict:
     """Return what to do after the last report on an attempt.
 
-    A task that may have run is tried again only if it is idempotent; otherwise it ends as what is
-    known of it: failed, or unknown.
+    A task that may have run is retried only if it is idempotent; otherwise it ends as failed,
+    or as unknown if its outcome is not known.
     """
     if run.is_stopped:
-        return Verdict(move=NextMove.CLOSE, phase=phase_when_stopped(run, report.kind))
+        return Verdict(action=NextAction.CLOSE, phase=phase_when_stopped(run, report.kind))
     if report.kind is ReportKind.RETURNED:
-        return Verdict(move=NextMove.OFFER)
+        return Verdict(action=NextAction.OFFER)
     if report.kind is ReportKind.REFUSED:
-        move = NextMove.STOP_JOB if report.give_up else NextMove.CLOSE
-        return Verdict(move=move, phase=TaskPhase.CANCELLED)
+        action = NextAction.STOP_JOB if report.give_up else NextAction.CLOSE
+        return Verdict(action=action, phase=TaskPhase.CANCELLED)
     if report.kind is ReportKind.DONE and not run.is_service:
-        return Verdict(move=NextMove.CLOSE, phase=TaskPhase.DONE)
+        return Verdict(action=NextAction.CLOSE, phase=TaskPhase.DONE)
     if run.is_service:
-        return Verdict(move=NextMove.RETRY)
+        return Verdict(action=NextAction.RETRY)
     if report.kind is ReportKind.FAILED and is_bad_job(run, index, report, settings):
-        return Verdict(move=NextMove.STOP_JOB, phase=TaskPhase.FAILED)
+        return Verdict(action=NextAction.STOP_JOB, phase=TaskPhase.FAILED)
     if run.state.spec.idempotent:
-        return Verdict(move=NextMove.RETRY)
+        return Verdict(action=NextAction.RETRY)
     phase = TaskPhase.FAILED if report.kind is ReportKind.FAILED else TaskPhase.UNKNOWN
-    return Verdict(move=NextMove.CLOSE, phase=phase)
+    return Verdict(action=NextAction.CLOSE, phase=phase)
 
 
 def phase_when_stopped(run: JobRun, kind: ReportKind) -> TaskPhase:
-    """Return how a task of a stopped job ends after this last report."""
+    """Return the final phase of a task of a stopped job after this last report."""
     if kind is ReportKind.DONE and not run.is_service:
         return TaskPhase.DONE
     if kind is ReportKind.FAILED:
@@ -67,7 +69,7 @@
 
 
 def is_bad_job(run: JobRun, index: int, report: TaskReport, settings: ShardSettings) -> bool:
-    """Return whether the failures speak against the job rather than against a worker."""
+    """Return whether the failures point to the job rather than to a worker."""
     workers = {each.worker_id for each in run.failures}
     own = sum(1 for each in run.failures if each.index == index)
     return (
@@ -76,9 +78,10 @@
 
 
 def retry_delay_s(run: JobRun, index: int, settings: ShardSettings) -> float:
-    """Return the wait before the next try; it doubles with each failure and loss of the task.
+    """Return the delay before the next retry; it doubles with each failure and loss of the task.
 
-    A loss may be the worker's fault or the task's: one that takes its workers down takes few.
+    A loss may be the worker's fault or the task's: the growing delay limits how many workers a
+    task that crashes its workers takes down.
     """
     failures = sum(1 for each in run.failures if each.index == index)
     doublings = min(failures + run.losses_by_index.get(index, 0), 10)
--- a/src/galenastall/node/cell/caller_handler.py
+++ b/src/galenastall/node/cell/caller_handler.py
@@ -15,9 +15,9 @@
 from galenastall.node.cell.leader_handler import SHARE_OF_PATIENCE, LeaderHandler
 from galenastall.node.cell.leadership import Leadership
 from galenastall.protocol.cell.messages import (
-    AskJob,
     CancelJob,
     CountPending,
+    GetJob,
     JobAnswer,
     PendingAnswer,
     SubmitAnswer,
@@ -42,7 +42,7 @@
 RETRY_S: Final = 0.05
 RETRY_AFTER_S: Final = 1.0
 """Retry delay suggested to callers: by then most takeovers have finished."""
-_Call = TypeVar("_Call", SubmitJob, AskJob, CancelJob, CountPending)
+_Call = TypeVar("_Call", SubmitJob, GetJob, CancelJob, CountPending)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -106,7 +106,7 @@
         self._link = link
         self._leadership = leadership
         link.handle(SubmitJob, self._on_submit)
-        link.handle(AskJob, self._on_ask)
+        link.handle(GetJob, self._on_ask)
         link.handle(CancelJob, self._on_cancel)
         link.handle(CountPending, self._on_count)
 
@@ -167,7 +167,7 @@
         be admitted again.
         """
         return await self._query(
-            AskJob,
+            GetJob,
             job_id,
             patience_s=patience_s,
             workspace=workspace,
@@ -209,14 +209,14 @@
 
     async def _query(
         self,
-        kind: type[AskJob] | type[CancelJob],
+        kind: type[GetJob] | type[CancelJob],
         job_id: str,
         *,
         patience_s: float,
         workspace: str,
         config_version: int,
     ) -> Result[JobPhase | None, StepError]:
-        def build(left_s: float) -> AskJob | CancelJob:
+        def build(left_s: float) -> GetJob | CancelJob:
             return kind(
                 job_id=job_id,
                 patience_s=left_s,
@@ -262,7 +262,7 @@
     async def _on_submit(self, sender: HostId, message: SubmitJob) -> Any:
         return await self._serve(sender, message, LeaderHandler.submit)
 
-    async def _on_ask(self, sender: HostId, message: AskJob) -> Any:
+    async def _on_ask(self, sender: HostId, message: GetJob) -> Any:
         return await self._serve(sender, message, LeaderHandler.query)
 
     async def _on_cancel(self, sender: HostId, message: CancelJob) -> Any:
--- a/src/galenastall/node/cell/config_watcher.py
+++ b/src/galenastall/node/cell/config_watcher.py
@@ -53,8 +53,8 @@
 
     def is_outdated(self, version: int) -> bool:
         """Whether a call admitted by this version must be admitted again by the current one."""
-        own_for_s = trio.current_time() - self._in_force_since
-        return is_outdated(version=version, own_version=self.version, own_for_s=own_for_s)
+        held_for_s = trio.current_time() - self._in_force_since
+        return is_outdated(version=version, own_version=self.version, held_for_s=held_for_s)
 
     def note_version(self, version: int, host: HostId | None) -> None:
         """Record that a host has this version."""
--- a/src/galenastall/node/cell/hosts_driver.py
+++ b/src/galenastall/node/cell/hosts_driver.py
@@ -33,9 +33,9 @@
         hosts = self._context.core.hosts
         while True:
             hosts.set_waves(self._hosts.waves(), wall=self._context.wall())
-            if hosts.wants_list:
+            if hosts.needs_host_list:
                 await self._list()
-            for number, is_completed in hosts.to_tell().items():
+            for number, is_completed in hosts.unreported_waves().items():
                 await self._report_wave(number, is_completed=is_completed)
             await trio.sleep(POLL_EVERY_S)
 
@@ -55,14 +55,14 @@
         await self._context.committed.wait()
         self._sequence += 1
         while True:
-            answer = await self._hosts.tell_wave(
+            answer = await self._hosts.report_wave(
                 number,
                 is_completed=is_completed,
                 token=self._context.token,
                 sequence=self._sequence,
             )
             if not isinstance(answer, Failure):
-                self._context.core.hosts.on_told(number, is_completed=is_completed)
+                self._context.core.hosts.on_wave_reported(number, is_completed=is_completed)
                 return
             self._end_term_if_fenced(answer.failure())
             await trio.sleep(RETRY_S)
--- a/src/galenastall/node/cell/membership.py
+++ b/src/galenastall/node/cell/membership.py
@@ -9,7 +9,7 @@
 from galenastall.node.cell.heartbeats import AddressBroadcast
 from galenastall.node.cell.loop_lag import LoopLag
 from galenastall.node.cell.peer_table import PeerTable
-from galenastall.protocol.cell.messages import Beat, Hello
+from galenastall.protocol.cell.messages import Heartbeat, Hello
 from galenastall.protocol.peers import PeerLink
 from galenastall.state.ids import HostId
 
@@ -78,7 +78,7 @@
         """Start sending heartbeats as leader; no host has been sent addresses yet."""
         self._broadcast = AddressBroadcast()
 
-    def send_heartbeats(self, plain: Beat) -> None:
+    def send_heartbeats(self, plain: Heartbeat) -> None:
         """Send a heartbeat to all other hosts; for some it includes the addresses of all hosts."""
         known = {**self.peers.addresses_by_host(), self._link.host_id: self.address}
         self._broadcast.set_current({str(host): address for host, address in known.items()})
@@ -87,7 +87,7 @@
             message = replace(plain, addresses_by_host=addresses) if addresses else plain
             self._link.send(peer=host, message=message)
 
-    def learn_addresses(self, leader: HostId, beat: Beat) -> None:
+    def learn_addresses(self, leader: HostId, beat: Heartbeat) -> None:
         """Adopt all addresses that a heartbeat carries, or at least its leader's."""
         if beat.addresses_by_host:
             self._addresses_by_host = {**beat.addresses_by_host, str(leader): beat.address}
--- a/src/galenastall/node/cell/peer_table.py
+++ b/src/galenastall/node/cell/peer_table.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from galenastall.coordination.cell.succession import Contender, successor_of
+from galenastall.coordination.cell.succession import Candidate, successor_of
 from galenastall.protocol.cell.messages import Hello
 from galenastall.state.ids import HostId
 
@@ -58,10 +58,10 @@
         best = successor_of(self.contenders(now))
         return HostId(best.host) if best is not None else None
 
-    def contenders(self, now: float) -> list[Contender]:
+    def contenders(self, now: float) -> list[Candidate]:
         """Return the available hosts with their last reported status."""
         return [
-            Contender(
+            Candidate(
                 host=host,
                 weight=status.weight,
                 uptime_s=now - status.started_at,
