--- a/src/galenastall/node/cell/handover.py
+++ b/src/galenastall/node/cell/handover.py
@@ -74,12 +74,12 @@
             store_refuses_s=self._term.store_refuses_s,
             store_failing_s=self._term.store_outage_s,
         )
-        contenders = [
-            contender
-            for contender in self._peers.contenders(now)
-            if self._not_before_by_host.get(contender.host, 0.0) <= now
+        candidates = [
+            candidate
+            for candidate in self._peers.candidates(now)
+            if self._not_before_by_host.get(candidate.host, 0.0) <= now
         ]
-        return handover_of(health, contenders)
+        return handover_of(health, candidates)
 
     async def _is_confirmed(self, handover: Handover) -> bool:
         """Whether the successor can lead and, if the cause is the store, this host still cannot.
--- a/src/galenastall/node/cell/leadership.py
+++ b/src/galenastall/node/cell/leadership.py
@@ -65,7 +65,7 @@
         self.term: LeaderTerm | None = None
         """The term of this host, if it leads."""
         self.leader_handler: LeaderHandler | None = None
-        self._link.handle(Heartbeat, self._on_beat)
+        self._link.handle(Heartbeat, self._on_heartbeat)
         self._link.handle(TakeOver, self._on_take_over)
         self._link.handle(CanLead, self._on_can_lead)
 
@@ -289,7 +289,7 @@
             address=self._members.address,
             confirm_age_s=term.confirm_age_s,
             config_version=config.version if config else 0,
-            heaviest=heaviest_of(self._members.peers.contenders(trio.current_time())),
+            heaviest=heaviest_of(self._members.peers.candidates(trio.current_time())),
         )
         self._members.send_heartbeats(plain)
 
@@ -314,28 +314,30 @@
         if is_other and not self.has_leader and found.token >= self._election.token:
             self._members.make_known_to(found.host_id, found.address)
 
-    async def _on_beat(self, sender: HostId, beat: Heartbeat) -> Any:
-        if self.term is not None and beat.token < self.term.token:
+    async def _on_heartbeat(self, sender: HostId, heartbeat: Heartbeat) -> Any:
+        if self.term is not None and heartbeat.token < self.term.token:
             return None
         now = trio.current_time()
-        heard = ReceivedHeartbeat(
-            token=beat.token,
+        received = ReceivedHeartbeat(
+            token=heartbeat.token,
             leader=sender,
             received_at=now,
-            confirm_age_s=beat.confirm_age_s,
-            heaviest=beat.heaviest,
+            confirm_age_s=heartbeat.confirm_age_s,
+            heaviest=heartbeat.heaviest,
         )
         before = self._election.leader, self._election.token
-        if not self._election.on_heartbeat(heard):
+        if not self._election.on_heartbeat(received):
             return None
-        if self.term is not None and beat.token > self.term.token:
+        if self.term is not None and heartbeat.token > self.term.token:
             self.term.give_up(f"{sender} leads with a higher token")
-        self._members.learn_addresses(sender, beat)
+        self._members.learn_addresses(sender, heartbeat)
         if (self._election.leader, self._election.token) != before:
-            self._recorder.record("leader.heard", peer=sender, fields={"token": str(beat.token)})
+            self._recorder.record(
+                "leader.heard", peer=sender, fields={"token": str(heartbeat.token)}
+            )
             self._members.say_hello(sender)
             self._notify_changed()
-        self._on_newer_config(beat.config_version)
+        self._on_newer_config(heartbeat.config_version)
         return None
 
     async def _on_can_lead(self, sender: HostId, _: CanLead) -> Any:
--- a/src/galenastall/node/cell/membership.py
+++ b/src/galenastall/node/cell/membership.py
@@ -87,13 +87,16 @@
             message = replace(plain, addresses_by_host=addresses) if addresses else plain
             self._link.send(peer=host, message=message)
 
-    def learn_addresses(self, leader: HostId, beat: Heartbeat) -> None:
+    def learn_addresses(self, leader: HostId, heartbeat: Heartbeat) -> None:
         """Adopt all addresses that a heartbeat carries, or at least its leader's."""
-        if beat.addresses_by_host:
-            self._addresses_by_host = {**beat.addresses_by_host, str(leader): beat.address}
+        if heartbeat.addresses_by_host:
+            self._addresses_by_host = {
+                **heartbeat.addresses_by_host,
+                str(leader): heartbeat.address,
+            }
             self._apply_addresses()
         else:
-            self._set_address(leader, beat.address)
+            self._set_address(leader, heartbeat.address)
 
     async def _on_hello(self, sender: HostId, hello: Hello) -> None:
         if self.peers.on_hello(sender, hello, trio.current_time()):
--- a/src/galenastall/node/cell/peer_table.py
+++ b/src/galenastall/node/cell/peer_table.py
@@ -55,10 +55,10 @@
 
     def successor(self, now: float) -> HostId | None:
         """Return the available host that should lead next."""
-        best = successor_of(self.contenders(now))
+        best = successor_of(self.candidates(now))
         return HostId(best.host) if best is not None else None
 
-    def contenders(self, now: float) -> list[Candidate]:
+    def candidates(self, now: float) -> list[Candidate]:
         """Return the available hosts with their last reported status."""
         return [
             Candidate(
--- a/tests/cell/simulation.py
+++ b/tests/cell/simulation.py
@@ -271,7 +271,7 @@
                 address=address,
                 weight=store.claimed_weight,
             )
-        return StoreView(leader=leader, log_end=store.tip)
+        return StoreView(leader=leader, log_end=store.log_end)
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
         return await self._call("store", 1.0, lambda: tuple(self.simulation.listed.values()))
--- a/tests/cell/simulation_store.py
+++ b/tests/cell/simulation_store.py
@@ -6,7 +6,7 @@
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
-        self.tip = 0
+        self.log_end = 0
         self.epoch = 0
         self.last_sequence = -1
         self.claims: list[tuple[str, str]] = []
@@ -21,14 +21,14 @@
         """Total size of all keys and values in bytes."""
         return sum(len(key) + len(value) for key, value in self.values.items())
 
-    def claim(self, host_id: str, address: str, weight: float, tip: int) -> int | None:
-        """Append a claim at log end `tip`; None if another append came first."""
-        if tip != self.tip:
+    def claim(self, host_id: str, address: str, weight: float, log_end: int) -> int | None:
+        """Append a claim if the log ends at `log_end`; None if another append came first."""
+        if log_end != self.log_end:
             return None
-        self.tip += 1
+        self.log_end += 1
         self.claims.append((host_id, address))
         self.claimed_weight = weight
-        self.newest_token = self.tip
+        self.newest_token = self.log_end
         return self.newest_token
 
     def fence(self, token: int) -> bool:
@@ -44,7 +44,7 @@
         if sequence <= self.last_sequence:
             return True
         self.last_sequence = sequence
-        self.tip += len(values)
+        self.log_end += len(values)
         for key, value in values.items():
             if value:
                 self.values[key] = value
--- a/tests/test_cell_succession.py
+++ b/tests/test_cell_succession.py
@@ -334,7 +334,7 @@
         await run_scenario(scenario, seed=seed, hosts=5)
 
 
-def contender(host: str, weight: float = 1.0, **fields: object) -> Candidate:
+def candidate(host: str, weight: float = 1.0, **fields: object) -> Candidate:
     known = {"uptime_s": 60.0, "lag_s": 0.0, "is_willing": True, **fields}
     return Candidate(host=host, weight=weight, **known)  # type: ignore[arg-type]
 
@@ -350,21 +350,21 @@
     @pytest.mark.parametrize(
         ("leader", "other", "is_handed_over"),
         [
-            (health(SMALL), contender("b", LARGE), True),
-            (health(LARGE), contender("b", LARGE), False),
-            (health(LARGE), contender("b", SMALL), False),
-            (health(SMALL), contender("b", SMALL * 1.2), False),
-            (health(SMALL), contender("b", LARGE, uptime_s=MIN_CANDIDATE_UPTIME_S / 2), False),
-            (health(SMALL), contender("b", LARGE, lag_s=2 * MAX_CANDIDATE_LAG_S), False),
-            (health(SMALL), contender("b", LARGE, is_willing=False), False),
-            (health(LARGE, LATE), contender("b", LARGE), True),
-            (health(LARGE, LATE), contender("b", SMALL), False),
-            (health(LARGE, LATE, leads_for_s=LAG_GRACE_S / 2), contender("b", LARGE), False),
-            (health(LARGE, LATE), contender("b", LARGE, lag_s=LATE), False),
-            (health(store_refuses_s=2 * STORE_REFUSAL_LIMIT_S), contender("b"), True),
-            (health(store_refuses_s=STORE_REFUSAL_LIMIT_S / 2), contender("b"), False),
-            (health(store_failing_s=2 * STORE_FAILURE_LIMIT_S), contender("b", SMALL), True),
-            (health(store_failing_s=STORE_FAILURE_LIMIT_S / 2), contender("b"), False),
+            (health(SMALL), candidate("b", LARGE), True),
+            (health(LARGE), candidate("b", LARGE), False),
+            (health(LARGE), candidate("b", SMALL), False),
+            (health(SMALL), candidate("b", SMALL * 1.2), False),
+            (health(SMALL), candidate("b", LARGE, uptime_s=MIN_CANDIDATE_UPTIME_S / 2), False),
+            (health(SMALL), candidate("b", LARGE, lag_s=2 * MAX_CANDIDATE_LAG_S), False),
+            (health(SMALL), candidate("b", LARGE, is_willing=False), False),
+            (health(LARGE, LATE), candidate("b", LARGE), True),
+            (health(LARGE, LATE), candidate("b", SMALL), False),
+            (health(LARGE, LATE, leads_for_s=LAG_GRACE_S / 2), candidate("b", LARGE), False),
+            (health(LARGE, LATE), candidate("b", LARGE, lag_s=LATE), False),
+            (health(store_refuses_s=2 * STORE_REFUSAL_LIMIT_S), candidate("b"), True),
+            (health(store_refuses_s=STORE_REFUSAL_LIMIT_S / 2), candidate("b"), False),
+            (health(store_failing_s=2 * STORE_FAILURE_LIMIT_S), candidate("b", SMALL), True),
+            (health(store_failing_s=STORE_FAILURE_LIMIT_S / 2), candidate("b"), False),
         ],
     )
     def test_a_leader_hands_over_to_a_better_host_only(
@@ -373,23 +373,23 @@
         assert (handover_of(leader, [other]) is not None) is is_handed_over
 
     def test_the_cause_names_both_weights_or_the_lag(self) -> None:
-        by_weight = handover_of(health(SMALL), [contender("b", LARGE)])
-        by_lag = handover_of(health(LARGE, 0.31), [contender("b", LARGE)])
+        by_weight = handover_of(health(SMALL), [candidate("b", LARGE)])
+        by_lag = handover_of(health(LARGE, 0.31), [candidate("b", LARGE)])
         assert by_weight is not None
         assert by_weight.cause == "b has 2.15 cores and this host 0.516"
         assert by_lag is not None
         assert (by_lag.is_overloaded, "0.31 s late" in by_lag.cause) == (True, True)
 
     def test_successors_are_ordered_by_lag_then_weight_then_youngest(self) -> None:
-        late = contender("late", LARGE, lag_s=LATE)
-        old, young = contender("old"), contender("young", uptime_s=2.0)
+        late = candidate("late", LARGE, lag_s=LATE)
+        old, young = candidate("old"), candidate("young", uptime_s=2.0)
         assert successor_of([late, old, young]) == young
         assert successor_of([late]) == late
         assert successor_of([]) is None
 
     def test_an_unwilling_host_is_not_waited_for(self) -> None:
         assert (
-            heaviest_of([contender("a", SMALL), contender("b", LARGE, is_willing=False)]) == SMALL
+            heaviest_of([candidate("a", SMALL), candidate("b", LARGE, is_willing=False)]) == SMALL
         )
         assert heaviest_of([]) == 0.0
 
