--- a/src/galenastall/node/cell/advice_dispatcher.py
+++ b/src/galenastall/node/cell/advice_dispatcher.py
@@ -8,8 +8,8 @@
 import trio
 from returns.result import Failure, Result
 
-from galenastall.coordination.cell.advice_planner import KEPT_FOR_URGENT
-from galenastall.coordination.cell.commands import AskAdvice
+from galenastall.coordination.cell.advice_planner import HOSTS_RESERVED_FOR_URGENT
+from galenastall.coordination.cell.commands import AdviceRequest
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.messages import AdviceAnswer, GetAdvice
 from galenastall.protocol.peers import PeerLink
@@ -40,13 +40,13 @@
         self._link = link
         self._available_hosts = available_hosts
         self._nursery = nursery
-        self._urgent: deque[tuple[AskAdvice, int]] = deque()
-        self._other: deque[tuple[AskAdvice, int]] = deque()
+        self._urgent: deque[tuple[AdviceRequest, int]] = deque()
+        self._other: deque[tuple[AdviceRequest, int]] = deque()
         """Calls that wait for a host, with the number of tries so far."""
         self._busy: set[HostId] = set()
         self._avoided_until: dict[HostId, float] = {}
 
-    def submit(self, request: AskAdvice) -> None:
+    def submit(self, request: AdviceRequest) -> None:
         """Make a call as soon as a host is free for it."""
         self._enqueue(request, 0)
         self._dispatch()
@@ -61,7 +61,7 @@
             self._busy.discard(host)
             self._dispatch()
 
-    def _enqueue(self, request: AskAdvice, tries: int) -> None:
+    def _enqueue(self, request: AdviceRequest, tries: int) -> None:
         (self._urgent if request.is_urgent else self._other).append((request, tries))
 
     def _dispatch(self) -> None:
@@ -72,15 +72,15 @@
         free = [host for host in usable if host not in self._busy]
         while free and self._urgent:
             self._start_call(free.pop(), *self._urgent.popleft())
-        reserved = KEPT_FOR_URGENT if len(usable) > KEPT_FOR_URGENT else 0
+        reserved = HOSTS_RESERVED_FOR_URGENT if len(usable) > HOSTS_RESERVED_FOR_URGENT else 0
         while len(free) > reserved and self._other:
             self._start_call(free.pop(), *self._other.popleft())
 
-    def _start_call(self, host: HostId, request: AskAdvice, tries: int) -> None:
+    def _start_call(self, host: HostId, request: AdviceRequest, tries: int) -> None:
         self._busy.add(host)
         self._nursery.start_soon(self._request_through, host, request, tries)
 
-    async def _request_through(self, host: HostId, request: AskAdvice, tries: int) -> None:
+    async def _request_through(self, host: HostId, request: AdviceRequest, tries: int) -> None:
         asked_at = trio.current_time()
         try:
             answer = await self._call(host, request)
@@ -92,7 +92,7 @@
             self._on_failure(host, request, tries + 1, answer.failure())
         self._dispatch()
 
-    async def _call(self, host: HostId, request: AskAdvice) -> Result[AdviceAnswer, StepError]:
+    async def _call(self, host: HostId, request: AdviceRequest) -> Result[AdviceAnswer, StepError]:
         expected_s = (
             request.timing.base_s + len(request.executor_ids) * request.timing.per_executor_s
         )
@@ -102,7 +102,9 @@
         )
         return await self._link.call(peer=host, message=message, timeout_s=timeout_s)
 
-    def _on_failure(self, host: HostId, request: AskAdvice, tries: int, error: StepError) -> None:
+    def _on_failure(
+        self, host: HostId, request: AdviceRequest, tries: int, error: StepError
+    ) -> None:
         now = trio.current_time()
         self._avoided_until[host] = now + AVOID_FAILED_HOST_S
         self._context.note("advice.failed", request.step.job, cause=str(error), host=host)
@@ -112,7 +114,7 @@
         self._context.core.on_advice_failed(request, now=now)
         self._context.wake()
 
-    def _on_answer(self, request: AskAdvice, advice: AdviceAnswer, *, took_s: float) -> None:
+    def _on_answer(self, request: AdviceRequest, advice: AdviceAnswer, *, took_s: float) -> None:
         self._context.note(
             "advice.answered",
             request.step.job,
--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -59,7 +59,7 @@
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Collect advice; reports started once the known hosts have answered or timed out."""
-        steps = self._context.core.kept_advice.wanted_steps()
+        steps = self._context.core.inherited_advice.wanted_steps()
         until = trio.current_time() + COLLECT_FOR_S
         async with trio.open_nursery() as nursery:
             self._query_new_hosts(nursery, steps)
@@ -100,7 +100,7 @@
         is safe.
         """
         for kept in answers:
-            self._adopted += self._context.core.kept_advice.adopt(
+            self._adopted += self._context.core.inherited_advice.adopt(
                 kept.step,
                 kept.executor_ids,
                 kept.approved,
@@ -111,7 +111,7 @@
 
     async def _await_call(self, host: HostId, call: PendingAdviceCall) -> None:
         core = self._context.core
-        request = core.kept_advice.begin(call.step, call.executor_ids, now=trio.current_time())
+        request = core.inherited_advice.begin(call.step, call.executor_ids, now=trio.current_time())
         with self._dispatcher.holding(host):
             answer = await self._link.call(
                 peer=host,
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Failure, Result
 
-from galenastall.coordination.cell.commands import PaceOrder, StartOrder, StopOrder
+from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.node.cell.term_context import TermContext
@@ -179,7 +179,7 @@
             self._on_fenced(token)
             return False
         if answer.verdict is StartVerdict.OTHER_EXECUTOR:
-            context.core.on_other_executor(executor_id, wall=context.wall())
+            context.core.on_address_reused(executor_id, wall=context.wall())
             context.wake()
             return False
         if answer.executor_id != executor_id:
@@ -214,7 +214,7 @@
         context = self._context
         self.wake()
         is_wanted = True
-        while is_wanted and context.core.is_wanted(order):
+        while is_wanted and context.core.is_needed(order):
             outcome = await self._send_start(order)
             is_wanted = context.core.on_start(
                 order, outcome, now=trio.current_time(), wall=context.wall()
@@ -229,7 +229,7 @@
         An order that is retried needlessly may be carried out late, by a later incarnation.
         """
         await trio.sleep(RETRY_S)
-        while self._executor.is_doubted and self._context.core.is_wanted(order):  # noqa: ASYNC110
+        while self._executor.is_doubted and self._context.core.is_needed(order):  # noqa: ASYNC110
             await trio.sleep(RETRY_S)
 
     async def _send_start(self, order: StartOrder) -> StartOutcome:
@@ -259,7 +259,7 @@
             self._on_fenced(token)
         return _OUTCOME_BY_VERDICT[verdict]
 
-    async def throttle(self, order: PaceOrder) -> None:
+    async def throttle(self, order: ThrottleOrder) -> None:
         """Send a throttling rate; the core repeats it until it is confirmed."""
         context, executor = self._context, self._executor
         token = context.token_of(executor.executor_id)
@@ -270,7 +270,7 @@
             timeout_s=context.core.timings.order_timeout_s,
         )
         if self._is_carried_out(answer, token):
-            context.core.on_paced(order)
+            context.core.on_throttle_confirmed(order)
 
     async def stop(self, order: StopOrder) -> None:
         """Send a stop; the core repeats it until the run is listed as ended."""
--- a/src/galenastall/node/cell/leader_term.py
+++ b/src/galenastall/node/cell/leader_term.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from galenastall.coordination.cell.executors import ExecutorInfo
-from galenastall.coordination.cell.mechanisms import ALL_ON, Mechanism, Without
+from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms, Mechanism
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.node.cell.advice_dispatcher import AdviceDispatcher
@@ -66,7 +66,7 @@
     """Entry hosts through which the advisor can be called."""
     lag_s: Callable[[], float]
     """Average lag of this process's event loop in seconds."""
-    without: Without = ALL_ON
+    without: DisabledMechanisms = ALL_ON
 
 
 class LeaderTerm:
@@ -189,7 +189,7 @@
         """Read the stored state; False on a time-out, after which another host should lead."""
         error: StepError | None = None
         begun_at = trio.current_time()
-        with trio.move_on_after(self._parts.timings.load_within_s):
+        with trio.move_on_after(self._parts.timings.load_timeout_s):
             while True:
                 answer = await self._parts.state.load()
                 if not isinstance(answer, Failure):
@@ -266,7 +266,7 @@
             may_place=self._commits.failing_since is None,
         )
         sessions.open()
-        for request in self.core.take_asks():
+        for request in self.core.take_advice_requests():
             dispatcher.submit(request)
         sessions.send_orders()
         for order in self.core.hosts.take_ready():
--- a/src/galenastall/node/requests/key_service.py
+++ b/src/galenastall/node/requests/key_service.py
@@ -1,4 +1,4 @@
-"""Idempotency keys on one entry host: asks owners, holds for them, follows the log, compacts."""
+"""Idempotency keys on one entry host: calls owners, holds intents, keeps records in the log."""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,7 +15,7 @@
     home_of,
     shard_of,
 )
-from galenastall.node.requests.key_answers import KeptAnswer, KeptAnswers
+from galenastall.node.requests.answer_cache import AnswerCache, CachedAnswer
 from galenastall.node.requests.key_owner import KeyOwner, OwnedShard
 from galenastall.node.requests.permit_settings import RequestSettings
 from galenastall.protocol.clock import Clock
@@ -52,14 +52,14 @@
 END_RETRY_S: Final = 1.0
 END_TRIES: Final = 60
 FETCH_TIMEOUT_S: Final = 1.0
-UPKEEP_S: Final = 30.0
-"""Period at which keys are forgotten and old records are written once more."""
+MAINTENANCE_PERIOD_S: Final = 30.0
+"""Period at which expired keys are dropped and old records are written again."""
 CARRY_AFTER_S: Final = 1_800.0
-"""Age in the log at which a key is written once more; well below what the log keeps."""
+"""Age at which a key's record is written again; well below the log's retention."""
 
 
 class KeyService:
-    """Both sides of idempotency keys on one entry host."""
+    """Client and owner side of idempotency keys on one entry host."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         events: EventSink,
         carry_after_s: float = CARRY_AFTER_S,
     ) -> None:
-        """Subscribe to `follower`, the data centre's stream, before it runs."""
+        """Subscribe to `follower`, which follows the data centre's stream and must not run yet."""
         self._data_centre = data_centre
         self._clock = clock
         self._peers = peers
@@ -86,7 +86,7 @@
         self._offsets_by_time: deque[tuple[float, Offset]] = deque()
         self._ends: trio.MemorySendChannel[KeyEnded]
         self._ends, self._ends_in = trio.open_memory_channel[KeyEnded](10_000)
-        self.kept = KeptAnswers()
+        self.answer_cache = AnswerCache()
         self.fold = KeyFold()
         self.held = HeldIntents()
         self.owner = KeyOwner(
@@ -101,7 +101,7 @@
             events=events,
         )
         self.lost_ends = 0
-        """Ends that no owner could be told of; their keys become `unknown`."""
+        """Ends that could not be reported to an owner; their keys become `unknown`."""
         follower.subscribe(self.fold)
         peers.handle(KeyReserve, self._on_reserve)
         peers.handle(KeyEnd, self._on_end)
@@ -113,14 +113,14 @@
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
-            nursery.start_soon(self._tell_ends, nursery)
+            nursery.start_soon(self._report_ends, nursery)
             task_status.started()
             while True:
-                await self._upkeep()
-                await trio.sleep(UPKEEP_S)
+                await self._maintain()
+                await trio.sleep(MAINTENANCE_PERIOD_S)
 
     def check(self, key: str) -> Result[tuple[float, DataCentre], StepError]:
-        """Return a key's time and home, or why it is refused."""
+        """Return a key's creation time and data centre, or why it is refused."""
         settings = self._settings()
         made = check_age(key, wall=self._clock.wall(), rules=settings.keys)
         if isinstance(made, Failure):
@@ -140,8 +140,8 @@
         made_at: float,
         ends_at: float,
     ) -> Result[KeyAnswer, StepError]:
-        """Take the key for a request; a failure proves nothing about the key, and nothing left."""
-        wanted = KeyReserve(
+        """Reserve the key for a request; on failure, nothing was sent and its state is unknown."""
+        reservation = KeyReserve(
             key=key,
             digest=digest_of(operation=operation, body=body),
             request_id=request_id,
@@ -152,17 +152,19 @@
         if owner is None:
             return Failure(_error(Reason.UNAVAILABLE, "the key's shard has no owner now"))
         if owner == self._me:
-            return await self.owner.reserve(runner=self._me, wanted=wanted)
-        answer = await self._peers.call(peer=owner, message=wanted, timeout_s=RESERVE_TIMEOUT_S)
+            return await self.owner.reserve(runner=self._me, reservation=reservation)
+        answer = await self._peers.call(
+            peer=owner, message=reservation, timeout_s=RESERVE_TIMEOUT_S
+        )
         if isinstance(answer, Failure):
-            # The owner may have recorded the intent though its answer was lost.
+            # The owner may have recorded the intent although its response was lost.
             self.ended(key=key, request_id=request_id, outcome=Outcome.NOT_RUN, status=0)
             return answer
         reserved: KeyReserved = answer.unwrap()
         return Success(reserved.answer)
 
     def ended(self, *, key: str, request_id: RequestId, outcome: Outcome, status: int) -> None:
-        """Tell the key's owner how the request ended, in the background."""
+        """Report the request's outcome to the key's owner in the background."""
         ended = KeyEnded(
             shard=shard_of(key), key=key, request_id=request_id, outcome=outcome, status=status
         )
@@ -171,10 +173,10 @@
         except trio.WouldBlock:
             self.lost_ends += 1
 
-    async def fetch(self, first: KeyEntry) -> KeptAnswer | None:
-        """Return the answer that a key's request got, if whoever ran it still keeps it."""
+    async def fetch(self, first: KeyEntry) -> CachedAnswer | None:
+        """Return the response to a key's request, if the entry host that ran it still caches it."""
         if first.runner == self._me:
-            return self.kept.get(first.request_id)
+            return self.answer_cache.get(first.request_id)
         message = KeyAnswerFetch(key=first.key, request_id=first.request_id)
         answer = await self._peers.call(
             peer=first.runner, message=message, timeout_s=FETCH_TIMEOUT_S
@@ -184,20 +186,20 @@
         kept: KeyAnswerKept = answer.unwrap()
         if not kept.found:
             return None
-        return KeptAnswer(content_type=kept.content_type, body=kept.body)
+        return CachedAnswer(content_type=kept.content_type, body=kept.body)
 
-    async def _tell_ends(self, nursery: trio.Nursery) -> None:
+    async def _report_ends(self, nursery: trio.Nursery) -> None:
         async for ended in self._ends_in:
-            nursery.start_soon(self._tell_end, ended)
+            nursery.start_soon(self._report_end, ended)
 
-    async def _tell_end(self, ended: KeyEnded) -> None:
+    async def _report_end(self, ended: KeyEnded) -> None:
         for _ in range(END_TRIES):
-            if await self._told(ended):
+            if await self._report_once(ended):
                 return
             await trio.sleep(END_RETRY_S)
         self.lost_ends += 1
 
-    async def _told(self, ended: KeyEnded) -> bool:
+    async def _report_once(self, ended: KeyEnded) -> bool:
         owner = self._owner_of(ended.shard)
         if owner is None:
             return False
@@ -210,8 +212,8 @@
     def _owner_of(self, shard: str) -> HostId | None:
         return self._ownership.owner_of(make_ownable_id(OwnableKind.KEYS, shard))
 
-    async def _on_reserve(self, sender: HostId, wanted: KeyReserve) -> Any:
-        reserved = await self.owner.reserve(runner=sender, wanted=wanted)
+    async def _on_reserve(self, sender: HostId, reservation: KeyReserve) -> Any:
+        reserved = await self.owner.reserve(runner=sender, reservation=reservation)
         if isinstance(reserved, Failure):
             return reserved.failure()
         return KeyReserved(answer=reserved.unwrap())
@@ -232,12 +234,12 @@
         )
 
     async def _on_fetch(self, sender: HostId, message: KeyAnswerFetch) -> Any:
-        kept = self.kept.get(message.request_id)
+        kept = self.answer_cache.get(message.request_id)
         if kept is None:
             return KeyAnswerKept(found=False)
         return KeyAnswerKept(found=True, content_type=kept.content_type, body=kept.body)
 
-    async def _upkeep(self) -> None:
+    async def _maintain(self) -> None:
         wall = self._clock.wall()
         self.fold.forget(wall=wall)
         self.held.forget(fold=self.fold, wall=wall)
@@ -246,7 +248,7 @@
             await self._carry_old(owned, horizon)
 
     def _horizon(self) -> Offset:
-        """Return the offset below which records are older than the carrying age."""
+        """Return the offset below which records are older than `carry_after_s`."""
         now = self._clock.now()
         self._offsets_by_time.append((now, self._follower.next_offset))
         horizon = Offset(0)
@@ -255,12 +257,12 @@
         return horizon
 
     async def _carry_old(self, owned: OwnedShard, horizon: Offset) -> None:
-        """Write a shard's old records once more, its opening included, before they are trimmed."""
+        """Write a shard's old records again, including its opening, before they are trimmed."""
         name = owned.shard.name
         if self.fold.shard(name).opened_offset < horizon:
             await self.owner.reopen(owned)
         old = tuple(self.fold.recorded_before(shard=name, offset=horizon))
-        await self.owner.carry(owned.shard, old)
+        await self.owner.carry_forward(owned.shard, old)
 
 
 def _error(reason: Reason, detail: str) -> StepError:
--- a/src/galenastall/node/requests/keyed_requests.py
+++ b/src/galenastall/node/requests/keyed_requests.py
@@ -1,7 +1,7 @@
-"""Requests with an idempotency key: intent first, then the run, then its end."""
+"""Requests with an idempotency key: record the intent, run the request, record its end."""
 
 from galenastall.coordination.requests.keys import KeyAnswer, KeyVerdict
-from galenastall.node.requests.key_answers import KeptAnswer
+from galenastall.node.requests.answer_cache import CachedAnswer
 from galenastall.node.requests.key_service import KeyService
 from galenastall.node.requests.request_service import RequestService
 from galenastall.node.requests.request_types import RequestAnswer, RequestCall, RequestReason
@@ -16,7 +16,7 @@
 
 
 class KeyedRequests:
-    """Runs a request at most once for each key, whichever entry host it comes to."""
+    """Runs a request at most once per key, whichever entry host receives it."""
 
     def __init__(
         self,
@@ -26,26 +26,26 @@
         keys: KeyService,
         requests: RequestService,
     ) -> None:
-        """Let `requests` run what a key's owner lets go."""
+        """Use `requests` to run the requests that a key's owner permits."""
         self._data_centre = data_centre
         self._clock = clock
         self._keys = keys
         self._requests = requests
 
     async def submit(self, call: RequestCall) -> RequestAnswer:
-        """Run the request, or answer with what its key's first request came to.
+        """Run the request, or answer with the outcome of its key's first request.
 
-        The body must be whole, since it is part of what a repeat is recognised by.
+        The body must be complete, since repeats are recognised by its digest.
         """
         if not call.key:
             return await self._requests.submit(call)
         reserved = await self._reserve(call)
         if isinstance(reserved, RequestAnswer):
-            return self._requests.note(call, reserved)
+            return self._requests.record_answer(call, reserved)
         return await self._run(call, reserved)
 
     async def _reserve(self, call: RequestCall) -> RequestAnswer | RequestId:
-        """Take the key; return the run's id once it may leave, else the final answer."""
+        """Reserve the key; return the run's id once it may be sent, else the final answer."""
         checked = self._keys.check(call.key)
         made = checked.value_or(None)
         if made is None:
@@ -88,15 +88,15 @@
         finally:
             self._keys.ended(key=call.key, request_id=run_id, outcome=outcome, status=status)
         if answer.outcome is Outcome.DONE and isinstance(answer.body, bytes):
-            kept = KeptAnswer(content_type=answer.content_type, body=answer.body)
-            self._keys.kept.keep(request_id=run_id, answer=kept)
+            kept = CachedAnswer(content_type=answer.content_type, body=answer.body)
+            self._keys.answer_cache.put(request_id=run_id, answer=kept)
         return answer
 
     async def _answer_repeat(self, call: RequestCall, answer: KeyAnswer) -> RequestAnswer:
         first = answer.first
         match answer.verdict:
             case KeyVerdict.MISMATCH:
-                detail = "this key came before with another operation or body"
+                detail = "this key was used before with another operation or body"
                 return _answer(call, Outcome.NOT_RUN, RequestReason.KEY_MISMATCH, detail=detail)
             case KeyVerdict.IN_PROGRESS:
                 return _answer(
--- a/src/galenastall/node/requests/permit_service.py
+++ b/src/galenastall/node/requests/permit_service.py
@@ -1,4 +1,4 @@
-"""Permits of one entry host: asks owners, keeps what it is granted, gives it back."""
+"""Permits of one entry host: asks owners for permits, holds granted ones and releases them."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -31,15 +31,15 @@
 from galenastall.state.work import Urgency
 
 TICK_S: Final = 0.025
-"""Period at which asks lapse, late requests are dropped and free slots are looked for."""
+"""Period at which asks expire, late requests are dropped and free slots are granted."""
 IDLE_TICK_S: Final = 0.25
-"""The same while nothing waits here nor for this owner; the first ask ends it."""
+"""The same while neither requests nor asks wait here; the first ask ends it."""
 LOAD_STALE_S: Final = 2.0
-"""Age after which an owner's figures say nothing any more."""
+"""Age after which an owner's reported load is ignored."""
 
 
 class PermitService:
-    """Both sides of permits on one entry host."""
+    """Client and owner side of permits on one entry host."""
 
     def __init__(
         self,
@@ -79,36 +79,36 @@
             deliver=self._deliver_own,
             refuse=self._refuse_own,
             report=self._report,
-            heard_leaving=self._heard_leaving,
+            note_leaving=self._note_leaving,
         )
         ownership.on_activated(lambda _ownable, _epoch: self._refresh_owners())
         ownership.on_lost(lambda _ownable: self._refresh_owners())
-        self._take: Callable[[Permit], bool] = _takes_nothing
-        self._wanted: Callable[[], tuple[int, Urgency]] = _wants_nothing
+        self._take: Callable[[Permit], bool] = _takes_none
+        self._demand: Callable[[], tuple[int, Urgency]] = _no_demand
         self._upstreams_by_id: dict[HostId, ListedHost] = {}
         self._ownables_by_id: dict[HostId, OwnableId] = {}
         self._owners: tuple[HostId, ...] = ()
         self._loads_by_id: dict[HostId, OwnerLoad] = {}
-        self._heard_at_by_id: dict[HostId, float] = {}
-        self._left_words: dict[HostId, float] = {}
+        self._load_received_at_by_id: dict[HostId, float] = {}
+        self._leaving_reported_at_by_id: dict[HostId, float] = {}
         self._seen_at_by_client: dict[HostId, float] = {}
         self._asks_by_owner: defaultdict[HostId, list[PermitAsk]] = defaultdict(list)
         self._returns_by_owner: defaultdict[HostId, list[PermitReturn]] = defaultdict(list)
         self._flush = trio.Event()
         self.unused = 0
-        """Permits given back unused."""
+        """Permits released unused."""
         peers.handle(PermitGrants, self._on_grants)
         peers.handle(PermitReportCall, self._on_report_call)
 
     def connect(
-        self, *, take: Callable[[Permit], bool], wanted: Callable[[], tuple[int, Urgency]]
+        self, *, take: Callable[[Permit], bool], demand: Callable[[], tuple[int, Urgency]]
     ) -> None:
-        """Set who takes permits, and who says how many requests wait and of which class."""
+        """Set who takes permits, and who returns how many requests wait and their highest class."""
         self._take = take
-        self._wanted = wanted
+        self._demand = demand
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Ask, grant and give back until cancelled."""
+        """Ask for, grant and release permits until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.owner.run)
             nursery.start_soon(self._send_batches)
@@ -116,13 +116,13 @@
             while True:
                 self._tick()
                 await trio.sleep(TICK_S)
-                if not self._is_waited_for:
+                if not self._is_busy:
                     with trio.move_on_after(IDLE_TICK_S):
-                        await self.owner.asked.wait()
-                self.owner.asked = trio.Event()
+                        await self.owner.ask_received.wait()
+                self.owner.ask_received = trio.Event()
 
     def set_hosts(self, listing: HostListing) -> None:
-        """Take in the platform's list; what is absent, leaving or gone gets nothing new."""
+        """Apply the platform's host list; absent, leaving or gone upstreams get no new requests."""
         now = self._clock.now()
         here = [h for h in listing.by_id.values() if h.data_centre == self._data_centre]
         self._upstreams_by_id = {h.host_id: h for h in here if h.kind is HostKind.UPSTREAM}
@@ -137,24 +137,27 @@
         self._refresh_owners()
 
     def is_leaving(self, upstream: HostId) -> bool:
-        """Return whether list, operators or the upstream itself say that it leaves."""
+        """Return whether the list, an operator or the upstream itself reports it as leaving."""
         listed = self._upstreams_by_id.get(upstream)
         if listed is None or listed.state is not HostState.LIVE:
             return True
         if upstream in self._settings().leaving:
             return True
-        said_at = self._left_words.get(upstream)
-        return said_at is not None and said_at + self._settings().leaving_word_s > self._clock.now()
+        reported_at = self._leaving_reported_at_by_id.get(upstream)
+        return (
+            reported_at is not None
+            and reported_at + self._settings().leaving_report_s > self._clock.now()
+        )
 
     def has_upstreams(self) -> bool:
-        """Return whether any upstream of this data centre may get work."""
+        """Return whether any upstream of this data centre accepts work."""
         return any(not self.is_leaving(upstream) for upstream in self._upstreams_by_id)
 
     def recent_clients(self) -> dict[HostId, float]:
         """Return the entry hosts that may hold permits, with the seconds for which they may.
 
-        A process younger than the longest permit cannot know who was there before: an unnamed
-        entry host stands for those.
+        A process younger than the longest permit cannot know which entry hosts existed before it
+        started: an entry with an empty id stands for them.
         """
         now = self._clock.now()
         recent = {
@@ -168,15 +171,15 @@
             recent[HostId("")] = self._longest_s - age_s
         return recent
 
-    def pump(self, *, avoid: tuple[HostId, ...] = ()) -> None:
+    def request_permits(self, *, avoid: tuple[HostId, ...] = ()) -> None:
         """Ask for as many permits as requests wait, within the window.
 
-        `avoid` names the upstreams that the request at hand has tried.
+        `avoid` lists the upstreams that the current request has already tried.
         """
-        waiting, urgency = self._wanted()
+        waiting, urgency = self._demand()
         window = self._settings().ask_window * (2 if urgency is Urgency.URGENT else 1)
-        if waiting and not self.owner.asked.is_set():
-            self.owner.asked.set()
+        if waiting and not self.owner.ask_received.is_set():
+            self.owner.ask_received.set()
             self._apply_settings()
             self._refresh_owners()
         missing = min(waiting, window) - self._holder.outstanding
@@ -188,34 +191,34 @@
             self.owner.grant()
 
     def may_begin(self, permit: Permit) -> bool:
-        """Return whether a request may leave under the permit; ask right before it does."""
+        """Return whether a request may be sent under the permit; call right before sending."""
         return self._holder.may_begin(
             permit_id=permit.permit_id, now=self._clock.now()
         ) and not self.is_leaving(permit.upstream)
 
     def ends_at(self, permit: Permit) -> float:
-        """Return the runtime time by which the request must be over."""
+        """Return the monotonic time by which the request must have ended."""
         return self._holder.ends_at(permit_id=permit.permit_id)
 
     def owner_of(self, permit: Permit) -> HostId | None:
-        """Return who granted a permit that is held."""
+        """Return the owner that granted a held permit."""
         return self._holder.owner_of(permit_id=permit.permit_id)
 
-    def give_back(self, returned: PermitReturn) -> None:
-        """Give a permit back with what the request saw."""
+    def release(self, returned: PermitReturn) -> None:
+        """Release a permit and report the result of its request."""
         if returned.leaving:
-            self._heard_leaving(returned.upstream)
+            self._note_leaving(returned.upstream)
         owner = self._holder.drop(
             permit_id=returned.permit_id,
             busy_for_s=returned.busy_for_s,
             now=self._clock.now(),
         )
-        self._send_back(returned, owner)
+        self._send_return(returned, owner)
 
-    def give_back_unused(self, permit: Permit) -> None:
-        """Give a permit back that no request left under."""
+    def release_unused(self, permit: Permit) -> None:
+        """Release a permit under which no request was sent."""
         self.unused += 1
-        self.give_back(PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream))
+        self.release(PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream))
 
     @property
     def host_id(self) -> HostId:
@@ -240,8 +243,8 @@
         return False
 
     def _choose(self, avoid: tuple[HostId, ...]) -> HostId:
-        """Return the owner to ask: this one while it has room, as that costs no message."""
-        owners = self._owners_beyond(avoid) if avoid else self._owners
+        """Return the owner to ask: this host while it has free slots, as that costs no message."""
+        owners = self._owners_avoiding(avoid) if avoid else self._owners
         if self._me in owners:
             slots, in_use, waiting = self.owner.load()
             if in_use + waiting < slots:
@@ -250,7 +253,7 @@
         policy = CHOICE_POLICIES.get(self._settings().choice_policy)
         return policy(owners, self._loads_by_id, self._random)
 
-    def _owners_beyond(self, avoid: tuple[HostId, ...]) -> tuple[HostId, ...]:
+    def _owners_avoiding(self, avoid: tuple[HostId, ...]) -> tuple[HostId, ...]:
         """Return the owners that have an upstream not in `avoid`, or all if none has."""
         owners = {
             self._ownership.owner_of(ownable)
@@ -271,21 +274,21 @@
         )
 
     @property
-    def _is_waited_for(self) -> bool:
-        return bool(self._holder.outstanding or self.owner.slots.waiting or self._wanted()[0])
+    def _is_busy(self) -> bool:
+        return bool(self._holder.outstanding or self.owner.slots.waiting or self._demand()[0])
 
     def _tick(self) -> None:
         now = self._clock.now()
         self._apply_settings()
         self._refresh_owners()
         self._seen_at_by_client.update(dict.fromkeys(self._ownership.roster(), now))
-        stale = [o for o, at in self._heard_at_by_id.items() if at + LOAD_STALE_S <= now]
+        stale = [o for o, at in self._load_received_at_by_id.items() if at + LOAD_STALE_S <= now]
         for owner in stale:
-            del self._heard_at_by_id[owner]
+            del self._load_received_at_by_id[owner]
             self._loads_by_id.pop(owner, None)
-        self._holder.lapse(now=now)
+        self._holder.expire_asks(now=now)
         self.owner.tick()
-        self.pump()
+        self.request_permits()
 
     def _apply_settings(self) -> None:
         settings = self._settings()
@@ -308,27 +311,27 @@
         self._accept(permit, self._me)
 
     def _refuse_own(self, ask_id: int) -> None:
-        self._holder.refused(ask_id=ask_id)
+        self._holder.note_refused(ask_id=ask_id)
 
-    def _heard_leaving(self, upstream: HostId) -> None:
-        self._left_words[upstream] = self._clock.now()
+    def _note_leaving(self, upstream: HostId) -> None:
+        self._leaving_reported_at_by_id[upstream] = self._clock.now()
 
     def _accept(self, permit: Permit, owner: HostId) -> None:
         if not self._holder.accept(permit=permit, owner=owner, now=self._clock.now()):
             self.unused += 1
             returned = PermitReturn(permit_id=permit.permit_id, upstream=permit.upstream)
-            self._send_back(returned, owner)
+            self._send_return(returned, owner)
             return
         if self.is_leaving(permit.upstream) or not self._take(permit):
-            self.give_back_unused(permit)
+            self.release_unused(permit)
 
-    def _send_back(self, returned: PermitReturn, holder_owner: HostId | None) -> None:
+    def _send_return(self, returned: PermitReturn, holder_owner: HostId | None) -> None:
         ownable = make_ownable_id(OwnableKind.UPSTREAM, returned.upstream)
         owner = self._ownership.owner_of(ownable) or holder_owner
         if owner is None:
             return
         if owner == self._me:
-            if self.owner.take_return(returned):
+            if self.owner.apply_return(returned):
                 self.owner.grant()
             return
         self._returns_by_owner[owner].append(returned)
@@ -338,9 +341,9 @@
         self._loads_by_id[sender] = OwnerLoad(
             slots=grants.slots, in_use=grants.in_use, waiting=grants.waiting
         )
-        self._heard_at_by_id[sender] = self._clock.now()
+        self._load_received_at_by_id[sender] = self._clock.now()
         for ask_id in grants.refused:
-            self._holder.refused(ask_id=ask_id)
+            self._holder.note_refused(ask_id=ask_id)
         for permit in grants.permits:
             self._accept(permit, sender)
 
@@ -359,15 +362,15 @@
             asks, returns = dict(self._asks_by_owner), dict(self._returns_by_owner)
             self._asks_by_owner.clear()
             self._returns_by_owner.clear()
-            for owner, given_back in returns.items():
-                self._peers.send(peer=owner, message=PermitReturns(returns=tuple(given_back)))
+            for owner, released in returns.items():
+                self._peers.send(peer=owner, message=PermitReturns(returns=tuple(released)))
             for owner, wanted in asks.items():
                 self._peers.send(peer=owner, message=PermitAsks(asks=tuple(wanted)))
 
 
-def _takes_nothing(_permit: Permit) -> bool:
+def _takes_none(_permit: Permit) -> bool:
     return False
 
 
-def _wants_nothing() -> tuple[int, Urgency]:
+def _no_demand() -> tuple[int, Urgency]:
     return 0, Urgency.NORMAL
--- a/src/galenastall/node/requests/request_service.py
+++ b/src/galenastall/node/requests/request_service.py
@@ -7,14 +7,14 @@
 
 import trio
 
-from galenastall.coordination.requests.admission import Admission, Offered, WaitingRequest
+from galenastall.coordination.requests.admission import Admission, OfferResult, WaitingRequest
 from galenastall.coordination.requests.permit_types import Permit
 from galenastall.coordination.requests.rates import ShortestTime
 from galenastall.coordination.requests.retries import AttemptEnd, RetryBudget, may_retry
 from galenastall.node.requests.permit_service import IDLE_TICK_S, TICK_S, PermitService
 from galenastall.node.requests.permit_settings import RequestSettings
 from galenastall.node.requests.request_attempt import AttemptResult, Attempts
-from galenastall.node.requests.request_book import RequestBook, RequestStatus
+from galenastall.node.requests.request_table import RequestStatus, RequestTable
 from galenastall.node.requests.request_trace import RequestTrace
 from galenastall.node.requests.request_types import (
     RequestAnswer,
@@ -31,16 +31,16 @@
 from galenastall.state.work import Urgency
 
 MAX_SWAPS: Final = 2
-"""Permits of an upstream tried before that a retry gives back in the hope of another."""
-GIVE_UP_EVERY_S: Final = 0.25
-"""Time between two looks for requests that wait in vain."""
+"""Permits of already tried upstreams that a retry releases to get one of another upstream."""
+OVERTAKEN_CHECK_PERIOD_S: Final = 0.25
+"""Interval between two checks for overtaken requests."""
 DRAIN_RETRY_S: Final = 1.0
 NO_UPSTREAM_RETRY_S: Final = 2.0
 
 
 @dataclass(slots=True)
 class _Waiter:
-    """A request in the queue and what it gets: a permit, or a reason why not."""
+    """A queued request and its result: a permit, or the reason why it gets none."""
 
     woken: trio.Event = field(default_factory=trio.Event)
     permit: Permit | None = None
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class _Run:
-    """A request from submit to its answer."""
+    """State of a request from `submit` to its answer."""
 
     call: RequestCall
     ticket: RequestId
@@ -58,7 +58,7 @@
     attempts: int = 0
     swaps: int = 0
     maybe_ran: AttemptResult | None = None
-    """The last attempt that may have run: from then on nothing can be called `not run`."""
+    """The last attempt that may have run; once set, the request must not end as `not run`."""
 
 
 class RequestService:
@@ -74,9 +74,9 @@
         settings: Callable[[], RequestSettings],
         events: EventSink,
     ) -> None:
-        """`incarnation` must differ for each life of the process: ids of attempts rest on it."""
+        """`incarnation` must be unique per start of the process, as attempt ids contain it."""
         self.counters = RequestCounters()
-        self.book = RequestBook()
+        self.request_table = RequestTable()
         self._clock = clock
         self._permits = permits
         self._settings = settings
@@ -89,20 +89,20 @@
             RequestId(f"{permits.host_id}.{incarnation}.{n}") for n in itertools.count(1)
         )
         self._in_progress = 0
-        self._gives_up_at = 0.0
+        self._next_overtaken_check_at = 0.0
         self._is_draining = False
         self._drained = trio.Event()
         self._busy = trio.Event()
-        """Set by a request that waits; ends a long pause between ticks."""
+        """Set by a waiting request; ends a long pause between ticks."""
         self._attempts = Attempts(
             clock=clock,
             upstreams=upstreams,
             permits=permits,
             settings=settings,
             counters=self.counters,
-            note_time=self._note_time,
+            on_run_time=self._note_run_time,
         )
-        permits.connect(take=self._take_permit, wanted=self._wanted)
+        permits.connect(take=self._take_permit, demand=self._demand)
 
     @property
     def waiting(self) -> int:
@@ -115,7 +115,7 @@
         return self._in_progress
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Drop what can no longer be in time, until cancelled."""
+        """Drop requests that can no longer meet their deadline, until cancelled."""
         task_status.started()
         while True:
             self._tick()
@@ -131,17 +131,17 @@
         self._busy.set()
 
     async def drain(self) -> None:
-        """Refuse new requests; return once all accepted ones are answered, streams included."""
+        """Refuse new requests; return once all accepted ones are answered, including streams."""
         self.begin_drain()
         await self._drained.wait()
 
     def next_ticket(self) -> RequestId:
-        """Return an id that no other request of any entry host has."""
+        """Return an id that is unique over all requests of all entry hosts."""
         return next(self._tickets)
 
-    def note(self, call: RequestCall, answer: RequestAnswer) -> RequestAnswer:
-        """Count and record an answer given before the request came to `submit`; return it."""
-        run = _Run(call=call, ticket=RequestId(""), status=self.book.open(call.request_id))
+    def record_answer(self, call: RequestCall, answer: RequestAnswer) -> RequestAnswer:
+        """Count and record an answer given before `submit` was called; return it."""
+        run = _Run(call=call, ticket=RequestId(""), status=self.request_table.open(call.request_id))
         self._end(run, answer)
         return answer
 
@@ -152,7 +152,7 @@
         if not self._permits.has_upstreams():
             return not_run_answer(call.request_id, RequestReason.NO_UPSTREAM, NO_UPSTREAM_RETRY_S)
         if not self._waiters_by_ticket:
-            self._apply_settings()  # The last tick may lie a long pause back.
+            self._apply_settings()  # The last tick may be a long pause ago.
         refused = self._admission.check(
             request=self._waiting_of(call, call.request_id), now=self._clock.now()
         )
@@ -161,8 +161,10 @@
         return not_run_answer(call.request_id, RequestReason(refused.reason), refused.retry_after_s)
 
     async def submit(self, call: RequestCall) -> RequestAnswer:
-        """Run a request; returns its final answer, exactly one of the four outcomes."""
-        run = _Run(call=call, ticket=next(self._tickets), status=self.book.open(call.request_id))
+        """Run a request; return its final answer with exactly one of the four outcomes."""
+        run = _Run(
+            call=call, ticket=next(self._tickets), status=self.request_table.open(call.request_id)
+        )
         self._in_progress += 1
         try:
             answer = self.refusal(call) or await self._until_final(run)
@@ -184,11 +186,11 @@
                 return permit
             if not self._permits.may_begin(permit):
                 self.counters.void_permits += 1
-                self._trace.passed_over(run.call, permit, "it came too late to begin under it")
-                self._permits.give_back_unused(permit)
+                self._trace.passed_over(run.call, permit, "the permit arrived too late to be used")
+                self._permits.release_unused(permit)
                 continue
             result = await self._attempt(run, permit)
-            if not self._goes_on(run, result):
+            if not self._should_retry(run, result):
                 return self._final(run, result)
             self.counters.retries += 1
             self._trace.retried(run.call, run.status.upstream, result.reason or result.outcome)
@@ -208,7 +210,7 @@
         self._trace.answered(run.call, permit, result.outcome, result.reason or result.detail)
         return result
 
-    def _goes_on(self, run: _Run, result: AttemptResult) -> bool:
+    def _should_retry(self, run: _Run, result: AttemptResult) -> bool:
         end = AttemptEnd(
             outcome=result.outcome,
             attempt=run.attempts,
@@ -225,7 +227,7 @@
         return False
 
     async def _permit_for(self, run: _Run) -> Permit | RequestAnswer:
-        """Wait for a permit, of an upstream not tried before if there is one."""
+        """Wait for a permit, preferably of an upstream that was not tried before."""
         swaps_before = run.swaps
         while True:
             waiter = _Waiter()
@@ -235,7 +237,7 @@
                 ahead = len(self._admission)
                 offered = self._offer(run)
                 if offered.refusal is not None:
-                    return self._gave_up(run, RequestReason(offered.refusal.reason))
+                    return self._answer_without_permit(run, RequestReason(offered.refusal.reason))
                 if run.swaps == swaps_before:
                     self._trace.queued(run.call, ahead=ahead)
                 if waiter.permit is None and not waiter.reason:
@@ -243,30 +245,30 @@
             except BaseException:
                 self._admission.withdraw(run.ticket)
                 if waiter.permit is not None:
-                    self._permits.give_back_unused(waiter.permit)
+                    self._permits.release_unused(waiter.permit)
                 raise
             finally:
                 del self._waiters_by_ticket[run.ticket]
             if waiter.permit is None:
-                return self._gave_up(run, waiter.reason)
+                return self._answer_without_permit(run, waiter.reason)
             if waiter.permit.upstream not in run.tried or run.swaps >= MAX_SWAPS:
                 return waiter.permit
             run.swaps += 1
-            self._trace.passed_over(run.call, waiter.permit, "it was tried there before")
-            self._permits.give_back_unused(waiter.permit)
+            self._trace.passed_over(run.call, waiter.permit, "this upstream was already tried")
+            self._permits.release_unused(waiter.permit)
 
     async def _wait(self, run: _Run, waiter: _Waiter) -> None:
-        """Wait for a permit or a reason; a request whose caller goes away leaves the queue."""
+        """Wait for a permit or a reason; withdraw the request if its caller disconnects."""
         gone = run.call.caller_gone
         if gone is None:
             await waiter.woken.wait()
             return
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._withdraw_if_gone, run, waiter, gone)
+            nursery.start_soon(self._withdraw_when_gone, run, waiter, gone)
             await waiter.woken.wait()
             nursery.cancel_scope.cancel()
 
-    async def _withdraw_if_gone(
+    async def _withdraw_when_gone(
         self, run: _Run, waiter: _Waiter, gone: Callable[[], Awaitable[None]]
     ) -> None:
         await gone()
@@ -274,14 +276,14 @@
             waiter.reason = RequestReason.ABANDONED
             waiter.woken.set()
 
-    def _offer(self, run: _Run) -> Offered:
+    def _offer(self, run: _Run) -> OfferResult:
         offered = self._admission.offer(
             request=self._waiting_of(run.call, run.ticket), now=self._clock.now()
         )
         if offered.displaced is not None:
             self._wake(offered.displaced.request_id, RequestReason.DISPLACED)
         if offered.refusal is None:
-            self._permits.pump(avoid=tuple(run.tried))
+            self._permits.request_permits(avoid=tuple(run.tried))
         return offered
 
     def _waiting_of(self, call: RequestCall, ticket: RequestId) -> WaitingRequest:
@@ -297,7 +299,7 @@
         )
 
     def _take_permit(self, permit: Permit) -> bool:
-        """Give a permit to the request that goes first now; False if none waits."""
+        """Assign a permit to the first request in the queue; return False if none waits."""
         now = self._clock.now()
         self._drop_late(now)
         waiting = self._admission.take(now=now)
@@ -308,7 +310,7 @@
         waiter.woken.set()
         return True
 
-    def _wanted(self) -> tuple[int, Urgency]:
+    def _demand(self) -> tuple[int, Urgency]:
         waiting = len(self._admission)
         for urgency in Urgency:
             if self._admission.waiting_of(urgency):
@@ -319,7 +321,7 @@
         self._apply_settings()
         now = self._clock.now()
         self._drop_late(now)
-        self._drop_hopeless(now)
+        self._drop_overtaken(now)
         if self._is_draining and not self._in_progress and not self._permits.held:
             self._drained.set()
 
@@ -333,11 +335,11 @@
         for request in self._admission.expire(now=now):
             self._wake(request.request_id, RequestReason.DEADLINE_PASSED)
 
-    def _drop_hopeless(self, now: float) -> None:
-        if now < self._gives_up_at:
+    def _drop_overtaken(self, now: float) -> None:
+        if now < self._next_overtaken_check_at:
             return
-        self._gives_up_at = now + GIVE_UP_EVERY_S
-        for request in self._admission.give_up(now=now):
+        self._next_overtaken_check_at = now + OVERTAKEN_CHECK_PERIOD_S
+        for request in self._admission.drop_overtaken(now=now):
             self._wake(request.request_id, RequestReason.OVERTAKEN)
 
     def _wake(self, ticket: RequestId, reason: RequestReason) -> None:
@@ -345,11 +347,11 @@
         waiter.reason = reason
         waiter.woken.set()
 
-    def _note_time(self, operation: str, seconds: float) -> None:
+    def _note_run_time(self, operation: str, seconds: float) -> None:
         self._shortest.note(operation=operation, seconds=seconds)
 
-    def _gave_up(self, run: _Run, reason: RequestReason) -> RequestAnswer:
-        """Answer a request that gets no further permit; one that may have run is unknown."""
+    def _answer_without_permit(self, run: _Run, reason: RequestReason) -> RequestAnswer:
+        """Answer a request that gets no further permit; `unknown` if an attempt may have run."""
         if run.maybe_ran is not None:
             return self._final(run, run.maybe_ran)
         retry_after_s = self._admission.retry_after_s(run.call.urgency)
@@ -375,14 +377,14 @@
             detail=result.detail,
         )
 
-    def count(self, answer: RequestAnswer) -> RequestAnswer:
-        """Count and record an answer that was given without a run, and return it."""
+    def record_refusal(self, answer: RequestAnswer) -> RequestAnswer:
+        """Count and record the refusal of a request that was not submitted; return it."""
         self._trace.refused(answer)
         self.counters.ended(answer)
         return answer
 
     def _abandoned(self, run: _Run) -> RequestAnswer:
-        """Return what is recorded of a request whose caller or process broke off."""
+        """Return the recorded answer of a request cancelled by its caller or the process."""
         return RequestAnswer(
             request_id=run.call.request_id,
             outcome=Outcome.UNKNOWN if run.attempts else Outcome.NOT_RUN,
@@ -397,4 +399,4 @@
 
     def _close(self, run: _Run, answer: RequestAnswer) -> None:
         self.counters.ended(answer)
-        self.book.close(run.status, answer)
+        self.request_table.close(run.status, answer)
--- a/tests/cell/rig.py
+++ b/tests/cell/rig.py
@@ -1,4 +1,4 @@
-"""A leader's core with a store in memory, and what tests give it to do."""
+"""Test harness: a leader's core with an in-memory store, and builders for its input."""
 
 from dataclasses import replace
 
@@ -42,8 +42,8 @@
     return replace(job, **fields)  # type: ignore[arg-type]
 
 
-class Rig:
-    """A core, with a store that keeps what it writes."""
+class Harness:
+    """A leader's core, with a store that keeps what it writes."""
 
     def __init__(self, *infos: ExecutorInfo, rows: dict[str, bytes] | None = None) -> None:
         self.now = 100.0
@@ -52,7 +52,7 @@
         self.core.set_queues([QUEUE])
         self.core.restore(decode_rows(self.rows), wall=self.wall)
         self.infos = infos
-        self.see(*infos)
+        self.update_fleet(*infos)
         for info in infos:
             self.listing(info.executor_id)
 
@@ -60,7 +60,7 @@
     def wall(self) -> float:
         return WALL + self.now - 100.0
 
-    def see(self, *infos: ExecutorInfo) -> None:
+    def update_fleet(self, *infos: ExecutorInfo) -> None:
         self.core.on_fleet(infos, now=self.now)
 
     def listing(
@@ -73,16 +73,16 @@
         self.core.on_listing(executor_id, listing, asked_seq=seq, now=self.now, wall=self.wall)
 
     def step(self) -> list[StartOrder]:
-        """Decide, make it durable, and return the starts that leave."""
+        """Decide, make the changes durable, and return the start orders that are sent."""
         self.core.decide(now=self.now, wall=self.wall)
         return self.commit()
 
     def shown(self) -> JobPhase:
-        """Return what callers are told about the job."""
+        """Return the job phase that callers see."""
         return self.core.jobs_by_id[JOB].shown_phase
 
     def stops(self) -> list[StopOrder]:
-        """Decide, and return the stops that are sent now."""
+        """Decide, and return the stop orders that are sent now."""
         self.core.decide(now=self.now, wall=self.wall)
         return self.core.take_stops()
 
@@ -96,14 +96,14 @@
         return self.core.commit(batch, wall=self.wall)
 
     def runs_on(self, executor_id: str) -> set[TaskKey]:
-        """Return the tasks that the ledger counts on an executor."""
+        """Return the tasks with a run in an executor's ledger."""
         return set(self.core.executors_by_id[executor_id].runs_by_task)
 
     def submit(self, job: CellJob) -> None:
         self.core.submit(job, wall=self.wall)
         self.commit()
 
-    def run_all(self, orders: list[StartOrder]) -> None:
+    def confirm_starts(self, orders: list[StartOrder]) -> None:
         for order in orders:
             self.core.on_start(order, StartOutcome.STARTED, now=self.now, wall=self.wall)
 
--- a/tests/test_cell_hosts.py
+++ b/tests/test_cell_hosts.py
@@ -9,7 +9,7 @@
 
 from cell.cluster import Cluster
 from cell.fault_injection import crashes, inject_faults
-from cell.rig import Rig, make_info, make_job, make_step
+from cell.rig import Harness, make_info, make_job, make_step
 from cell.scenarios import check_all_end, run_scenario, submit_jobs
 from cell.simulation import Simulation
 from galenastall.coordination.cell.availability import AVAILABLE_AFTER_S
@@ -45,7 +45,7 @@
     )
 
 
-class HostHarness(Rig):
+class HostHarness(Harness):
     """A scheduler core whose executors each run on a host of the same name."""
 
     names = ("e1", "e2", "e3")
@@ -128,7 +128,7 @@
         harness = HostHarness()
         harness.submit(make_job(make_step(3, cores=4000)))
         started = harness.step()
-        harness.run_all(started)
+        harness.confirm_starts(started)
         harness.keep_listing(started, percent=10)
         harness.begin(make_wave("e1"))
         assert harness.orders() == []
@@ -142,7 +142,7 @@
         harness = HostHarness()
         harness.submit(make_job(make_step(1, cores=4000)))
         (order,) = harness.step()
-        harness.run_all([order])
+        harness.confirm_starts([order])
         harness.begin(make_wave(order.executor_id, duration_s=10.0))
         assert harness.stops() == []
         harness.now += 9.0
@@ -199,7 +199,7 @@
         )
         harness.submit(make_job(step))
         orders = harness.step()
-        harness.run_all(orders)
+        harness.confirm_starts(orders)
         harness.keep_listing(orders, percent=50)
         harness.keep_listing(orders)
         harness.now += AVAILABLE_AFTER_S
@@ -218,7 +218,7 @@
         (stop,) = harness.stops()
         stopped = next(order for order in orders if order.task == stop.task)
         harness.end(stopped, RunEnd.STOPPED)
-        harness.see(*(make_info(name, cores=8000) for name in harness.names))
+        harness.update_fleet(*(make_info(name, cores=8000) for name in harness.names))
         harness.keep_listing([order for order in orders if order is not stopped])
         assert harness.stops() == []
         # Two per host are allowed, on three hosts: there is no other place for the task.
@@ -243,7 +243,7 @@
     def wait_for_capacity(self, harness: HostHarness) -> list[HostOrder]:
         harness.submit(make_job(make_step(4, cores=4000)))
         started = harness.step()
-        harness.run_all(started)
+        harness.confirm_starts(started)
         harness.now += GROW_AFTER_S
         harness.keep_listing(started, percent=10)
         return harness.orders()
@@ -260,7 +260,7 @@
 
     def test_a_host_that_is_too_small_stays(self) -> None:
         harness = self.harness()
-        harness.see(*(make_info(name, cores=8000) for name in harness.names))
+        harness.update_fleet(*(make_info(name, cores=8000) for name in harness.names))
         harness.submit(make_job(make_step(4, cores=8000)))
         started = harness.step()
         harness.now += GROW_AFTER_S
@@ -274,7 +274,7 @@
         self.show(harness, spare_pool="s")
         harness.core.cancel("0123456789abcdef", wall=harness.wall)
         infos = [make_info(name) for name in (*harness.names, "spare")]
-        harness.see(*infos)
+        harness.update_fleet(*infos)
         for _ in range(2):
             harness.now += SHRINK_AFTER_S
             for info in infos:
@@ -289,7 +289,7 @@
         assert not harness.answer(move, HostOutcome.DONE)
         self.show(harness, spare_pool="s")
         harness.core.hosts.set_waves([make_wave("spare")], wall=harness.wall)
-        harness.see(*(make_info(name) for name in (*harness.names, "spare")))
+        harness.update_fleet(*(make_info(name) for name in (*harness.names, "spare")))
         for name, executor in harness.core.executors_by_id.items():
             runs = executor.runs_by_task.items()
             harness.listing(name, tuple(ListedRun(task=t, run=r, percent=20) for t, r in runs))
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -7,9 +7,9 @@
 import pytest
 from returns.result import Failure
 
-from cell.advised import ADVISED, AdvisedRig
-from cell.rig import JOB, QUEUE, WALL, Rig, make_info, make_job, make_step
-from galenastall.coordination.cell.commands import AskAdvice, StartOrder
+from cell.advised import ADVISED, AdvisedHarness
+from cell.rig import JOB, QUEUE, WALL, Harness, make_info, make_job, make_step
+from galenastall.coordination.cell.commands import AdviceRequest, StartOrder
 from galenastall.coordination.cell.host_orders import HostOutcome
 from galenastall.coordination.cell.job_runs import JobRun
 from galenastall.coordination.cell.listings import ListedRun
@@ -20,18 +20,18 @@
 from galenastall.state.cell.phases import RunEnd, TaskPhase
 from galenastall.state.cell.rows import encode_progress
 from test_cell_hosts import CAPACITY, HostHarness, make_hosts
-from test_cell_line import LAST, TICK_S, LineRig, StreamRig, job_id
+from test_cell_line import LAST, TICK_S, QueueHarness, StreamHarness, job_id
 
 RECORD_BYTES = 262_144
 OTHER = "fedcba9876543210"
 LISTED_EVERY_S = 0.5
 
 
-def paused(harness: Rig) -> set[str]:
+def paused(harness: Harness) -> set[str]:
     return {i for i, e in harness.core.executors_by_id.items() if e.paused_until > harness.now}
 
 
-def show(harness: Rig, percent_by_order: dict[StartOrder, int]) -> None:
+def show(harness: Harness, percent_by_order: dict[StartOrder, int]) -> None:
     """Deliver one listing per executor, with all of its runs and their progress."""
     for info in harness.infos:
         own = {o: p for o, p in percent_by_order.items() if o.executor_id == info.executor_id}
@@ -39,7 +39,7 @@
         harness.listing(info.executor_id, running)
 
 
-def refuse(harness: Rig, order: StartOrder, outcome: StartOutcome) -> None:
+def refuse(harness: Harness, order: StartOrder, outcome: StartOutcome) -> None:
     harness.core.on_start(order, outcome, now=harness.now, wall=harness.wall)
 
 
@@ -47,7 +47,7 @@
     """Refusals of starts that were sent together count as one refusal, not one per start."""
 
     def test_starts_that_left_together_do_not_double_the_pause_of_each_other(self) -> None:
-        harness = Rig(make_info("e0"))
+        harness = Harness(make_info("e0"))
         harness.submit(make_job(make_step(6, cores=500)))
         orders = harness.step()
         assert len(orders) == 6
@@ -57,10 +57,10 @@
 
     @pytest.mark.parametrize("outcome", [StartOutcome.UNHEALTHY, StartOutcome.NOT_STARTED])
     def test_a_refusal_does_not_shorten_a_longer_pause(self, outcome: StartOutcome) -> None:
-        harness = Rig(make_info("e0"))
+        harness = Harness(make_info("e0"))
         harness.submit(make_job(make_step(2, cores=500)))
         still, sent = harness.step()
-        harness.run_all([still])
+        harness.confirm_starts([still])
         for _ in range(8):
             harness.now += LISTED_EVERY_S
             show(harness, {still: 40})
@@ -74,7 +74,7 @@
 class TestGangNotStarted:
     def test_a_gang_avoids_an_executor_that_did_not_start_it_for_another_reason(self) -> None:
         """For example too late by its clock: the effect is that of a refusal as unhealthy."""
-        harness = Rig(*(make_info(f"e{number}") for number in range(3)))
+        harness = Harness(*(make_info(f"e{number}") for number in range(3)))
         harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         for order in harness.step():
             is_refused = order.executor_id == "e0"
@@ -90,9 +90,9 @@
 class TestOneRack:
     """Guards against choosing a rack without regard to the executors that the gang avoids."""
 
-    def start(self) -> tuple[Rig, list[StartOrder]]:
+    def start(self) -> tuple[Harness, list[StartOrder]]:
         racks = {"e0": "r1", "e1": "r1", "e2": "r2", "e3": "r2"}
-        harness = Rig(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
+        harness = Harness(*(replace(make_info(i), rack=rack) for i, rack in racks.items()))
         harness.submit(make_job(make_step(2, cores=4000, is_gang=True, wants_one_rack=True)))
         return harness, harness.step()
 
@@ -100,7 +100,7 @@
         harness, orders = self.start()
         assert {order.executor_id for order in orders} == {"e0", "e1"}
         refuse(harness, orders[0], StartOutcome.UNHEALTHY)
-        harness.run_all(orders[1:])
+        harness.confirm_starts(orders[1:])
         harness.end(orders[1], RunEnd.STOPPED)
         harness.now += 1.0
         show(harness, {})
@@ -110,7 +110,7 @@
         """No executor is paused here, so the gang used to return to the hanging one, each time for
         twice as long."""
         harness, orders = self.start()
-        harness.run_all(orders)
+        harness.confirm_starts(orders)
         for _ in range(8):
             harness.now += LISTED_EVERY_S
             show(harness, dict.fromkeys(orders, 40))
@@ -124,13 +124,13 @@
 
 class TestInherentlyStalledWork:
     def test_it_does_not_close_executors_on_which_other_runs_go_on(self) -> None:
-        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness = Harness(*(make_info(f"e{number}") for number in range(4)))
         each = make_step(4, cores=1000, most_per_executor=1)
         harness.submit(make_job(each))
         still = harness.step()
         harness.submit(make_job(replace(each, estimate_s=20.0), job_id=OTHER))
         sound = harness.step()
-        harness.run_all([*still, *sound])
+        harness.confirm_starts([*still, *sound])
         for turn in range(8):
             harness.now += LISTED_EVERY_S
             show(harness, dict.fromkeys(still, 40) | dict.fromkeys(sound, 5 * turn))
@@ -143,7 +143,7 @@
     """Each start of one job is refused, for example as malformed; other jobs would be accepted."""
 
     def test_it_does_not_close_all_executors(self) -> None:
-        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness = Harness(*(make_info(f"e{number}") for number in range(4)))
         harness.submit(make_job(make_step(1, cores=500)))
         for _ in range(600):
             harness.now += 0.1
@@ -167,15 +167,15 @@
 class TestServiceThatFailsAtOnce:
     """A task that runs until cancelled is restarted no matter how often it fails."""
 
-    def run_for(self, seconds: float) -> tuple[Rig, int]:
-        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+    def run_for(self, seconds: float) -> tuple[Harness, int]:
+        harness = Harness(*(make_info(f"e{number}") for number in range(4)))
         harness.submit(make_job(make_step(1, cores=500, is_long_running=True)))
         starts = 0
         for position in range(1, round(seconds / 0.1)):
             harness.now += 0.1
             show(harness, {})
             orders = harness.step()
-            harness.run_all(orders)
+            harness.confirm_starts(orders)
             starts += len(orders)
             for order in orders:
                 harness.end(order, RunEnd.FAILED, position=position)
@@ -192,7 +192,7 @@
         assert OTHER in started, f"paused: {sorted(paused(harness))}"
 
 
-class ThrottledFillersHarness(Rig):
+class ThrottledFillersHarness(Harness):
     """A service task on one executor, and filler tasks on all executors."""
 
     def __init__(self, *, fillers: int) -> None:
@@ -205,7 +205,7 @@
         serves = make_step(1, is_long_running=True, tail_target_ms=100)
         self.submit(make_job(serves, job_id=OTHER))
         self.serving = self.step()
-        self.run_all([*self.fillers, *self.serving])
+        self.confirm_starts([*self.fillers, *self.serving])
         self.host = self.serving[0].executor_id
 
     def run_for(self, seconds: float) -> None:
@@ -217,8 +217,8 @@
                 self.percents[order] = self.percents.get(order, 0.0) + 10 * pace * LISTED_EVERY_S
             for info in self.infos:
                 self.listing(info.executor_id, self._running(info.executor_id))
-            for pace_order in self.core.take_paces():
-                self.core.on_paced(pace_order)
+            for pace_order in self.core.take_throttle_orders():
+                self.core.on_throttle_confirmed(pace_order)
 
     def _running(self, executor_id: str) -> tuple[ListedRun, ...]:
         running = [
@@ -265,16 +265,16 @@
 class TestOverdueGangs:
     def test_many_overdue_gangs_do_not_delay_timely_work(self) -> None:
         """Only one starts at a time, but in direct succession, and each occupies the cell."""
-        harness = StreamRig(executors=8, load=0.5)
-        harness.play(5.0)
+        harness = StreamHarness(executors=8, load=0.5)
+        harness.run_for(5.0)
         for number in range(10):
             gang = make_step(8, cores=4000, is_gang=True, estimate_s=1.0)
             late = make_job(gang, job_id=f"e{number:015x}", submitted_at=harness.wall - 60.0)
             harness.submit(late)
         came_before = harness._came
-        harness.play(3.0)
+        harness.run_for(3.0)
         timely = {job_id(number) for number in range(came_before + 1, harness._came + 1)}
-        harness.play(5.0)
+        harness.run_for(5.0)
         waiting = timely - harness.started_jobs
         assert not waiting, f"{len(waiting)} of {len(timely)} missed their objective of 5 s"
 
@@ -284,19 +284,19 @@
         harness.approve(LAST, 0, 1, 2)
         gang = make_step(3, cores=4000, is_gang=True)
         harness.submit(make_job(gang, job_id=LAST, queue=ADVISED, submitted_at=harness.wall - 60.0))
-        harness.play(4.0)
+        harness.run_for(4.0)
         harness.is_advisor_down = True
-        harness.play(4.0)
+        harness.run_for(4.0)
         harness.empty(0, 1, 2)
         timely = {job_id(number) for number in range(4)}
         for each in sorted(timely):
             large = make_step(1, cores=4000, estimate_s=20.0)
             harness.submit(make_job(large, job_id=each, submitted_at=harness.wall))
-        harness.play(30.0)
+        harness.run_for(30.0)
         assert timely <= harness.started_jobs
 
 
-class AdvisorOutageHarness(LineRig):
+class AdvisorOutageHarness(QueueHarness):
     """The advisor stops answering once `is_advisor_down` is set."""
 
     is_advisor_down = False
@@ -309,10 +309,10 @@
 class TestGangThatIsDone:
     def test_a_member_that_does_not_end_frees_its_capacity(self) -> None:
         """The first completed member completes the step; the others were never stopped."""
-        harness = Rig(make_info("e0"), make_info("e1"))
+        harness = Harness(make_info("e0"), make_info("e1"))
         harness.submit(make_job(make_step(2, cores=4000, is_gang=True)))
         done, left = harness.step()
-        harness.run_all([done, left])
+        harness.confirm_starts([done, left])
         show(harness, {done: 90, left: 90})
         harness.end(done, RunEnd.DONE)
         harness.step()
@@ -356,12 +356,12 @@
 
 class TestGangStallTimeout:
     def test_it_doubles_whichever_member_stalled(self) -> None:
-        harness = Rig(*(make_info(f"e{number}") for number in range(4)))
+        harness = Harness(*(make_info(f"e{number}") for number in range(4)))
         harness.submit(make_job(make_step(3, cores=4000, is_gang=True)))
         waits: list[float] = []
         for still in range(3):
             orders = harness.step()
-            harness.run_all(orders)
+            harness.confirm_starts(orders)
             began_at = harness.now
             for turn in range(60):
                 show(
@@ -381,14 +381,14 @@
 class TestUrgentAdviceCalls:
     def test_queued_calls_are_not_repeated_without_bound(self) -> None:
         """Each host makes one call at a time; here all hosts together complete two per second."""
-        harness = AdvisedRig(executors=4, hosts=3)
+        harness = AdvisedHarness(executors=4, hosts=3)
         urgent = replace(ADVISED, name="urgent", priority=0)
         harness.core.set_queues([QUEUE, ADVISED, urgent])
         for number in range(100):
             harness.submit(make_job(make_step(1), job_id=job_id(number), queue=urgent))
-        calls: deque[AskAdvice] = deque()
+        calls: deque[AdviceRequest] = deque()
         for tick in range(300):
-            harness.pass_time(TICK_S)
+            harness.advance(TICK_S)
             calls.extend(harness.asks())
             if tick % 5 == 0 and calls:
                 harness.answer(calls.popleft(), set())
@@ -397,15 +397,15 @@
 
 class TestStallWhileDraining:
     def test_a_run_that_hangs_on_a_draining_executor_is_stopped(self) -> None:
-        harness = Rig(make_info("e0"), make_info("e1"))
+        harness = Harness(make_info("e0"), make_info("e1"))
         harness.submit(make_job(make_step(1)))
         (order,) = harness.step()
-        harness.run_all([order])
+        harness.confirm_starts([order])
         for percent in (0, 20, 40):
             harness.now += LISTED_EVERY_S
             show(harness, {order: percent})
         draining = [replace(i, is_draining=True, leaves_in_s=300.0) for i in harness.infos[:1]]
-        harness.see(*draining, *harness.infos[1:])
+        harness.update_fleet(*draining, *harness.infos[1:])
         stops = []
         for _ in range(240):
             harness.now += LISTED_EVERY_S
@@ -418,18 +418,18 @@
     """Late gangs move forward in the queue; a late single task does not, nor reserves capacity."""
 
     def test_one_starts_despite_a_stream_of_small_tasks(self) -> None:
-        harness = StreamRig(executors=16, load=0.95)
-        harness.play(5.0)
+        harness = StreamHarness(executors=16, load=0.95)
+        harness.run_for(5.0)
         large = make_step(1, cores=4000, estimate_s=1.0)
         harness.submit(make_job(large, job_id=LAST, submitted_at=harness.wall - 60.0))
-        harness.play(90.0)
+        harness.run_for(90.0)
         assert LAST in harness.started_jobs
 
 
 class TestTicketsThatAreRefused:
     def test_a_gang_avoids_an_executor_that_refused_its_ticket(self) -> None:
         """Otherwise it requests a new ticket and is placed on the same executor again."""
-        harness = AdvisedRig(executors=3, hosts=6)
+        harness = AdvisedHarness(executors=3, hosts=6)
         harness.hand_in(make_step(2, cores=4000, is_gang=True))
         for ask in harness.asks():
             harness.answer(ask)
@@ -459,7 +459,7 @@
         spare = PoolHost(host="spare", pool=self.pool, state=HostState.UP, capacity=CAPACITY)
         self.core.hosts.set_hosts((*make_hosts(self.names), spare), wall=self.wall)
         spares = [replace(make_info("spare"), labels=("b",))] if self.pool == "s" else []
-        self.see(*(make_info(name) for name in self.names), *spares)
+        self.update_fleet(*(make_info(name) for name in self.names), *spares)
 
     def run_for(self, seconds: float) -> set[str]:
         """Let runs continue without ending; return the jobs that were started."""
@@ -475,7 +475,7 @@
                     name, tuple(ListedRun(task=t, run=r, percent=percent) for t, r in runs)
                 )
             orders = self.step()
-            self.run_all(orders)
+            self.confirm_starts(orders)
             started |= {order.task.job for order in orders}
             for order in self.core.hosts.take_ready():
                 self.moves.append(order.pool)
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -9,10 +9,10 @@
 import trio
 from typer.testing import CliRunner
 
-from cell.rig import JOB, QUEUE, Rig, make_info, make_job, make_step
+from cell.rig import JOB, QUEUE, Harness, make_info, make_job, make_step
 from galenastall.cli.app import app
 from galenastall.coordination.cell.advice import Approval
-from galenastall.coordination.cell.commands import AskAdvice, Note, StartOrder
+from galenastall.coordination.cell.commands import AdviceRequest, Note, StartOrder
 from galenastall.coordination.cell.executors import Closed, Cordon, Executor
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.explain_reasons import format_reasons, reasons_by_queue
@@ -22,14 +22,14 @@
 from galenastall.coordination.cell.listings import ListedRun
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.coordination.cell.placer import TICKETED_SOON_S
-from galenastall.coordination.cell.room_plan import PlannedStart
-from galenastall.coordination.cell.standstill import STILL_S
-from galenastall.coordination.cell.stop_rules import JobStops, StopRule
-from galenastall.coordination.cell.turns import (
-    FRUITLESS_PLANS,
-    PLANNED_GANGS,
+from galenastall.coordination.cell.reservation_plan import PlannedStart
+from galenastall.coordination.cell.rotation import (
+    MAX_FAILED_PLANS,
+    MAX_PLANNED_GANGS,
     STEPS_PER_DECISION,
 )
+from galenastall.coordination.cell.standstill import STILL_S
+from galenastall.coordination.cell.stop_rules import JobStops, StopRule
 from galenastall.coordination.cell.wait_reasons import SOON_S, WaitReason, why_not_gang
 from galenastall.coordination.cell.waiting_report import (
     JOB_REPORT_INTERVAL_S,
@@ -50,14 +50,14 @@
 """Capacity of an executor in thousandths of a core."""
 
 
-class WaitReportHarness(Rig):
+class WaitReportHarness(Harness):
     """A scheduler core with some executors, and the reports that it logs."""
 
     def __init__(self, *, executors: int = 2, hosts: int = 6) -> None:
         super().__init__(*(make_info(f"e{number:03}") for number in range(executors)))
         self.core.set_queues([QUEUE, ADVISED])
         self.core.set_advice_calls_at_once(hosts)
-        self.asks: list[AskAdvice] = []
+        self.asks: list[AdviceRequest] = []
         self.percent = 0
 
     def submit_advised(self, step: Step, job_id: str = JOB) -> None:
@@ -68,11 +68,11 @@
         for number in range(executors):
             step = make_step(1, cores=cores, estimate_s=estimate_s)
             self.submit(make_job(step, job_id=f"{number:016x}"))
-            self.run_all(self.step())
+            self.confirm_starts(self.step())
 
     def decide(self, *, may_place: bool = True) -> list[StartOrder]:
         self.core.decide(now=self.now, wall=self.wall, may_place=may_place)
-        self.asks += self.core.take_asks()
+        self.asks += self.core.take_advice_requests()
         return self.commit()
 
     def why(self, job_id: str = JOB) -> WaitReason:
@@ -81,7 +81,7 @@
         return self.reason(job_id)
 
     def reason(self, job_id: str = JOB) -> WaitReason:
-        return self.core._placer.sight.reason_of(StepKey(job_id, 0, 0))
+        return self.core._placer.observations.reason_of(StepKey(job_id, 0, 0))
 
     def answer(self, *approved: str) -> None:
         """Answer all pending calls for advice."""
@@ -229,7 +229,7 @@
     def test_gangs_beyond_the_reservation_plan(self) -> None:
         harness = WaitReportHarness(executors=2, hosts=99)
         harness.fill(2)
-        ids = [f"a{number:015x}" for number in range(PLANNED_GANGS + 1)]
+        ids = [f"a{number:015x}" for number in range(MAX_PLANNED_GANGS + 1)]
         for job_id in ids:
             harness.submit_advised(make_step(2, cores=FULL, is_gang=True), job_id)
         harness.decide()
@@ -238,11 +238,11 @@
         reasons = [harness.reason(job_id) for job_id in ids]
         assert reasons.count(WaitReason.ROOM_LATER) == 1
         # One is planned; of the others, a decision tries FRUITLESS_PLANS without a result.
-        assert reasons.count(WaitReason.NO_ROOM_AHEAD) == FRUITLESS_PLANS
-        assert reasons.count(WaitReason.NOT_PLANNED) == PLANNED_GANGS - FRUITLESS_PLANS
+        assert reasons.count(WaitReason.NO_ROOM_AHEAD) == MAX_FAILED_PLANS
+        assert reasons.count(WaitReason.NOT_PLANNED) == MAX_PLANNED_GANGS - MAX_FAILED_PLANS
         # Later decisions rotate through the gangs, so that each of them is tried.
         (counts,) = fields_of(harness.wait(1), "cell.waiting")
-        assert counts["advised:planned_for_others"] == str(PLANNED_GANGS)
+        assert counts["advised:planned_for_others"] == str(MAX_PLANNED_GANGS)
 
     def test_single_tasks_on_full_executors(self) -> None:
         harness = WaitReportHarness(executors=2)
@@ -256,7 +256,7 @@
         harness = WaitReportHarness(executors=2)
         harness.submit(make_job(make_step(2, cores=FULL, is_gang=True)))
         orders = harness.step()
-        harness.run_all(orders)
+        harness.confirm_starts(orders)
         harness.end(orders[0], RunEnd.FAILED)
         assert harness.why() is WaitReason.LAST_RUN_ENDING
 
@@ -274,10 +274,10 @@
         harness = self.gang()
         harness.decide()
         harness.answer("e000", "e001")
-        (waiting,) = harness.core._placer._line.in_order(now=harness.now, wall=harness.wall)
+        (waiting,) = harness.core._placer._queue.in_order(now=harness.now, wall=harness.wall)
         planned = PlannedStart(at=harness.now, slots=()) if is_planned else None
         usable, plan = harness.core.executors_by_id, harness.core.plan
-        why = why_not_gang(waiting, usable, plan, planned, may_plan=may_plan, can_ask=True)
+        why = why_not_gang(waiting, usable, plan, planned, may_plan=may_plan, can_request=True)
         assert why is reason
 
     def test_soon_means_the_same_as_for_the_placer(self) -> None:
@@ -369,7 +369,7 @@
         harness.submit(make_job(make_step(3, cores=3000)))
         harness.wait(int(LONG_WAIT_S) - 1)
         if is_fleet_growing:
-            harness.see(make_info("e000"), make_info("e001"))
+            harness.update_fleet(make_info("e000"), make_info("e001"))
         assert len(fields_of(harness.wait(int(LONG_WAIT_S) - 1), "job.waiting")) == lines
 
     def test_counts_are_bounded(self) -> None:
@@ -457,7 +457,7 @@
         """Run a gang of two whose members both stall at 40 percent."""
         harness = WaitReportHarness(executors=2)
         harness.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
-        harness.run_all(harness.step())
+        harness.confirm_starts(harness.step())
         harness.answer_listings(40)
         for _ in range(int(STILL_S) + 1):
             harness.now += 1.0
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: at most one run over races, lost answers, new owners and log outages."""
+"""Idempotency keys: at most one run despite races, lost responses, new owners and log outages."""
 
 import pytest
 from hypothesis import settings
@@ -14,9 +14,9 @@
     KeyVerdict,
     check_age,
     home_of,
+    intersects_every_majority,
     is_majority,
     key_time,
-    meets_every_majority,
 )
 from galenastall.protocol.codec import decode_record, encode_record
 from galenastall.state.ids import DataCentre, Epoch, HostId, Offset, RecordId, RequestId, StreamName
@@ -39,7 +39,7 @@
 
 
 class Log:
-    """A stream in memory whose records pass through the codec."""
+    """An in-memory stream whose records pass through the codec."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
@@ -97,7 +97,7 @@
     @pytest.mark.parametrize(
         "key", ["", "pack", "-pack", "12", "12-", "1\n-a", "x" * 201, "é-1", "1700000000"]
     )
-    def test_others_are_refused_naming_the_header(self, key: str) -> None:
+    def test_malformed_keys_are_refused_naming_the_header(self, key: str) -> None:
         assert "Galenastall-Idempotency-Key" in str(key_time(key).failure())
 
     @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
         log.append(begin(log.open(1), "r1"))
         assert verdict(log.open(2), wall=115.0) is KeyVerdict.UNKNOWN
 
-    def test_a_request_that_was_not_run_may_come_again(self) -> None:
+    def test_a_request_that_was_not_run_may_be_sent_again(self) -> None:
         log = Log()
         shard = log.open(1)
         log.append(begin(shard, "r1"))
@@ -187,10 +187,10 @@
 
 class TestHeldIntents:
     @pytest.mark.parametrize("size", range(1, 9))
-    def test_each_read_meets_each_majority(self, size: int) -> None:
+    def test_each_read_intersects_each_majority(self, size: int) -> None:
         for held in range(size + 1):
             for read in range(size + 1):
-                enough = is_majority(count=held, of=size) and meets_every_majority(
+                enough = is_majority(count=held, of=size) and intersects_every_majority(
                     count=read, of=size
                 )
                 assert not enough or held + read > size
@@ -205,7 +205,7 @@
         assert not held.hold(shard="0", epoch=Epoch(1), entries=(entry,))
         assert not held.read(shard="0", epoch=Epoch(1), serving=Epoch(1)).is_holder
 
-    def test_a_restarted_process_does_not_pass_for_a_holder(self) -> None:
+    def test_a_restarted_process_is_not_taken_for_a_holder(self) -> None:
         held = HeldIntents()
         assert not held.hold(shard="0", epoch=Epoch(1), entries=())
         read = held.read(shard="0", epoch=Epoch(2), serving=Epoch(1))
@@ -224,7 +224,7 @@
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """One key, owners that replace each other, a log that goes down, holders that die."""
+    """One key with changing owners, log outages and holders that restart or drop entries."""
 
     @initialize()
     def start(self) -> None:
@@ -241,7 +241,7 @@
 
     @rule(reached=st.lists(st.booleans(), min_size=3, max_size=3))
     def take_over(self, reached: list[bool]) -> None:
-        """The claim and the opening need the log; the reads need holders."""
+        """Open the shard under a new owner; that needs the log, and its reads need holders."""
         if not self.log_up:
             return
         self.epoch += 1
@@ -257,7 +257,7 @@
                 read = holder.read(shard="0", epoch=epoch, serving=last)
                 answered += read.was_holder
                 found += read.entries
-        complete = serving is None or meets_every_majority(count=answered, of=len(HOLDERS))
+        complete = serving is None or intersects_every_majority(count=answered, of=len(HOLDERS))
         restored = shard.restore(found)
         self.log.append(KeysCarried(shard="0", epoch=epoch, entries=restored))
         lost = 0.0 if complete else 100.0
@@ -270,7 +270,7 @@
 
     @rule(index=st.integers(0, 3), reached=st.lists(st.booleans(), min_size=3, max_size=3))
     def request(self, index: int, reached: list[bool]) -> None:
-        """Any owner past or present is asked; it believes that it still is one."""
+        """Send a request to any owner, past or present; a past owner still believes to be one."""
         shard = self.shards[-1 - index % len(self.shards)]
         if verdict(shard) is not KeyVerdict.GO:
             return
@@ -294,7 +294,7 @@
 
     @rule(index=st.integers(0, 3), outcome=st.sampled_from([Outcome.DONE, Outcome.NOT_RUN]))
     def end(self, index: int, outcome: Outcome) -> None:
-        """The running request ends; a `not_run` means that it was proved never to have left."""
+        """End the running request; `not_run` means that it was proved never to have been sent."""
         if len(self.runs) != 1 or self.ended:
             return
         (run,) = self.runs
@@ -320,7 +320,7 @@
 
     @rule()
     def flush(self) -> None:
-        """Every owner, replaced or not, writes what it held."""
+        """Let every owner, replaced or not, write its unlogged entries."""
         if not self.log_up:
             return
         for shard in self.shards:
@@ -333,7 +333,7 @@
 
     @rule(index=st.integers(0, 2))
     def holder_is_replaced(self, index: int) -> None:
-        """A new process under the old name knows nothing of what was held."""
+        """Restart a holder: the new process has lost the held entries."""
         self.held[index] = HeldIntents()
 
     @invariant()
