--- a/src/galenastall/node/cell/executor_sessions.py
+++ b/src/galenastall/node/cell/executor_sessions.py
@@ -48,10 +48,10 @@
             session = self._by_id.get(stop.executor_id)
             if session is not None:
                 self._nursery.start_soon(session.stop, stop)
-        for pace in core.take_throttle_orders():
-            session = self._by_id.get(pace.executor_id)
+        for order in core.take_throttle_orders():
+            session = self._by_id.get(order.executor_id)
             if session is not None:
-                self._nursery.start_soon(session.throttle, pace)
+                self._nursery.start_soon(session.throttle, order)
         for executor_id in core.take_newly_polled():
             session = self._by_id.get(executor_id)
             if session is not None:
