--- a/tests/test_cell_workspaces.py
+++ b/tests/test_cell_workspaces.py
@@ -6,8 +6,8 @@
 import trio
 
 from cell.cluster import Cluster, make_job
-from cell.play import play
-from cell.world import World
+from cell.scenarios import run_scenario
+from cell.simulation import Simulation
 from galenastall.coordination.cell.config_age import OUTDATED_AFTER_S, is_outdated
 from galenastall.protocol.cell.messages import SubmitVerdict
 from galenastall.state.cell.phases import JobPhase
@@ -28,14 +28,14 @@
         assert may_access(owner=owner, workspace=workspace) is seen
 
     async def test_a_job_of_another_workspace_is_not_found(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             world.set_workspaces(A)
             job = make_job(world, rng, 1)
             world.set_workspaces(A, B)
             await trio.sleep(PROPAGATION_S)
             assert await cluster.submit(job)
-            desk = cluster.live["entry-1"].host.desk
+            desk = cluster.live["entry-1"].host.caller_handler
             assert (await desk.phase(job.job_id, patience_s=3.0, workspace="b")).unwrap() is None
             assert (await desk.cancel(job.job_id, patience_s=3.0, workspace="b")).unwrap() is None
             other = make_job(world, rng, 1)
@@ -45,7 +45,7 @@
             assert taken.verdict is SubmitVerdict.TAKEN
             assert await cluster.wait_ended(job.job_id) is JobPhase.COMPLETED
 
-        await play(scenario, seed=3)
+        await run_scenario(scenario, seed=3)
 
 
 class TestOutdated:
@@ -67,14 +67,14 @@
     async def test_a_call_admitted_by_an_outdated_version_is_admitted_again(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             old = world.config.version
             world.set_workspaces(A)
             await trio.sleep(PROPAGATION_S + OUTDATED_AFTER_S)
             job = make_job(world, rng, 1)
             world.jobs[job.job_id] = job
-            desk = cluster.live["entry-1"].host.desk
+            desk = cluster.live["entry-1"].host.caller_handler
             submitted = await desk.submit(job, patience_s=3.0, config_version=old)
             assert submitted.is_outdated
             assert not submitted.may_be_stored
@@ -84,7 +84,7 @@
             again = await desk.submit(job, patience_s=3.0, config_version=version)
             assert again.verdict is SubmitVerdict.ACCEPTED
 
-        await play(scenario, seed=4)
+        await run_scenario(scenario, seed=4)
 
 
 class TestConfigPropagation:
@@ -92,7 +92,7 @@
     async def test_a_host_that_the_store_refuses_gets_versions_from_others(
         self, autojump_clock: object, refused: str
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             leader = await cluster.wait_for_leader()
             await trio.sleep(1.0)
             follower = next(name for name in cluster.names if name != leader)
@@ -102,10 +102,10 @@
             await trio.sleep(PROPAGATION_S)
             assert cluster.live[name].host.config.version == world.config.version
 
-        await play(scenario, seed=5)
+        await run_scenario(scenario, seed=5)
 
     async def test_a_refresh_fetches_a_version_not_read_yet(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             world.set_workspaces(A)
@@ -113,10 +113,10 @@
             await config.look()
             assert config.version == world.config.version
 
-        await play(scenario, seed=6)
+        await run_scenario(scenario, seed=6)
 
     async def test_concurrent_refreshes_share_one_read(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await cluster.wait_for_leader()
             await trio.sleep(1.0)
             config = cluster.live["entry-0"].host.config
@@ -135,4 +135,4 @@
             await config.look()
             assert reads == 1
 
-        await play(scenario, seed=7)
+        await run_scenario(scenario, seed=7)
