--- a/src/galenastall/coordination/cell/advice_planner.py
+++ b/src/galenastall/coordination/cell/advice_planner.py
@@ -153,7 +153,7 @@
         for number, executor in enumerate(fresh):
             if number >= ADVISED_EXECUTORS and expected >= ENOUGH_FACTOR * count:
                 return number
-            expected += share * executor.room_for(need, count)
+            expected += share * executor.count_fitting(need, count)
         return len(fresh)
 
     def _renewed(
@@ -177,7 +177,7 @@
             and e.executor_id not in named
             and self._has_room_by(e, waiting, planned.at)
         ]
-        others.sort(key=lambda e: (-e.room_for(need, MOST_NAMED), e.executor_id))
+        others.sort(key=lambda e: (-e.count_fitting(need, MOST_NAMED), e.executor_id))
         most = min(max(2 * len(wanted), ADVISED_EXECUTORS // 2), MOST_NAMED)
         return [*wanted, *others][:most]
 
--- a/src/galenastall/coordination/cell/approved_room.py
+++ b/src/galenastall/coordination/cell/approved_room.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from galenastall.coordination.cell.advice import StepAdvice
-from galenastall.coordination.cell.executors import Closed, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Executor
 from galenastall.coordination.cell.fitting import may_host
 from galenastall.coordination.cell.room_plan import RoomPlan
 from galenastall.state.cell.jobs import Step
@@ -33,7 +33,7 @@
     advice: StepAdvice | None,
     *,
     executors_by_id: Mapping[str, Executor],
-    closed_by_id: Mapping[str, Closed],
+    closed_by_id: Mapping[str, ClosedReason],
     plan: RoomPlan,
 ) -> ApprovedRoom:
     """Return the room for a step; without an advisor all executors of its service may run it."""
--- a/src/galenastall/coordination/cell/availability.py
+++ b/src/galenastall/coordination/cell/availability.py
@@ -4,7 +4,7 @@
 
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.job_runs import StepRun
-from galenastall.coordination.cell.task_runs import WHOLE_PERCENT, StartState, TaskRun
+from galenastall.coordination.cell.task_runs import DONE_PERCENT, StartState, TaskRun
 from galenastall.state.cell.phases import TaskPhase
 
 SETTLED_S: Final = 5.0
@@ -30,7 +30,7 @@
     def _is_away(self, task: TaskRun) -> bool:
         if task.phase is not TaskPhase.ASSIGNED or task.state is not StartState.STARTED:
             return True
-        if task.is_stopping or task.percent < WHOLE_PERCENT:
+        if task.is_stopping or task.percent < DONE_PERCENT:
             return True
         # `percent_at` is when the last percent was gained, so when it began to work in full.
         return self._state.now - task.percent_at < SETTLED_S
--- a/src/galenastall/coordination/cell/batches.py
+++ b/src/galenastall/coordination/cell/batches.py
@@ -51,11 +51,11 @@
         for job_id in job_ids:
             run = state.jobs_by_id.get(job_id)
             if run is not None:
-                values.update(_rows_of(run))
+                values.update(_job_rows(run))
                 run.is_written = True
         values.update(self._hosts.take_values())
         noted = {
-            executor_id: state.executors_by_id[executor_id].noted
+            executor_id: state.executors_by_id[executor_id].applied_position
             for executor_id in state.noted_executors
             if executor_id in state.executors_by_id
         }
@@ -77,34 +77,34 @@
         for executor_id, position in batch.noted_by_executor.items():
             executor = self._state.executors_by_id.get(executor_id)
             if executor is not None:
-                executor.durable = position
+                executor.durable_position = position
         for job_id in batch.job_ids:
             run = self._state.jobs_by_id.get(job_id)
             if run is not None and job_id not in self._state.dirty_jobs:
                 self._on_durable(run)
             elif run is not None:
-                self._on_durable_in_part(run)
+                self._on_acceptance_durable(run)
         self._hosts.release(batch.host_orders)
-        self._withhold_what_has_no_room(batch.starts, wall)
-        return [order for order in batch.starts if self._may_leave(order, wall)]
+        self._withhold_over_capacity(batch.starts, wall)
+        return [order for order in batch.starts if self._may_send(order, wall)]
 
-    def _withhold_what_has_no_room(self, orders: Iterable[StartOrder], wall: float) -> None:
+    def _withhold_over_capacity(self, orders: Iterable[StartOrder], wall: float) -> None:
         """Take back starts whose room or quota shrank while they were made durable.
 
         An executor that does not guard its capacity would start them. The last to be placed goes
         first; a gang waits as a whole.
         """
         for order in reversed(list(orders)):
-            cause = self._why_withheld(order)
+            cause = self._withheld_cause(order)
             if not cause or not self._state.find_ordered(order):
                 continue
             fields = {"run": str(order.run), "executor": order.executor_id}
             self._state.note("run.withheld", order.task.job, cause=cause, fields=fields)
             self._ends.apply(order.task, order.run, RunEnd.NEVER_STARTED, wall=wall)
 
-    def _why_withheld(self, order: StartOrder) -> str:
+    def _withheld_cause(self, order: StartOrder) -> str:
         executor = self._state.executors_by_id.get(order.executor_id)
-        if executor is not None and executor.is_over:
+        if executor is not None and executor.is_overcommitted:
             return "no room left"
         job = self._state.jobs_by_id.get(order.task.job)
         if job is not None and self._state.workspaces.is_over(job.job.workspace):
@@ -112,8 +112,8 @@
         return ""
 
     def _on_durable(self, run: JobRun) -> None:
-        run.shown_phase = self._shown(run)
-        self._on_durable_in_part(run)
+        run.shown_phase = self._visible_phase(run)
+        self._on_acceptance_durable(run)
         if not run.has_ended:
             return
         self._advice.forget_job(run.job.job_id)
@@ -123,7 +123,7 @@
                 cause = f"its job is {run.phase.value}"
                 self._ends.stop(task, rule=StopRule.JOB_ENDED, cause=cause)
 
-    def _on_durable_in_part(self, run: JobRun) -> None:
+    def _on_acceptance_durable(self, run: JobRun) -> None:
         """Note that an earlier state of a job is durable: at least its acceptance is."""
         if not run.is_durable:
             run.is_durable = True
@@ -138,12 +138,12 @@
             )
 
     @staticmethod
-    def _shown(run: JobRun) -> JobPhase:
+    def _visible_phase(run: JobRun) -> JobPhase:
         if run.phase is JobPhase.QUEUED and run.has_started:
             return JobPhase.RUNNING
         return run.phase
 
-    def _may_leave(self, order: StartOrder, wall: float) -> bool:
+    def _may_send(self, order: StartOrder, wall: float) -> bool:
         task = self._state.find_ordered(order)
         if task is None:
             return False
@@ -154,7 +154,7 @@
         return True
 
 
-def _rows_of(run: JobRun) -> dict[str, bytes]:
+def _job_rows(run: JobRun) -> dict[str, bytes]:
     """Return a job's rows in the order in which they are written.
 
     A write may break off after any of them: progress without a definition can't be taken up, so the
--- a/src/galenastall/coordination/cell/cell_state.py
+++ b/src/galenastall/coordination/cell/cell_state.py
@@ -5,7 +5,7 @@
 
 from galenastall.coordination.cell.commands import AskAdvice, Note, PaceOrder, StartOrder, StopOrder
 from galenastall.coordination.cell.executor_table import ExecutorTable
-from galenastall.coordination.cell.executors import Closed, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Executor
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
 from galenastall.coordination.cell.mechanisms import ALL_ON, Without
 from galenastall.coordination.cell.stop_rules import StopRule
@@ -86,7 +86,7 @@
             return None
         return job, step, step.tasks[key.number]
 
-    def why_closed(self, executor: Executor) -> Closed | None:
+    def why_closed(self, executor: Executor) -> ClosedReason | None:
         """Return why an executor takes no new work now; None if it does."""
         timings = self.timings
         return executor.why_closed(
@@ -95,7 +95,7 @@
 
     def want_look(self, executor: Executor) -> None:
         """Have an executor asked for a listing now."""
-        executor.wants_look = True
+        executor.needs_listing = True
         self.looked_for.add(executor.executor_id)
 
     def keep_polled(self, executor: Executor, *, until: float) -> None:
@@ -146,7 +146,7 @@
     ) -> None:
         """Reserve room for a new run of a task and count it in the ledger."""
         task.assign(run=run, executor_id=executor.executor_id, now=now)
-        executor.take(step.step.need)
+        executor.reserve(step.step.need)
         executor.runs_by_task[task.key] = run
         self.count_run(task, step)
         self.dirty_jobs.add(task.key.job)
@@ -160,7 +160,7 @@
         """Give back the room of a task's run, which has ended; return its executor if known."""
         executor = self.executors_by_id.get(task.executor_id)
         if executor is not None and executor.runs_by_task.pop(task.key, None) is not None:
-            executor.give_back(step.step.need)
+            executor.release(step.step.need)
         self.workspaces.remove(task.key)
         self.dirty_jobs.add(task.key.job)
         return executor
--- a/src/galenastall/coordination/cell/crashes.py
+++ b/src/galenastall/coordination/cell/crashes.py
@@ -18,10 +18,10 @@
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.jobs import StepKey, TaskKey
 
-PROVEN_S: Final = 0.5
+STARTUP_S: Final = 0.5
 """A run that was seen at work for as long has not just begun; a task that crashes its executor does
 so within 0.01 s of its start."""
-SUSPECT_PROVEN_S: Final = 0.1
+SUSPECT_STARTUP_S: Final = 0.1
 """The same for a suspect, whose executor is asked that often while it begins."""
 SETTLED_S: Final = 10.0
 """A crash under a run that was seen at work for as long is not put down to it."""
@@ -32,9 +32,9 @@
 had just begun where other executors crashed at the same time."""
 AT_WORK_WEIGHT: Final = 12
 """For a task that was at work."""
-LEAST_AT_WORK_WEIGHT: Final = 3
+MIN_AT_WORK_WEIGHT: Final = 3
 """For a task at work however often executors crash by themselves: 20 crashes end it."""
-MOST_WEIGHT: Final = 60
+MAX_WEIGHT: Final = 60
 """A task with as much is given up: after three crashes at the earliest, for a task that is only
 there may be under two by chance, and after five where others do not crash by themselves."""
 LISTING_AGE_S: Final = 1.2
@@ -44,15 +44,15 @@
 time that the run was there, and the less, the likelier that is."""
 RATE_WINDOW_S: Final = 30.0
 """Crashes of the other executors within this time tell how often they crash by themselves."""
-TOGETHER_S: Final = 1.5
+CONCURRENT_S: Final = 1.5
 """Executors that fall silent within this time of each other may have one cause: each is heard once
 in 1.2 s."""
-OTHERS_TOGETHER: Final = 3
+MIN_CONCURRENT: Final = 3
 """So many others that fall silent with an executor make a cause outside of it likely."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Victim:
+class AffectedRun:
     """A run that was, or may have been, on an executor that has crashed."""
 
     task: TaskKey
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Blame:
+class Attribution:
     """What a crash means for a task that was there."""
 
     weight: int
@@ -77,65 +77,75 @@
     """Whether its next run is to begin apart from others."""
 
 
-NO_BLAME: Final = Blame(weight=0, is_suspect=False)
+NO_ATTRIBUTION: Final = Attribution(weight=0, is_suspect=False)
 
 
-def blame_for_crash(victims: Iterable[Victim], *, is_alone: bool) -> dict[TaskKey, Blame]:
+def attribute_crash(
+    affected_runs: Iterable[AffectedRun], *, is_isolated: bool
+) -> dict[TaskKey, Attribution]:
     """Return what a crash means for each task that was there.
 
-    `is_alone` tells that hardly any other executor crashed at the same time.
+    `is_isolated` tells that hardly any other executor crashed at the same time.
     """
-    victims = list(victims)
-    begun = [victim for victim in victims if _has_just_begun(victim)]
-    culprit = _only_unit(begun) or _only_unit([victim for victim in begun if victim.is_suspect])
+    affected_runs = list(affected_runs)
+    starting = [affected_run for affected_run in affected_runs if _is_starting(affected_run)]
+    sole_suspect = _sole_unit(starting) or _sole_unit(
+        [affected_run for affected_run in starting if affected_run.is_suspect]
+    )
     return {
-        victim.task: (
-            _blame_begun(is_sure=is_alone and victim.is_confirmed and victim.unit == culprit)
-            if _has_just_begun(victim)
-            else _blame_at_work(victim)
+        affected_run.task: (
+            _attribute_starting(
+                is_certain=is_isolated
+                and affected_run.is_confirmed
+                and affected_run.unit == sole_suspect
+            )
+            if _is_starting(affected_run)
+            else _attribute_at_work(affected_run)
         )
-        for victim in victims
+        for affected_run in affected_runs
     }
 
 
-def blame_for_silence(victims: Iterable[Victim], *, is_listed: bool) -> dict[TaskKey, Blame]:
+def attribute_lost_contact(
+    affected_runs: Iterable[AffectedRun], *, is_listed: bool
+) -> dict[TaskKey, Attribution]:
     """Return what it means for tasks that their executor fell silent and their leases have ended.
 
     It has crashed, or is cut off: from its callers alone if the platform's list still names it
     (`is_listed`), and then only a task that had just begun may have to do with it.
     """
     return {
-        victim.task: (
-            Blame(weight=SHARED_WEIGHT, is_suspect=True)
-            if _has_just_begun(victim)
-            else NO_BLAME if is_listed else _blame_at_work(victim)
+        affected_run.task: (
+            Attribution(weight=SHARED_WEIGHT, is_suspect=True)
+            if _is_starting(affected_run)
+            else NO_ATTRIBUTION if is_listed else _attribute_at_work(affected_run)
         )
-        for victim in victims
+        for affected_run in affected_runs
     }
 
 
-def _only_unit(victims: Iterable[Victim]) -> TaskKey | StepKey | None:
+def _sole_unit(affected_runs: Iterable[AffectedRun]) -> TaskKey | StepKey | None:
     """Return what all of them belong to, if that is one task or one gang."""
-    units = {victim.unit for victim in victims}
+    units = {affected_run.unit for affected_run in affected_runs}
     return units.pop() if len(units) == 1 else None
 
 
-def _has_just_begun(victim: Victim) -> bool:
-    if victim.at_work_s is None:
+def _is_starting(affected_run: AffectedRun) -> bool:
+    if affected_run.at_work_s is None:
         return False
-    return victim.at_work_s < (SUSPECT_PROVEN_S if victim.is_suspect else PROVEN_S)
+    return affected_run.at_work_s < (SUSPECT_STARTUP_S if affected_run.is_suspect else STARTUP_S)
 
 
-def _blame_begun(*, is_sure: bool) -> Blame:
-    return Blame(weight=ALONE_WEIGHT if is_sure else SHARED_WEIGHT, is_suspect=True)
+def _attribute_starting(*, is_certain: bool) -> Attribution:
+    return Attribution(weight=ALONE_WEIGHT if is_certain else SHARED_WEIGHT, is_suspect=True)
 
 
-def _blame_at_work(victim: Victim) -> Blame:
-    if victim.at_work_s is None:
-        return Blame(weight=SHARED_WEIGHT, is_suspect=True)
-    if victim.at_work_s < SETTLED_S:
-        return Blame(weight=weight_at_work(victim.chance), is_suspect=False)
-    return NO_BLAME
+def _attribute_at_work(affected_run: AffectedRun) -> Attribution:
+    if affected_run.at_work_s is None:
+        return Attribution(weight=SHARED_WEIGHT, is_suspect=True)
+    if affected_run.at_work_s < SETTLED_S:
+        return Attribution(weight=weight_at_work(affected_run.chance), is_suspect=False)
+    return NO_ATTRIBUTION
 
 
 def weight_at_work(chance: float) -> int:
@@ -143,44 +153,44 @@
     if chance <= FULL_WEIGHT_CHANCE:
         return AT_WORK_WEIGHT
     weight = round(AT_WORK_WEIGHT * log(chance) / log(FULL_WEIGHT_CHANCE))
-    return max(weight, LEAST_AT_WORK_WEIGHT)
+    return max(weight, MIN_AT_WORK_WEIGHT)
 
 
-class CrashJudge:
+class CrashAttributor:
     """Finds who was there when an executor crashed, in the leader's tables."""
 
     def __init__(self, *, state: CellState) -> None:
         """Read these tables."""
         self._state = state
-        self._silent_since: deque[float] = deque(maxlen=64)
+        self._unresponsive_since: deque[float] = deque(maxlen=64)
         """Leader's times at which executors that have crashed were last heard."""
         self._crashed: deque[tuple[float, frozenset[TaskKey]]] = deque()
         """Crashes within RATE_WINDOW_S, each with the tasks that were there."""
 
-    def on_crash(self, executor: Executor) -> dict[TaskKey, Blame]:
+    def on_crash(self, executor: Executor) -> dict[TaskKey, Attribution]:
         """Return what the end of an incarnation means for the tasks that were there."""
-        if executor.was_to_leave:
+        if executor.has_planned_departure:
             return {}
-        is_alone = self._count_together(executor) < OTHERS_TOGETHER
+        is_isolated = self._count_concurrent(executor) < MIN_CONCURRENT
         if executor.answered_at is not None:
-            self._silent_since.append(executor.answered_at)
-        blames = blame_for_crash(self._victims(executor), is_alone=is_alone)
+            self._unresponsive_since.append(executor.answered_at)
+        attributions = attribute_crash(self._affected_runs(executor), is_isolated=is_isolated)
         self._crashed.append((self._state.now, frozenset(executor.runs_by_task)))
-        return blames
+        return attributions
 
-    def on_lapsed(self, executor: Executor) -> dict[TaskKey, Blame]:
+    def on_lapsed(self, executor: Executor) -> dict[TaskKey, Attribution]:
         """Return what it means for tasks that their leases ended before the executor answered."""
-        if executor.was_to_leave:
+        if executor.has_planned_departure:
             return {}
-        return blame_for_silence(self._victims(executor), is_listed=executor.is_listed)
+        return attribute_lost_contact(self._affected_runs(executor), is_listed=executor.is_listed)
 
-    def _count_together(self, executor: Executor) -> int:
+    def _count_concurrent(self, executor: Executor) -> int:
         """Count the other executors that fell silent at the same time, and are or were silent."""
         at = executor.answered_at
         if at is None:
             return 0
         reach_s = self._state.timings.reach_s
-        silent_now = [
+        unresponsive_now = [
             other.answered_at
             for other in self._state.executors_by_id.values()
             if other is not executor
@@ -188,19 +198,19 @@
             and other.answered_at is not None
             and not other.has_answered(now=self._state.now, reach_s=reach_s)
         ]
-        since = [*self._silent_since, *silent_now]
-        return sum(1 for other_at in since if abs(other_at - at) <= TOGETHER_S)
+        since = [*self._unresponsive_since, *unresponsive_now]
+        return sum(1 for other_at in since if abs(other_at - at) <= CONCURRENT_S)
 
-    def _victims(self, executor: Executor) -> list[Victim]:
-        victims: list[Victim] = []
+    def _affected_runs(self, executor: Executor) -> list[AffectedRun]:
+        affected_runs: list[AffectedRun] = []
         self._forget_crashes()
         for key in executor.runs_by_task:
             found = self._state.find(key)
-            if found is None or not _may_have_been_there(executor, found[2]):
+            if found is None or not _may_have_reached_executor(executor, found[2]):
                 continue
             unit = key.step_key if found[1].step.is_gang else key
-            victims.append(
-                Victim(
+            affected_runs.append(
+                AffectedRun(
                     task=key,
                     unit=unit,
                     at_work_s=_at_work_s(found[2]),
@@ -209,7 +219,7 @@
                     chance=self._chance_without(key, _at_work_s(found[2])),
                 )
             )
-        return victims
+        return affected_runs
 
     def _forget_crashes(self) -> None:
         oldest = self._state.now - RATE_WINDOW_S
@@ -225,7 +235,7 @@
         return 1.0 - exp(-rate_per_s * ((at_work_s or 0.0) + LISTING_AGE_S))
 
 
-def _may_have_been_there(executor: Executor, task: TaskRun) -> bool:
+def _may_have_reached_executor(executor: Executor, task: TaskRun) -> bool:
     """Whether a run's order may have come to its executor before that fell silent."""
     if task.state is StartState.WRITING:
         return False
--- a/src/galenastall/coordination/cell/doubts.py
+++ b/src/galenastall/coordination/cell/executor_health.py
@@ -7,19 +7,19 @@
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.mechanisms import Mechanism
-from galenastall.coordination.cell.standstill import LISTINGS_APART_S
+from galenastall.coordination.cell.stalls import PROGRESS_SKEW_S
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.jobs import Step, StepKey
 
-FAILURES_IN_A_ROW: Final = 3
+MAX_CONSECUTIVE_FAILURES: Final = 3
 """Failed runs in a row after which an executor is paused; sound ones fail one run in twenty."""
 FIRST_PAUSE_S: Final = 4.0
-LONGEST_PAUSE_S: Final = 30.0
+MAX_PAUSE_S: Final = 30.0
 """Pauses double from the first to the longest, so that an executor that stays bad is tried
 seldom, and one that recovers is back soon."""
-MOST_PAUSE_DOUBLINGS: Final = 10
+MAX_PAUSE_DOUBLINGS: Final = 10
 """Doublings that are worked out; they take the shortest pause beyond the longest."""
-WATCHED_S: Final = 0.6
+MIN_OBSERVED_S: Final = 0.6
 """A run is watched for this long before its pace counts; sound ones gain some 20% in it."""
 SLOW_SHARE: Final = 0.4
 """An executor whose runs gain less than this share of what others of their steps gain is slow;
@@ -31,7 +31,7 @@
 """Compared runs that are needed before an executor is judged by them."""
 
 
-class Doubts:
+class ExecutorHealth:
     """Pauses executors on evidence."""
 
     def __init__(self, *, state: CellState) -> None:
@@ -40,10 +40,10 @@
 
     def on_failure(self, executor: Executor, task: TaskRun) -> None:
         """Note that a run of a task failed there."""
-        if _is_task_to_blame(executor, task):
+        if _is_task_at_fault(executor, task):
             return
         executor.consecutive_failures += 1
-        if executor.consecutive_failures >= FAILURES_IN_A_ROW:
+        if executor.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
             failures = executor.consecutive_failures
             self._pause(executor, f"{failures} failed runs in a row")
 
@@ -57,7 +57,7 @@
 
         Starts that left together are refused together, and a longer pause stays as it is.
         """
-        if _is_task_to_blame(executor, task):
+        if _is_task_at_fault(executor, task):
             first_s = self._state.timings.refused_pause_s
             task.not_before = now + _doubled_s(first_s, len(task.avoided))
             return
@@ -78,24 +78,24 @@
         if executor is not None:
             executor.refusals = 0
 
-    def on_standstill(self, executor: Executor, step: StepKey) -> None:
+    def on_stall(self, executor: Executor, step: StepKey) -> None:
         """Note that a run of a step made no progress there.
 
         While other runs there go on, one step that stands still may do so by its nature; four tasks
         of one closed four sound executors. Two steps do not.
         """
-        executor.still_steps.add(step)
-        if len(executor.still_steps) > 1 or not self._goes_on(executor):
-            executor.still_steps.clear()
+        executor.stalled_steps.add(step)
+        if len(executor.stalled_steps) > 1 or not self._is_progressing(executor):
+            executor.stalled_steps.clear()
             self._pause(executor, "a run stands still")
 
-    def _goes_on(self, executor: Executor) -> bool:
+    def _is_progressing(self, executor: Executor) -> bool:
         """Whether a run there has made progress lately."""
         for key in executor.runs_by_task:
             found = self._state.find(key)
-            if found is None or not found[2].has_gained:
+            if found is None or not found[2].has_progressed:
                 continue
-            if self._state.now - found[2].percent_at < LISTINGS_APART_S:
+            if self._state.now - found[2].percent_at < PROGRESS_SKEW_S:
                 return True
         return False
 
@@ -118,7 +118,7 @@
                 found = self._state.find(key)
                 if found is None or not _is_compared(found[1].step):
                     continue
-                gain = _gain_a_second(found[2])
+                gain = _percent_per_second(found[2])
                 if gain is not None:
                     gains_by_step[key.step_key].append((executor_id, gain))
         shares: defaultdict[str, list[float]] = defaultdict(list)
@@ -143,7 +143,7 @@
         )
 
 
-def _is_task_to_blame(executor: Executor, task: TaskRun) -> bool:
+def _is_task_at_fault(executor: Executor, task: TaskRun) -> bool:
     """Whether other executors, too, have failed or refused a task: the fault may be its own.
 
     One task that fails or is refused wherever it goes closed all executors, one after the other.
@@ -153,7 +153,7 @@
 
 def _doubled_s(first_s: float, times: int) -> float:
     """Return a pause that has been doubled so many times, the longest one at most."""
-    return min(first_s * 2.0 ** min(times, MOST_PAUSE_DOUBLINGS), LONGEST_PAUSE_S)
+    return min(first_s * 2.0 ** min(times, MAX_PAUSE_DOUBLINGS), MAX_PAUSE_S)
 
 
 def _is_compared(step: Step) -> bool:
@@ -161,11 +161,11 @@
     return not (step.is_gang or step.is_long_running or step.is_filler)
 
 
-def _gain_a_second(task: TaskRun) -> float | None:
+def _percent_per_second(task: TaskRun) -> float | None:
     """Return the percent of its work that a run does in a second; None while it can't be told."""
     if task.state is not StartState.STARTED or task.first_seen_at is None:
         return None
-    watched_s = task.listed_at - task.first_seen_at
-    if watched_s < WATCHED_S:
+    observed_s = task.listed_at - task.first_seen_at
+    if observed_s < MIN_OBSERVED_S:
         return None
-    return (task.percent - task.first_percent) / watched_s
+    return (task.percent - task.first_percent) / observed_s
--- a/src/galenastall/coordination/cell/executor_table.py
+++ b/src/galenastall/coordination/cell/executor_table.py
@@ -48,7 +48,7 @@
         self.remove(executor_id)
         self._ended_ids.add(executor_id)
 
-    def is_over(self, executor_id: str) -> bool:
+    def has_ended(self, executor_id: str) -> bool:
         """Whether an incarnation is known to have ended."""
         return executor_id in self._ended_ids
 
@@ -64,7 +64,7 @@
         ids = self._ids_by_host.get(host, ()) if host else ()
         return (self.by_id[executor_id] for executor_id in ids)
 
-    def beside(self, executor: Executor) -> list[Executor]:
+    def sharing_name_or_host(self, executor: Executor) -> list[Executor]:
         """Return the other incarnations of its name or on its host, in the order of their ids."""
         ids = {other.executor_id for other in self.on_host(executor.info.host)}
         ids |= self._ids_by_name.get(executor.name, set())
--- a/src/galenastall/coordination/cell/executors.py
+++ b/src/galenastall/coordination/cell/executors.py
@@ -18,7 +18,7 @@
     """It is given back to the pool that it came from."""
 
 
-class Closed(StrEnum):
+class ClosedReason(StrEnum):
     """Why an executor takes no new work; the first that holds, in this order."""
 
     RESTARTED = "restarted"
@@ -27,11 +27,11 @@
     UNUSABLE = "unusable"
     """Its entry in the list can't be read."""
     CORDONED = "cordoned"
-    STRANGERS = "strangers"
+    UNKNOWN_RUNS = "strangers"
     """Runs are there that no live job accounts for."""
     PAUSED = "paused"
     DELISTED = "delisted"
-    DOUBTED = "doubted"
+    UNANSWERED_START = "doubted"
     """A start got no answer since its last listing."""
     NOT_ANSWERED = "not_answered"
     """It has given no listing lately, or none yet."""
@@ -70,7 +70,7 @@
         """What all incarnations of it are called."""
         self.clock = clock
         self.runs_by_task: dict[TaskKey, int] = {}
-        self.strangers: frozenset[tuple[TaskKey, int]] = frozenset()
+        self.unknown_runs: frozenset[tuple[TaskKey, int]] = frozenset()
         """Runs listed there that no live job accounts for; they are stopped first."""
         self.cordons: set[Cordon] = set()
         """Why its host is being emptied; while there is any reason it gets nothing new."""
@@ -84,27 +84,27 @@
         """Sequence number at which that listing came; 0 before the first."""
         self.lost_at: float | None = None
         """Leader's time at which it stopped answering; None while it answers."""
-        self.doubted_at = float("-inf")
+        self.start_unanswered_at = float("-inf")
         """Leader's time at which a start got no answer, here or next to it; it gets nothing new
         before it has answered since. Of the starts sent into a cut, each unanswered one waits for
         the cut's end or for its lease."""
         self.paused_until = 0.0
-        self.noted = 0
+        self.applied_position = 0
         """Position in its list of ends up to which ends were applied."""
-        self.durable = 0
+        self.durable_position = 0
         """Position up to which applied ends are durable, so that it may forget them."""
         self.consecutive_failures = 0
         self.pauses = 0
         """Pauses since the last run that was done here."""
-        self.still_steps: set[StepKey] = set()
+        self.stalled_steps: set[StepKey] = set()
         """Steps of which a run stood still there since its last pause for that."""
         self.refusals = 0
         """Starts that it refused since it last took one."""
         self._leaves_at: float | None = None
-        self.filler_percent = 100
+        self.filler_rate_percent = 100
         """Pace of the fillers here."""
-        self.paced_at = float("-inf")
-        self.wants_look = False
+        self.filler_rate_set_at = float("-inf")
+        self.needs_listing = False
         """Whether a listing is needed now, without waiting for an end."""
         self.polled_until = float("-inf")
         """Until when it is polled without a pause though it runs nothing: a step waits for it."""
@@ -117,12 +117,12 @@
         """Take what the list says now; the ledger follows a changed capacity."""
         old, new = self.info.capacity, info.capacity
         if new != old:
-            self.give_back(new)
-            self.take(old)
+            self.release(new)
+            self.reserve(old)
         self.info = info
 
     @property
-    def was_to_leave(self) -> bool:
+    def has_planned_departure(self) -> bool:
         """Whether its end was planned, by the platform or by this cell."""
         return self.info.is_draining or bool(self.cordons)
 
@@ -132,21 +132,21 @@
             self._leaves_at = now + self.info.leaves_in_s
         return self._leaves_at
 
-    def room_for(self, need: Resources, most: int) -> int:
+    def count_fitting(self, need: Resources, most: int) -> int:
         """Return how many of `need` fit now, `most` at the highest."""
-        return 0 if self.is_over else need.count_in(self.free, most)
+        return 0 if self.is_overcommitted else need.count_in(self.free, most)
 
     @property
-    def is_over(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether what may be there is more than its capacity, which has shrunk."""
         return self.free.is_negative()
 
-    def take(self, need: Resources) -> None:
+    def reserve(self, need: Resources) -> None:
         """Reserve room."""
         self.free = self.free - need
         self.version += 1
 
-    def give_back(self, need: Resources) -> None:
+    def release(self, need: Resources) -> None:
         """Return reserved room."""
         self.free = self.free + need
         self.version += 1
@@ -156,35 +156,37 @@
         closed = self.why_closed(now=now, reach_s=reach_s, delisted_grace_s=delisted_grace_s)
         return closed is None
 
-    def why_closed(self, *, now: float, reach_s: float, delisted_grace_s: float) -> Closed | None:
+    def why_closed(
+        self, *, now: float, reach_s: float, delisted_grace_s: float
+    ) -> ClosedReason | None:
         """Return why no new work may be placed here now; None if it may."""
         info = self.info
         if self.has_restarted:
-            return Closed.RESTARTED
+            return ClosedReason.RESTARTED
         if info.is_draining:
-            return Closed.DRAINING
+            return ClosedReason.DRAINING
         if not info.is_usable:
-            return Closed.UNUSABLE
+            return ClosedReason.UNUSABLE
         if self.cordons:
-            return Closed.CORDONED
-        if self.strangers:
-            return Closed.STRANGERS
+            return ClosedReason.CORDONED
+        if self.unknown_runs:
+            return ClosedReason.UNKNOWN_RUNS
         if now < self.paused_until:
-            return Closed.PAUSED
+            return ClosedReason.PAUSED
         if not self.is_listed and now - self.delisted_at > delisted_grace_s:
-            return Closed.DELISTED
-        if self.is_doubted:
-            return Closed.DOUBTED
-        return None if self.has_answered(now=now, reach_s=reach_s) else Closed.NOT_ANSWERED
+            return ClosedReason.DELISTED
+        if self.has_unacked_start:
+            return ClosedReason.UNANSWERED_START
+        return None if self.has_answered(now=now, reach_s=reach_s) else ClosedReason.NOT_ANSWERED
 
     @property
-    def is_doubted(self) -> bool:
+    def has_unacked_start(self) -> bool:
         """Whether a start got no answer since it last gave a listing."""
-        return self.answered_at is not None and self.answered_at <= self.doubted_at
+        return self.answered_at is not None and self.answered_at <= self.start_unanswered_at
 
     def needs_polling(self, now: float) -> bool:
         """Whether it has to be polled without a pause."""
-        return bool(self.runs_by_task) or self.is_doubted or now < self.polled_until
+        return bool(self.runs_by_task) or self.has_unacked_start or now < self.polled_until
 
     def has_answered(self, *, now: float, reach_s: float) -> bool:
         """Whether it has given a listing within `reach_s`."""
--- a/src/galenastall/coordination/cell/fleet.py
+++ b/src/galenastall/coordination/cell/fleet.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.crashes import NO_BLAME, CrashJudge
+from galenastall.coordination.cell.crashes import NO_ATTRIBUTION, CrashAttributor
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.incarnations import Incarnations
 from galenastall.coordination.cell.job_runs import JobRun
@@ -25,7 +25,7 @@
         *,
         state: CellState,
         ends: RunEnds,
-        crashes: CrashJudge,
+        crashes: CrashAttributor,
         incarnations: Incarnations,
     ) -> None:
         """Work on these tables; `incarnations` takes in who is listed."""
@@ -33,7 +33,7 @@
         self._ends = ends
         self._crashes = crashes
         self._incarnations = incarnations
-        self._unnamed: set[str] = set()
+        self._unknown_service_ids: set[str] = set()
         """Executors that were told of once as being of no service that the configuration names."""
 
     def adopt(self, run: JobRun) -> None:
@@ -47,7 +47,7 @@
             if executor is None:
                 executor = self._incarnations.add(info, now=self._state.fenced_at)
                 executor.is_listed = False
-            executor.take(step.step.need)
+            executor.reserve(step.step.need)
             executor.runs_by_task[task.key] = task.run
             self._state.count_run(task, step)
 
@@ -55,25 +55,25 @@
         """Take the list as it is now; which of two incarnations is over, only answers tell."""
         listed_by_id = {info.executor_id: info for info in infos if self._is_of_service(info)}
         for info in listed_by_id.values():
-            if not self._incarnations.is_over(info.executor_id):
-                self._see(info, now=now)
+            if not self._incarnations.has_ended(info.executor_id):
+                self._on_listed(info, now=now)
         for executor in list(self._state.executors_by_id.values()):
             if executor.executor_id not in listed_by_id:
-                self._miss(executor, now)
+                self._on_delisted(executor, now)
 
     def _is_of_service(self, info: ExecutorInfo) -> bool:
         """Whether the configuration names the executor's service; others are not even called."""
         services = self._state.named_services
         if services is None or info.service in services:
-            self._unnamed.discard(info.executor_id)
+            self._unknown_service_ids.discard(info.executor_id)
             return True
-        if info.executor_id not in self._unnamed:
-            self._unnamed.add(info.executor_id)
+        if info.executor_id not in self._unknown_service_ids:
+            self._unknown_service_ids.add(info.executor_id)
             cause = f"no configuration names its service {info.service[:40]!r}"
             self._state.note("executor.unnamed_service", info.executor_id, cause=cause)
         return False
 
-    def _see(self, info: ExecutorInfo, *, now: float) -> None:
+    def _on_listed(self, info: ExecutorInfo, *, now: float) -> None:
         executor = self._state.executors_by_id.get(info.executor_id)
         if executor is None:
             executor = self._incarnations.add(info, now=now)
@@ -83,7 +83,7 @@
         was_draining = executor.info.is_draining
         self._state.executors.set_info(executor, info)
         executor.is_listed = True
-        if executor.is_over:
+        if executor.is_overcommitted:
             self._stop_unanswered(executor)
         if info.is_draining and not was_draining:
             cause = "the platform's list says so"
@@ -94,7 +94,7 @@
         for key in executor.runs_by_task:
             found = self._state.find(key)
             if found is not None and found[2].state is StartState.UNSURE:
-                self._ends.stop_for_room(found[2])
+                self._ends.stop_for_capacity(found[2])
 
     def stop_unanswered_over_limits(self) -> None:
         """Stop the runs whose starts would be sent again, of workspaces over their limits."""
@@ -104,9 +104,9 @@
                 if found is None or found[2].state is not StartState.UNSURE:
                     continue
                 if self._state.workspaces.is_over(found[0].job.workspace):
-                    self._ends.stop_for_room(found[2])
+                    self._ends.stop_for_capacity(found[2])
 
-    def _miss(self, executor: Executor, now: float) -> None:
+    def _on_delisted(self, executor: Executor, now: float) -> None:
         if executor.is_listed:
             executor.is_listed = False
             executor.delisted_at = now
@@ -131,10 +131,10 @@
                 cause="its leases ended before it answered again",
                 fields={"runs": str(len(executor.runs_by_task))},
             )
-            blames = self._crashes.on_lapsed(executor)
+            attributions = self._crashes.on_lapsed(executor)
             for key, run in list(executor.runs_by_task.items()):
-                blame = blames.get(key, NO_BLAME)
-                self._ends.apply(key, run, RunEnd.LAPSED, wall=wall, blame=blame)
+                attribution = attributions.get(key, NO_ATTRIBUTION)
+                self._ends.apply(key, run, RunEnd.LAPSED, wall=wall, attribution=attribution)
 
 
 def _unlisted(executor_id: str) -> ExecutorInfo:
--- a/src/galenastall/coordination/cell/incarnations.py
+++ b/src/galenastall/coordination/cell/incarnations.py
@@ -7,10 +7,10 @@
 from dataclasses import replace
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.crashes import NO_BLAME, CrashJudge
+from galenastall.coordination.cell.crashes import NO_ATTRIBUTION, CrashAttributor
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.lease_clock import LeaseClock, longest_lease_s
-from galenastall.coordination.cell.listings import ENDS_IN_A_LISTING, Listing
+from galenastall.coordination.cell.listings import MAX_LISTED_ENDS, Listing
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.task_runs import StartState
 from galenastall.state.cell.jobs import TaskKey
@@ -20,15 +20,15 @@
 class Incarnations:
     """Adds incarnations to the table, and ends those that are over."""
 
-    def __init__(self, *, state: CellState, ends: RunEnds, crashes: CrashJudge) -> None:
+    def __init__(self, *, state: CellState, ends: RunEnds, crashes: CrashAttributor) -> None:
         """Work on these tables; `crashes` tells what an end means for tasks that were there."""
         self._state = state
         self._ends = ends
         self._crashes = crashes
 
-    def is_over(self, executor_id: str) -> bool:
+    def has_ended(self, executor_id: str) -> bool:
         """Whether an incarnation is known to have ended."""
-        return self._state.executors.is_over(executor_id)
+        return self._state.executors.has_ended(executor_id)
 
     def add(self, info: ExecutorInfo, *, now: float) -> Executor:
         """Take an incarnation into the table; nothing is placed before its first listing."""
@@ -51,10 +51,10 @@
             return
         if not earlier.has_restarted:
             earlier.has_restarted = True
-            earlier.clock.doubt(self._state.now)
+            earlier.clock.assume_lease_granted(self._state.now)
             fields = {"incarnation": later_id, "runs": str(len(earlier.runs_by_task))}
             self._state.note("executor.restarted", executor_id, fields=fields)
-        if not self.is_over(later_id) and later_id not in self._state.executors_by_id:
+        if not self.has_ended(later_id) and later_id not in self._state.executors_by_id:
             # Its entry tells its capacity and labels, which may differ.
             info = replace(earlier.info, executor_id=later_id, is_usable=False)
             self.add(info, now=self._state.now)
@@ -68,34 +68,34 @@
         the later one. The list alone does not tell: the entry of one that was over had been held up
         for 4 s, and taken for a new one it ended the runs of the one that was there.
         """
-        for other in self._state.executors.beside(executor):
+        for other in self._state.executors.sharing_name_or_host(executor):
             is_same = other.name == executor.name
             is_known_here = is_same or other.answered_seq > 0 or bool(other.runs_by_task)
             if is_known_here and asked_seq > other.answered_seq:
                 if is_same:
-                    self._hand_on(other, executor, listing)
+                    self._transfer_runs(other, executor, listing)
                 cause = f"a later incarnation answers on its host as {executor.executor_id}"
                 clock_ms = str(listing.clock_ms)
                 self.end(other.executor_id, cause=cause, wall=wall, later_clock_ms=clock_ms)
 
-    def _hand_on(self, earlier: Executor, later: Executor, listing: Listing) -> None:
+    def _transfer_runs(self, earlier: Executor, later: Executor, listing: Listing) -> None:
         """Count runs where an order to an earlier incarnation was carried out by a later one."""
-        later.clock.doubt(self._state.now)
+        later.clock.assume_lease_granted(self._state.now)
         listed = {(run.task, run.run) for run in listing.running}
         listed |= {(end.task, end.run) for end in listing.ended}
-        is_whole = len(listing.ended) < ENDS_IN_A_LISTING
+        is_complete = len(listing.ended) < MAX_LISTED_ENDS
         for key, run in list(earlier.runs_by_task.items()):
-            if (key, run) in listed or not is_whole:
-                self._move_run(key, earlier, later)
+            if (key, run) in listed or not is_complete:
+                self._transfer_run(key, earlier, later)
 
-    def _move_run(self, key: TaskKey, earlier: Executor, later: Executor) -> None:
+    def _transfer_run(self, key: TaskKey, earlier: Executor, later: Executor) -> None:
         found = self._state.find(key)
         if found is None:
             return
         _, step, task = found
         later.runs_by_task[key] = earlier.runs_by_task.pop(key)
-        earlier.give_back(step.step.need)
-        later.take(step.step.need)
+        earlier.release(step.step.need)
+        later.reserve(step.step.need)
         task.executor_id = later.executor_id
         task.state = StartState.INHERITED
         # A stop that the earlier incarnation has answered says nothing of this one.
@@ -119,18 +119,18 @@
             cause=cause,
             fields={
                 "runs": str(len(executor.runs_by_task)),
-                "silent_s": _silent_text(executor, now=self._state.now),
+                "silent_s": _unresponsive_text(executor, now=self._state.now),
                 "draining": str(executor.info.is_draining).lower(),
                 "later_clock_ms": later_clock_ms,
             },
         )
-        blames = self._crashes.on_crash(executor)
+        attributions = self._crashes.on_crash(executor)
         for key, run in list(executor.runs_by_task.items()):
-            blame = blames.get(key, NO_BLAME)
-            self._ends.apply(key, run, RunEnd.LOST, wall=wall, blame=blame)
+            attribution = attributions.get(key, NO_ATTRIBUTION)
+            self._ends.apply(key, run, RunEnd.LOST, wall=wall, attribution=attribution)
         self._state.executors.end(executor_id)
 
 
-def _silent_text(executor: Executor, *, now: float) -> str:
+def _unresponsive_text(executor: Executor, *, now: float) -> str:
     """Return for how many seconds an executor has not answered; empty if it never did."""
     return "" if executor.answered_at is None else f"{now - executor.answered_at:.2f}"
--- a/src/galenastall/coordination/cell/job_runs.py
+++ b/src/galenastall/coordination/cell/job_runs.py
@@ -11,7 +11,7 @@
 from galenastall.state.cell.phases import ENDED_PHASES, JobPhase, TaskPhase
 from galenastall.state.cell.rows import ProgressRow, TaskRow
 
-MOST_OPEN_TASKS: Final = 4_000
+MAX_OPEN_TASKS: Final = 4_000
 """Tasks of a timed job's occurrences that are open at once; later ones wait. The progress of all is
 one row, of up to 65 bytes a task, and stores take some 256 KiB."""
 
@@ -157,14 +157,14 @@
             due = self.next_due()
             if due is None or (self.job.recurrence is not None and due > wall):
                 return opened
-            if self.occurrences_by_number and not self._has_place_for_another():
+            if self.occurrences_by_number and not self._fits_another_occurrence():
                 return opened
             opened.append(self._open(due))
 
-    def _has_place_for_another(self) -> bool:
+    def _fits_another_occurrence(self) -> bool:
         """Whether the tasks of one more occurrence fit into the row beside those that are open."""
         tasks = sum(step.count for step in self.job.steps)
-        return (len(self.occurrences_by_number) + 1) * tasks <= MOST_OPEN_TASKS
+        return (len(self.occurrences_by_number) + 1) * tasks <= MAX_OPEN_TASKS
 
     def _open(self, due: float) -> Occurrence:
         number = self.occurrences_opened
@@ -225,7 +225,7 @@
         if self.has_ended:
             tasks: tuple[TaskRow, ...] = ()
         else:
-            tasks = tuple(_task_row(task) for task in self.tasks() if _is_worth_a_row(task))
+            tasks = tuple(_task_row(task) for task in self.tasks() if _needs_row(task))
         return ProgressRow(
             phase=self.phase,
             queue_name=self.queue.name,
@@ -268,7 +268,7 @@
     step.check_done()
 
 
-def _is_worth_a_row(task: TaskRun) -> bool:
+def _needs_row(task: TaskRun) -> bool:
     return task.run > 0 or task.phase is not TaskPhase.WAITING
 
 
--- a/src/galenastall/coordination/cell/lease_clock.py
+++ b/src/galenastall/coordination/cell/lease_clock.py
@@ -35,7 +35,7 @@
             self._clock_ms = clock_ms
             self._received_at = received_at
 
-    def doubt(self, at: float) -> None:
+    def assume_lease_granted(self, at: float) -> None:
         """Count no lease as lapsed that may have been granted at `at`, by whatever clock."""
         self._unknown_until = max(self._unknown_until, at + longest_lease_s(self._timings))
 
--- a/src/galenastall/coordination/cell/listings.py
+++ b/src/galenastall/coordination/cell/listings.py
@@ -5,14 +5,14 @@
 
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StopOrder
-from galenastall.coordination.cell.crashes import PROVEN_S
+from galenastall.coordination.cell.crashes import STARTUP_S
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.jobs import TaskKey
 from galenastall.state.cell.phases import RunEnd, TaskPhase
 
-ENDS_IN_A_LISTING: Final = 500
+MAX_LISTED_ENDS: Final = 500
 """Ends that one listing shows at most; a full one proves nothing about what it lacks."""
 
 
@@ -68,15 +68,15 @@
         running = {(run.task, run.run): run for run in listing.running}
         for end in listing.ended:
             self._apply_end(executor, end, wall)
-        self._see_running(executor, listing, now)
-        if len(listing.ended) < ENDS_IN_A_LISTING:
-            self._settle_missing(executor, running, asked_seq, wall)
-        self._stop_strangers(executor, running, now)
+        self._update_running(executor, listing, now)
+        if len(listing.ended) < MAX_LISTED_ENDS:
+            self._end_missing(executor, running, asked_seq, wall)
+        self._stop_unknown_runs(executor, running, now)
 
     def _apply_end(self, executor: Executor, end: ListedEnd, wall: float) -> None:
-        if end.position <= executor.noted:
+        if end.position <= executor.applied_position:
             return
-        executor.noted = end.position
+        executor.applied_position = end.position
         self._state.noted_executors.add(executor.executor_id)
         found = self._state.find(end.task)
         if found is None or found[2].executor_id != executor.executor_id:
@@ -84,7 +84,7 @@
         found[0].note_start()
         self._ends.apply(end.task, end.run, end.end, wall=wall, saved=end.saved)
 
-    def _see_running(self, executor: Executor, listing: Listing, now: float) -> None:
+    def _update_running(self, executor: Executor, listing: Listing, now: float) -> None:
         for run in listing.running:
             if executor.runs_by_task.get(run.task) != run.run:
                 continue
@@ -93,12 +93,12 @@
                 continue
             job, _, task = found
             job.note_start()
-            task.see(percent=run.percent, now=now, figure=run.figure)
-            if task.at_work_s >= PROVEN_S:
+            task.record_progress(percent=run.percent, now=now, figure=run.figure)
+            if task.at_work_s >= STARTUP_S:
                 task.is_suspect = False
             task.save(run.saved, now=now)
 
-    def _settle_missing(
+    def _end_missing(
         self,
         executor: Executor,
         running: dict[tuple[TaskKey, int], ListedRun],
@@ -112,31 +112,31 @@
             found = self._state.find(key)
             if found is None:
                 continue
-            if _is_settled(found[2], asked_seq):
+            if _proves_ended(found[2], asked_seq):
                 self._ends.apply(key, run, RunEnd.NEVER_STARTED, wall=wall)
 
-    def _stop_strangers(
+    def _stop_unknown_runs(
         self, executor: Executor, running: dict[tuple[TaskKey, int], ListedRun], now: float
     ) -> None:
-        strangers = frozenset(
+        unknown_runs = frozenset(
             (task, run) for task, run in running if executor.runs_by_task.get(task) != run
         )
-        for task, run in strangers - executor.strangers:
+        for task, run in unknown_runs - executor.unknown_runs:
             self._state.note(
                 "run.stranger",
                 task.job,
                 cause="no live job accounts for this run",
                 fields={"run": str(run), "executor": executor.executor_id},
             )
-        if strangers:
+        if unknown_runs:
             self._state.stops.extend(
                 StopOrder(task=task, run=run, executor_id=executor.executor_id)
-                for task, run in strangers
+                for task, run in unknown_runs
             )
-        executor.strangers = strangers
+        executor.unknown_runs = unknown_runs
 
 
-def _is_settled(task: TaskRun, asked_seq: int) -> bool:
+def _proves_ended(task: TaskRun, asked_seq: int) -> bool:
     """Whether a listing asked for at `asked_seq` that lacks the run proves that it has ended."""
     if task.phase is not TaskPhase.ASSIGNED:
         return False
@@ -145,4 +145,4 @@
     if task.state is StartState.INHERITED:
         # Orders of earlier leaders are fenced since the call that brought this listing.
         return True
-    return task.state is StartState.STARTED and 0 < task.known_seq < asked_seq
+    return task.state is StartState.STARTED and 0 < task.confirmed_seq < asked_seq
--- a/src/galenastall/coordination/cell/load_report.py
+++ b/src/galenastall/coordination/cell/load_report.py
@@ -4,12 +4,12 @@
 from collections.abc import Mapping
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.executors import Closed
+from galenastall.coordination.cell.executors import ClosedReason
 from galenastall.coordination.cell.room_plan import RoomPlan
 from galenastall.state.cell.phases import TaskPhase
 
 
-def closed_by_id(state: CellState) -> dict[str, Closed]:
+def closed_by_id(state: CellState) -> dict[str, ClosedReason]:
     """Return the executors that take no new work now, also unlisted ones, and why."""
     return {
         executor_id: closed
@@ -21,7 +21,7 @@
 def report_load(
     state: CellState,
     plan: RoomPlan,
-    closed: Mapping[str, Closed],
+    closed: Mapping[str, ClosedReason],
     *,
     advice_calls: int,
     not_looked_at: int,
--- a/src/galenastall/coordination/cell/orders.py
+++ b/src/galenastall/coordination/cell/orders.py
@@ -6,14 +6,14 @@
 from galenastall.coordination.cell.advice import AdviceBook
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.stop_rules import StopRule
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.phases import RunEnd
 
-DOUBT_EVERY_S: Final = 0.1
+PATH_CHECK_INTERVAL_S: Final = 0.1
 """Between two looks at a data centre for executors that have not answered since a start left.
 Starts that a cut swallows fail together, by the hundred in a large fleet."""
 
@@ -34,17 +34,17 @@
     """No answer: it may have been carried out, or may be later."""
 
 
-class OrderBook:
+class OrderOutcomes:
     """Applies answers to the tables."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, doubts: Doubts
+        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, health: ExecutorHealth
     ) -> None:
         """Work on these tables; `doubts` hears of starts that were taken or refused."""
         self._state = state
-        self._doubts = doubts
+        self._health = health
         self._ends = ends
-        self._doubted_at_by_data_centre: dict[str, float] = {}
+        self._path_checked_at_by_data_centre: dict[str, float] = {}
         self._advice = advice
 
     def on_start(
@@ -57,13 +57,13 @@
         task.tries += 1
         if outcome is StartOutcome.STARTED:
             task.state = StartState.STARTED
-            task.known_seq = self._state.next_seq()
+            task.confirmed_seq = self._state.next_seq()
             task.began_at = now if task.began_at is None else task.began_at
             self._state.jobs_by_id[order.task.job].note_start()
-            self._doubts.on_start_taken(order.executor_id)
+            self._health.on_start_taken(order.executor_id)
             return False
         if outcome is StartOutcome.UNKNOWN:
-            self._doubt_path(task.executor_id, now)
+            self._hold_unresponsive(task.executor_id, now)
             return self._on_unknown(task)
         if outcome is StartOutcome.ENDED:
             self._on_ended(task)
@@ -71,26 +71,29 @@
         self._on_refused(order, outcome, now=now, wall=wall)
         return False
 
-    def _doubt_path(self, executor_id: str, now: float) -> None:
+    def _hold_unresponsive(self, executor_id: str, now: float) -> None:
         """Place nothing on an executor, or beside it, that has not answered since a start left."""
-        silent = self._state.executors_by_id.get(executor_id)
-        if silent is None or Mechanism.PATH_DOUBTS in self._state.without:
+        unresponsive = self._state.executors_by_id.get(executor_id)
+        if unresponsive is None or Mechanism.PATH_DOUBTS in self._state.without:
             return
-        silent.doubted_at = now
-        self._state.want_look(silent)
-        data_centre = silent.info.data_centre
-        if now - self._doubted_at_by_data_centre.get(data_centre, float("-inf")) < DOUBT_EVERY_S:
+        unresponsive.start_unanswered_at = now
+        self._state.want_look(unresponsive)
+        data_centre = unresponsive.info.data_centre
+        if (
+            now - self._path_checked_at_by_data_centre.get(data_centre, float("-inf"))
+            < PATH_CHECK_INTERVAL_S
+        ):
             return
-        self._doubted_at_by_data_centre[data_centre] = now
+        self._path_checked_at_by_data_centre[data_centre] = now
         sent_at = now - self._state.timings.order_timeout_s
         for executor in self._state.executors_by_id.values():
-            is_beside = executor.info.data_centre == data_centre
+            is_same_data_centre = executor.info.data_centre == data_centre
             has_answered = executor.answered_at is not None and executor.answered_at >= sent_at
             is_in_use = bool(executor.runs_by_task) or executor.has_answered(
                 now=now, reach_s=self._state.timings.reach_s
             )
-            if is_beside and is_in_use and not has_answered:
-                executor.doubted_at = now
+            if is_same_data_centre and is_in_use and not has_answered:
+                executor.start_unanswered_at = now
                 self._state.want_look(executor)
 
     def _on_unknown(self, task: TaskRun) -> bool:
@@ -99,9 +102,9 @@
             return False
         executor = self._state.executors_by_id.get(task.executor_id)
         job = self._state.jobs_by_id[task.key.job].job
-        has_room = executor is None or not executor.is_over
-        if not has_room or self._state.workspaces.is_over(job.workspace):
-            self._ends.stop_for_room(task)
+        has_capacity = executor is None or not executor.is_overcommitted
+        if not has_capacity or self._state.workspaces.is_over(job.workspace):
+            self._ends.stop_for_capacity(task)
             return False
         if task.tries < self._state.timings.start_tries:
             return True
@@ -111,7 +114,7 @@
 
     def _on_ended(self, task: TaskRun) -> None:
         task.state = StartState.STARTED
-        task.known_seq = self._state.next_seq()
+        task.confirmed_seq = self._state.next_seq()
         executor = self._state.executors_by_id.get(task.executor_id)
         if executor is not None:
             self._state.want_look(executor)
@@ -127,9 +130,9 @@
             return
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None and task is not None and outcome is StartOutcome.UNHEALTHY:
-            self._doubts.on_refusal(executor, task, now=now)
+            self._health.on_refusal(executor, task, now=now)
         elif executor is not None and outcome is StartOutcome.NOT_STARTED:
-            self._doubts.on_start_late(executor, now=now)
+            self._health.on_start_late(executor, now=now)
         if outcome is StartOutcome.NO_TICKET:
             self._advice.drop_ticket(order.task.step_key, order.executor_id)
         self._state.note(
--- a/src/galenastall/coordination/cell/pacing.py
+++ b/src/galenastall/coordination/cell/pacing.py
@@ -33,7 +33,7 @@
         """Judge an executor by the tails that its listing has just shown."""
         serving, fillers = self._split(executor)
         if not fillers:
-            executor.filler_percent = FULL_PERCENT
+            executor.filler_rate_percent = FULL_PERCENT
             return
         shares = [
             task.figure / step.step.tail_target_ms for step, task in serving if task.figure > 0
@@ -46,7 +46,7 @@
         """Note that an executor has confirmed a pace."""
         task = self._state.find_ordered(order)
         if task is not None:
-            task.pace_percent = order.percent
+            task.rate_percent = order.percent
 
     def _split(self, executor: Executor) -> tuple[list[tuple[StepRun, TaskRun]], list[TaskRun]]:
         serving: list[tuple[StepRun, TaskRun]] = []
@@ -63,37 +63,40 @@
 
     def _change(self, executor: Executor, worst_share: float) -> None:
         now = self._state.now
-        if now - executor.paced_at < CHANGE_EVERY_S:
+        if now - executor.filler_rate_set_at < CHANGE_EVERY_S:
             return
-        percent = executor.filler_percent
+        percent = executor.filler_rate_percent
         if worst_share > TOO_CLOSE:
             percent = percent // 2 if percent // 2 >= LOWEST_PERCENT else 0
         elif worst_share < WELL_BELOW:
             percent = min(percent + STEP_UP_PERCENT, FULL_PERCENT)
-        if percent == executor.filler_percent:
+        if percent == executor.filler_rate_percent:
             return
         self._state.note(
             "executor.paced",
             executor.executor_id,
             cause=f"the worst tail is at {worst_share:.2f} of its target",
-            fields={"percent": str(percent), "before": str(executor.filler_percent)},
+            fields={"percent": str(percent), "before": str(executor.filler_rate_percent)},
         )
-        executor.filler_percent = percent
-        executor.paced_at = now
+        executor.filler_rate_percent = percent
+        executor.filler_rate_set_at = now
 
     def _order(self, executor: Executor, task: TaskRun) -> None:
         now = self._state.now
-        if task.pace_percent == executor.filler_percent or task.is_stopping:
+        if task.rate_percent == executor.filler_rate_percent or task.is_stopping:
             return
-        if now - task.pace_sent_at < REPEAT_S and task.pace_sent_percent == executor.filler_percent:
+        if (
+            now - task.rate_sent_at < REPEAT_S
+            and task.sent_rate_percent == executor.filler_rate_percent
+        ):
             return
-        task.pace_sent_at = now
-        task.pace_sent_percent = executor.filler_percent
+        task.rate_sent_at = now
+        task.sent_rate_percent = executor.filler_rate_percent
         self._state.paces.append(
             PaceOrder(
                 task=task.key,
                 run=task.run,
                 executor_id=executor.executor_id,
-                percent=executor.filler_percent,
+                percent=executor.filler_rate_percent,
             )
         )
--- a/src/galenastall/coordination/cell/placer.py
+++ b/src/galenastall/coordination/cell/placer.py
@@ -61,7 +61,7 @@
         open_executors = self._open_executors(now) if self._state.waiting_steps else []
         self._probation.begin(open_executors)
         self.plan.begin(now=now, fleet_size=len(open_executors))
-        self.plan.close(self._probation.kept_ids)
+        self.plan.close(self._probation.reserved_ids)
         self.sight.begin(is_any_open=bool(open_executors))
         if not open_executors:
             return
@@ -246,7 +246,7 @@
             if executor is not None:
                 self._assign(waiting, task, executor, task.run + 1)
                 placed += 1
-        self.plan.close(self._probation.kept_ids)
+        self.plan.close(self._probation.reserved_ids)
         if placed:
             self._state.refresh_waiting(waiting.job)
         return len(suspects) - placed
--- a/src/galenastall/coordination/cell/poll_pace.py
+++ b/src/galenastall/coordination/cell/poll_limiter.py
@@ -9,24 +9,24 @@
 
 from typing import Final
 
-IDLE_POLLS_A_S: Final = 300.0
+IDLE_POLLS_PER_S: Final = 300.0
 """Polls a second of executors that run nothing, at some 0.8 ms of the leader's thread each."""
 BURST: Final = 400
 """Polls that may leave at once after a pause: all of a fleet that needs no turns, at the start of a
 term."""
 
 
-class PollPace:
+class IdlePollLimiter:
     """Gives each poll a time at which it may leave, in the order in which they ask."""
 
-    def __init__(self, *, polls_a_s: float = IDLE_POLLS_A_S, burst: int = BURST) -> None:
+    def __init__(self, *, polls_per_s: float = IDLE_POLLS_PER_S, burst: int = BURST) -> None:
         """Allow so many polls a second, and `burst` of them at once after a pause."""
-        self._interval_s = 1.0 / polls_a_s
-        self._burst_s = burst / polls_a_s
+        self._interval_s = 1.0 / polls_per_s
+        self._burst_s = burst / polls_per_s
         self._next_at = float("-inf")
 
-    def next_turn(self, now: float) -> float:
+    def next_slot(self, now: float) -> float:
         """Return when the poll that asks now may leave; `now` or earlier means at once."""
-        turn_at = max(self._next_at, now - self._burst_s + self._interval_s)
-        self._next_at = turn_at + self._interval_s
-        return turn_at
+        slot_at = max(self._next_at, now - self._burst_s + self._interval_s)
+        self._next_at = slot_at + self._interval_s
+        return slot_at
--- a/src/galenastall/coordination/cell/probation.py
+++ b/src/galenastall/coordination/cell/probation.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.crashes import PROVEN_S, SUSPECT_PROVEN_S
+from galenastall.coordination.cell.crashes import STARTUP_S, SUSPECT_STARTUP_S
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.fitting import may_add
 from galenastall.coordination.cell.job_runs import StepRun
@@ -22,14 +22,14 @@
 
 PROBATION_SHARE: Final = 0.125
 """Share of the open executors that tasks on probation may have at once, one at least."""
-WAIT_S: Final = 3.0
+RESERVATION_TIMEOUT_S: Final = 3.0
 """How long an executor is kept for a task until its room is free and what runs there is proven."""
-LOOK_AGAIN_S: Final = SUSPECT_PROVEN_S
+RECHECK_S: Final = SUSPECT_STARTUP_S
 """Between two looks at an executor where a suspect begins; a long poll takes a second."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Place:
+class _Reservation:
     """An executor that is kept for a task."""
 
     executor_id: str
@@ -42,28 +42,34 @@
     def __init__(self, *, state: CellState) -> None:
         """Work on these tables."""
         self._state = state
-        self._places_by_task: dict[TaskKey, _Place] = {}
-        self._most = 1
+        self._reservations_by_task: dict[TaskKey, _Reservation] = {}
+        self._max_reservations = 1
 
     @property
-    def kept_ids(self) -> frozenset[str]:
+    def reserved_ids(self) -> frozenset[str]:
         """Executors on which nothing else may begin."""
-        return frozenset(place.executor_id for place in self._places_by_task.values())
+        return frozenset(
+            reservation.executor_id for reservation in self._reservations_by_task.values()
+        )
 
     def begin(self, open_executors: Iterable[Executor]) -> None:
         """Begin a decision: give up places that are of no more use, and have others looked at."""
         open_ids = {executor.executor_id for executor in open_executors}
-        self._most = max(1, int(len(open_ids) * PROBATION_SHARE))
-        for key, place in list(self._places_by_task.items()):
-            executor = self._state.executors_by_id.get(place.executor_id)
+        self._max_reservations = max(1, int(len(open_ids) * PROBATION_SHARE))
+        for key, reservation in list(self._reservations_by_task.items()):
+            executor = self._state.executors_by_id.get(reservation.executor_id)
             task = self._suspect(key)
-            if executor is None or task is None or not self._is_of_use(place, task, open_ids):
-                del self._places_by_task[key]
-            elif self._is_look_due(executor):
+            if (
+                executor is None
+                or task is None
+                or not self._is_still_needed(reservation, task, open_ids)
+            ):
+                del self._reservations_by_task[key]
+            elif self._is_listing_due(executor):
                 self._state.want_look(executor)
-        self._look_at_gangs()
+        self._poll_suspect_members()
 
-    def _look_at_gangs(self) -> None:
+    def _poll_suspect_members(self) -> None:
         """Ask often what becomes of suspect members, which begin with their gang and not apart."""
         for key in sorted(self._state.suspect_members):
             task = self._suspect(key)
@@ -71,19 +77,19 @@
                 self._state.suspect_members.discard(key)
                 continue
             executor = self._state.executors_by_id.get(task.executor_id)
-            if executor is not None and self._is_look_due(executor):
+            if executor is not None and self._is_listing_due(executor):
                 self._state.want_look(executor)
 
     def choose(
         self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]
     ) -> Executor | None:
         """Return the executor on which a suspect task may begin now; None while there is none."""
-        place = self._places_by_task.get(task.key)
-        if place is None or place.executor_id not in usable:
-            place = self._keep(step, task, usable)
-        if place is None:
+        reservation = self._reservations_by_task.get(task.key)
+        if reservation is None or reservation.executor_id not in usable:
+            reservation = self._reserve(step, task, usable)
+        if reservation is None:
             return None
-        executor = usable[place.executor_id]
+        executor = usable[reservation.executor_id]
         return executor if self._is_ready(executor, step) else None
 
     def _suspect(self, key: TaskKey) -> TaskRun | None:
@@ -93,41 +99,48 @@
             return None
         return None if found[2].phase is TaskPhase.DONE else found[2]
 
-    def _is_of_use(self, place: _Place, task: TaskRun, open_ids: set[str]) -> bool:
+    def _is_still_needed(
+        self, reservation: _Reservation, task: TaskRun, open_ids: set[str]
+    ) -> bool:
         if task.phase is TaskPhase.ASSIGNED:
-            return task.executor_id == place.executor_id
-        return place.executor_id in open_ids and self._state.now - place.since <= WAIT_S
+            return task.executor_id == reservation.executor_id
+        return (
+            reservation.executor_id in open_ids
+            and self._state.now - reservation.since <= RESERVATION_TIMEOUT_S
+        )
 
-    def _is_look_due(self, executor: Executor) -> bool:
-        if executor.answered_at is None or self._state.now - executor.answered_at < LOOK_AGAIN_S:
+    def _is_listing_due(self, executor: Executor) -> bool:
+        if executor.answered_at is None or self._state.now - executor.answered_at < RECHECK_S:
             return False
-        return any(self._is_to_be_proven(key) for key in executor.runs_by_task)
+        return any(self._is_startup_check_due(key) for key in executor.runs_by_task)
 
-    def _is_to_be_proven(self, key: TaskKey) -> bool:
+    def _is_startup_check_due(self, key: TaskKey) -> bool:
         """Whether a run there has been at work for long enough, and no listing has shown it yet."""
         found = self._state.find(key)
-        if found is None or found[2].at_work_s >= PROVEN_S or found[2].began_at is None:
+        if found is None or found[2].at_work_s >= STARTUP_S or found[2].began_at is None:
             return False
         begun_for_s = self._state.now - found[2].began_at
-        return begun_for_s >= (SUSPECT_PROVEN_S if found[2].is_suspect else PROVEN_S)
+        return begun_for_s >= (SUSPECT_STARTUP_S if found[2].is_suspect else STARTUP_S)
 
-    def _keep(self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]) -> _Place | None:
-        self._places_by_task.pop(task.key, None)
-        if len(self._places_by_task) >= self._most:
+    def _reserve(
+        self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]
+    ) -> _Reservation | None:
+        self._reservations_by_task.pop(task.key, None)
+        if len(self._reservations_by_task) >= self._max_reservations:
             return None
-        kept_ids = self.kept_ids
+        reserved_ids = self.reserved_ids
         need = step.step.need
         candidates = [
             executor
             for executor in usable.values()
-            if executor.executor_id not in kept_ids and need.fits_in(executor.info.capacity)
+            if executor.executor_id not in reserved_ids and need.fits_in(executor.info.capacity)
         ]
         chosen = min(candidates, key=lambda e: self._cost(e, step, task), default=None)
         if chosen is None:
             return None
-        place = _Place(executor_id=chosen.executor_id, since=self._state.now)
-        self._places_by_task[task.key] = place
-        return place
+        reservation = _Reservation(executor_id=chosen.executor_id, since=self._state.now)
+        self._reservations_by_task[task.key] = reservation
+        return reservation
 
     def _cost(
         self, executor: Executor, step: StepRun, task: TaskRun
@@ -148,13 +161,13 @@
 
     def _is_ready(self, executor: Executor, step: StepRun) -> bool:
         """Whether a task may begin there now, with nothing beside it that has just begun."""
-        if not executor.room_for(step.step.need, 1) or not may_add(executor, step):
+        if not executor.count_fitting(step.step.need, 1) or not may_add(executor, step):
             return False
-        return all(self._is_proven(key) for key in executor.runs_by_task)
+        return all(self._is_past_startup(key) for key in executor.runs_by_task)
 
-    def _is_proven(self, key: TaskKey) -> bool:
+    def _is_past_startup(self, key: TaskKey) -> bool:
         found = self._state.find(key)
         if found is None:
             return False
         is_started = found[2].state is StartState.STARTED
-        return is_started and found[2].at_work_s >= PROVEN_S
+        return is_started and found[2].at_work_s >= STARTUP_S
--- a/src/galenastall/coordination/cell/room_plan.py
+++ b/src/galenastall/coordination/cell/room_plan.py
@@ -114,7 +114,7 @@
         """Return how many tasks of a step may start on an executor now, `most` at the highest."""
         if executor.executor_id in self._closed_ids:
             return 0
-        fitting = executor.room_for(step.need, most)
+        fitting = executor.count_fitting(step.need, most)
         kept = self._kept_by_id.get(executor.executor_id)
         if kept is None or fitting == 0:
             return fitting
--- a/src/galenastall/coordination/cell/run_ends.py
+++ b/src/galenastall/coordination/cell/run_ends.py
@@ -1,8 +1,8 @@
 """What the end of a run means for its task, its step and its job."""
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.crashes import MOST_WEIGHT, NO_BLAME, Blame
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.crashes import MAX_WEIGHT, NO_ATTRIBUTION, Attribution
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
 from galenastall.coordination.cell.stop_rules import StopRule
@@ -10,7 +10,7 @@
 from galenastall.state.cell.jobs import TaskKey
 from galenastall.state.cell.phases import JobPhase, RunEnd, TaskPhase
 
-_NO_ATTEMPT = frozenset(
+_NOT_AN_ATTEMPT = frozenset(
     {
         RunEnd.STOPPED,
         RunEnd.LAPSED,
@@ -20,18 +20,18 @@
         RunEnd.LOST,
     }
 )
-"""Ends that say nothing about the task itself; `Blame` may, where an executor has crashed."""
+"""Ends that say nothing about the task itself; `Attribution` may, where an executor has crashed."""
 
-_RAN_ITS_COURSE = frozenset({RunEnd.DONE, RunEnd.FAILED})
+_RAN_TO_END = frozenset({RunEnd.DONE, RunEnd.FAILED})
 
 
 class RunEnds:
     """Applies ends, and asks for what follows from them."""
 
-    def __init__(self, *, state: CellState, doubts: Doubts) -> None:
+    def __init__(self, *, state: CellState, health: ExecutorHealth) -> None:
         """Work on these tables; `doubts` hears how runs end."""
         self._state = state
-        self._doubts = doubts
+        self._health = health
 
     def apply(
         self,
@@ -41,7 +41,7 @@
         *,
         wall: float,
         saved: str = "",
-        blame: Blame = NO_BLAME,
+        attribution: Attribution = NO_ATTRIBUTION,
     ) -> bool:
         """Apply the end of a run; False if the task has no such run now.
 
@@ -55,18 +55,18 @@
             return False
         executor = self._state.free(task, step)
         task.save(saved, now=self._state.now)
-        _take_blame(task, end, blame)
+        _record_attribution(task, end, attribution)
         if task.is_suspect and step.step.is_gang:
             self._state.suspect_members.add(key)
-        self._tell(task, end)
+        self._log_end(task, end)
         task.release()
         if executor is not None:
-            self._judge(executor, task, end)
-        self._settle(job, step, task, end, wall=wall)
+            self._update_health(executor, task, end)
+        self._advance_job(job, step, task, end, wall=wall)
         self._state.refresh_waiting(job)
         return True
 
-    def _tell(self, task: TaskRun, end: RunEnd) -> None:
+    def _log_end(self, task: TaskRun, end: RunEnd) -> None:
         """Note an end, with what is known of the run: which one began just before tells causes."""
         fields = {
             "run": str(task.run),
@@ -76,17 +76,19 @@
         }
         if task.crashes:
             fields["crashes"] = str(task.crashes)
-            fields["blame"] = f"{task.blame} of {MOST_WEIGHT}"
-        self._state.note("run.ended", task.key.job, _name(task.key), cause=end.value, fields=fields)
+            fields["blame"] = f"{task.blame} of {MAX_WEIGHT}"
+        self._state.note(
+            "run.ended", task.key.job, _task_name(task.key), cause=end.value, fields=fields
+        )
 
-    def _judge(self, executor: Executor, task: TaskRun, end: RunEnd) -> None:
+    def _update_health(self, executor: Executor, task: TaskRun, end: RunEnd) -> None:
         if end is RunEnd.FAILED:
-            self._doubts.on_failure(executor, task)
+            self._health.on_failure(executor, task)
             task.avoid(executor.executor_id)
         elif end is RunEnd.DONE:
-            self._doubts.on_success(executor)
+            self._health.on_success(executor)
 
-    def _settle(
+    def _advance_job(
         self, job: JobRun, step: StepRun, task: TaskRun, end: RunEnd, *, wall: float
     ) -> None:
         if job.has_ended:
@@ -100,12 +102,12 @@
             return
         if step.step.is_gang:
             self.stop_members(step, cause=f"member {task.key.number} ended as {end.value}")
-        if task.blame >= MOST_WEIGHT:
+        if task.blame >= MAX_WEIGHT:
             # Nothing else would end it: a crash is no attempt, and takes all that runs beside it.
-            cause = f"{task.crashes} executors crashed under task {_name(task.key)}"
+            cause = f"{task.crashes} executors crashed under task {_task_name(task.key)}"
             self.end_job(job, JobPhase.FAILED, wall=wall, cause=cause)
             return
-        if end in _NO_ATTEMPT or step.step.is_long_running or end is RunEnd.DONE:
+        if end in _NOT_AN_ATTEMPT or step.step.is_long_running or end is RunEnd.DONE:
             return
         task.failures += 1
         self._check_attempts(job, step, task, wall=wall)
@@ -150,17 +152,17 @@
             if member.phase is TaskPhase.ASSIGNED:
                 self.stop(member, rule=StopRule.MEMBER_ENDED, cause=cause)
 
-    def give_up(self, task: TaskRun, *, cause: str) -> None:
+    def stop_stalled(self, task: TaskRun, *, cause: str) -> None:
         """Stop a run that stands still; the next is tried elsewhere and with more patience."""
         if task.is_stopping:
             return
         task.is_given_up = True
         task.avoid(task.executor_id)
-        self.stop(task, rule=StopRule.STANDS_STILL, cause=cause)
+        self.stop(task, rule=StopRule.STALLED, cause=cause)
 
-    def stop_for_room(self, task: TaskRun) -> None:
+    def stop_for_capacity(self, task: TaskRun) -> None:
         """Stop a run whose start got no answer, where sending it again would be too much."""
-        self.stop(task, rule=StopRule.ROOM_SHRANK, cause="no answer, and no room or quota left")
+        self.stop(task, rule=StopRule.CAPACITY_SHRANK, cause="no answer, and no room or quota left")
 
     def stop(self, task: TaskRun, *, rule: StopRule, cause: str) -> None:
         """Have a task's run stopped; the next decision orders it, and again until it has ended."""
@@ -176,19 +178,19 @@
             "percent": str(task.percent),
             "stopped_so_far": str(self._state.count_stop(task, rule)),
         }
-        self._state.note("run.stop", task.key.job, _name(task.key), cause=cause, fields=fields)
+        self._state.note("run.stop", task.key.job, _task_name(task.key), cause=cause, fields=fields)
 
 
-def _take_blame(task: TaskRun, end: RunEnd, blame: Blame) -> None:
+def _record_attribution(task: TaskRun, end: RunEnd, attribution: Attribution) -> None:
     """Count a crash under a task; one whose run took its course is suspect no more."""
-    if blame.weight:
+    if attribution.weight:
         task.crashes += 1
-        task.blame += blame.weight
-    if blame.is_suspect:
+        task.blame += attribution.weight
+    if attribution.is_suspect:
         task.is_suspect = True
-    elif end in _RAN_ITS_COURSE:
+    elif end in _RAN_TO_END:
         task.is_suspect = False
 
 
-def _name(key: TaskKey) -> str:
+def _task_name(key: TaskKey) -> str:
     return f"{key.occurrence}.{key.step}.{key.number}"
--- a/src/galenastall/coordination/cell/run_moves.py
+++ b/src/galenastall/coordination/cell/run_moves.py
@@ -3,26 +3,26 @@
 from typing import Final
 
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.executors import Executor
 from galenastall.coordination.cell.job_runs import StepRun
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.run_ends import RunEnds
-from galenastall.coordination.cell.standstill import (
-    STILL_S,
-    is_executor_to_blame,
-    patience_s,
+from galenastall.coordination.cell.stalls import (
+    STALL_TIMEOUT_S,
+    is_executor_at_fault,
+    stall_timeout_s,
     waits_for_members,
 )
 from galenastall.coordination.cell.stop_rules import StopRule
-from galenastall.coordination.cell.task_runs import WHOLE_PERCENT, StartState, TaskRun
+from galenastall.coordination.cell.task_runs import DONE_PERCENT, StartState, TaskRun
 
 LEAVE_MARGIN_S: Final = 0.3
 """A run on a leaving executor is moved unless it ends this much before the executor leaves."""
-JUDGE_EVERY_S: Final = 0.2
+CHECK_INTERVAL_S: Final = 0.2
 """Between two looks at the progress of all runs: listings come once a second, and a look at 250
 runs takes a millisecond."""
-WORTH_MOVING_S: Final = 1.0
+MIN_MOVE_GAIN_S: Final = 1.0
 """A run on a slow executor is moved if that brings its end forward by more; a start from a
 checkpoint takes 0.3 s."""
 
@@ -30,19 +30,19 @@
 class RunMoves:
     """Judges all runs by their progress."""
 
-    def __init__(self, *, state: CellState, ends: RunEnds, doubts: Doubts) -> None:
+    def __init__(self, *, state: CellState, ends: RunEnds, health: ExecutorHealth) -> None:
         """Work on these tables; `doubts` hears of executors where runs stand still."""
         self._state = state
         self._ends = ends
-        self._doubts = doubts
-        self._judged_at = float("-inf")
+        self._health = health
+        self._checked_at = float("-inf")
 
     def decide(self, *, now: float) -> None:
         """Stop runs that stand still, crawl, or would not end before their executor leaves."""
-        if now - self._judged_at < JUDGE_EVERY_S or Mechanism.MOVES in self._state.without:
+        if now - self._checked_at < CHECK_INTERVAL_S or Mechanism.MOVES in self._state.without:
             return
-        self._judged_at = now
-        slow_ids = {executor.executor_id for executor in self._doubts.slow_executors()}
+        self._checked_at = now
+        slow_ids = {executor.executor_id for executor in self._health.slow_executors()}
         for executor in list(self._state.executors_by_id.values()):
             for key in list(executor.runs_by_task):
                 found = self._state.find(key)
@@ -54,23 +54,25 @@
                 if step.is_done:
                     self._stop_if_left_over(step, task)
                 elif not job.has_ended:
-                    self._judge(executor, step, task, now, is_slow=executor.executor_id in slow_ids)
+                    self._check_run(
+                        executor, step, task, now, is_slow=executor.executor_id in slow_ids
+                    )
 
-    def _judge(
+    def _check_run(
         self, executor: Executor, step: StepRun, task: TaskRun, now: float, *, is_slow: bool
     ) -> None:
         if executor.info.is_draining:
             self._move_if_it_ends_late(executor, task, now)
         if step.step.is_long_running:
             return
-        self._move_if_still(executor, step, task)
+        self._move_if_stalled(executor, step, task)
         if is_slow:
-            self._move_if_worth_it(step, task, now)
+            self._move_if_faster_elsewhere(step, task, now)
 
     def _stop_if_left_over(self, step: StepRun, task: TaskRun) -> None:
         """Stop a member that goes on though its gang is done: it would hold its room for good."""
-        if task.listed_at > step.done_at + STILL_S:
-            cause = f"its gang was done {STILL_S:g} s before"
+        if task.listed_at > step.done_at + STALL_TIMEOUT_S:
+            cause = f"its gang was done {STALL_TIMEOUT_S:g} s before"
             self._ends.stop(task, rule=StopRule.MEMBER_ENDED, cause=cause)
 
     def _move_if_it_ends_late(self, executor: Executor, task: TaskRun, now: float) -> None:
@@ -80,25 +82,25 @@
             cause = "its executor leaves before it would end"
             self._ends.stop(task, rule=StopRule.EXECUTOR_LEAVES, cause=cause)
 
-    def _move_if_still(self, executor: Executor, step: StepRun, task: TaskRun) -> None:
+    def _move_if_stalled(self, executor: Executor, step: StepRun, task: TaskRun) -> None:
         """Stop a run that makes no progress."""
         if task.first_seen_at is None or executor.answered_at is None:
             return
         if waits_for_members(step, task):
             return
-        still_s = executor.answered_at - task.percent_at
-        if still_s < STILL_S or still_s < patience_s(step, task):
+        stalled_s = executor.answered_at - task.percent_at
+        if stalled_s < STALL_TIMEOUT_S or stalled_s < stall_timeout_s(step, task):
             return
-        if is_executor_to_blame(step, task):
-            self._doubts.on_standstill(executor, step.key)
-        self._ends.give_up(task, cause=f"no progress for {still_s:.1f} s at {task.percent}%")
+        if is_executor_at_fault(step, task):
+            self._health.on_stall(executor, step.key)
+        self._ends.stop_stalled(task, cause=f"no progress for {stalled_s:.1f} s at {task.percent}%")
 
-    def _move_if_worth_it(self, step: StepRun, task: TaskRun, now: float) -> None:
+    def _move_if_faster_elsewhere(self, step: StepRun, task: TaskRun, now: float) -> None:
         """Move a run off a slow executor if it should end clearly sooner elsewhere."""
         ends_at = task.ends_at()
         if step.step.is_gang or ends_at is None:
             return
-        left = 1.0 - task.percent / WHOLE_PERCENT if step.step.is_checkpointing else 1.0
-        if now + left * step.step.estimate_s + WORTH_MOVING_S < ends_at:
+        left = 1.0 - task.percent / DONE_PERCENT if step.step.is_checkpointing else 1.0
+        if now + left * step.step.estimate_s + MIN_MOVE_GAIN_S < ends_at:
             cause = "its executor is slow; it ends sooner elsewhere"
             self._ends.stop(task, rule=StopRule.SLOW_EXECUTOR, cause=cause)
--- a/src/galenastall/coordination/cell/scheduler.py
+++ b/src/galenastall/coordination/cell/scheduler.py
@@ -14,8 +14,8 @@
     StartOrder,
     StopOrder,
 )
-from galenastall.coordination.cell.crashes import CrashJudge
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.crashes import CrashAttributor
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.fleet import Fleet
 from galenastall.coordination.cell.host_care import HostCare
@@ -26,7 +26,7 @@
 from galenastall.coordination.cell.listings import Listing, ListingReader
 from galenastall.coordination.cell.load_report import closed_by_id, report_load
 from galenastall.coordination.cell.mechanisms import ALL_ON, Without
-from galenastall.coordination.cell.orders import OrderBook, StartOutcome
+from galenastall.coordination.cell.orders import OrderOutcomes, StartOutcome
 from galenastall.coordination.cell.pacing import Pacing
 from galenastall.coordination.cell.placer import Placer
 from galenastall.coordination.cell.room_plan import RoomPlan
@@ -60,11 +60,11 @@
         """Create the core of a leader whose fence at the store stands since `fenced_at`."""
         self._state = CellState(timings=timings, fenced_at=fenced_at, without=without)
         self._advice = AdviceBook()
-        self._doubts = Doubts(state=self._state)
-        self._ends = RunEnds(state=self._state, doubts=self._doubts)
+        self._doubts = ExecutorHealth(state=self._state)
+        self._ends = RunEnds(state=self._state, health=self._doubts)
         self._listings = ListingReader(state=self._state, ends=self._ends)
-        self._orders = OrderBook(
-            state=self._state, ends=self._ends, advice=self._advice, doubts=self._doubts
+        self._orders = OrderOutcomes(
+            state=self._state, ends=self._ends, advice=self._advice, health=self._doubts
         )
         self.kept_advice = KeptAdvice(state=self._state, advice=self._advice)
         """Advice that earlier leaders asked for."""
@@ -72,12 +72,12 @@
         self._waiting = WaitingReport(
             state=self._state, advice=self._advice, sight=self._placer.sight, plan=self.plan
         )
-        crashes = CrashJudge(state=self._state)
+        crashes = CrashAttributor(state=self._state)
         self._incarnations = Incarnations(state=self._state, ends=self._ends, crashes=crashes)
         self._fleet = Fleet(
             state=self._state, ends=self._ends, crashes=crashes, incarnations=self._incarnations
         )
-        self._moves = RunMoves(state=self._state, ends=self._ends, doubts=self._doubts)
+        self._moves = RunMoves(state=self._state, ends=self._ends, health=self._doubts)
         self._pacing = Pacing(state=self._state)
         self.hosts = HostCare(state=self._state, ends=self._ends)
         self._batches = Batches(
@@ -358,7 +358,7 @@
         wanted = sorted(
             executor_id
             for executor_id in self._state.looked_for
-            if executor_id in executors_by_id and executors_by_id[executor_id].wants_look
+            if executor_id in executors_by_id and executors_by_id[executor_id].needs_listing
         )
         self._state.looked_for = set(wanted)
         return wanted
--- a/src/galenastall/coordination/cell/stop_rules.py
+++ b/src/galenastall/coordination/cell/stop_rules.py
@@ -5,13 +5,13 @@
 
 from galenastall.state.cell.jobs import TaskKey
 
-_WHOLE_GANG = -1
+_ENTIRE_GANG = -1
 
 
 class StopRule(StrEnum):
     """Why the leader stops a run."""
 
-    STANDS_STILL = "stands_still"
+    STALLED = "stands_still"
     """It makes no progress."""
     SLOW_EXECUTOR = "slow_executor"
     """It ends sooner elsewhere."""
@@ -25,7 +25,7 @@
     """Its starts got no answer."""
     REFUSED_LATER = "refused_later"
     """A start was refused after one that got no answer."""
-    ROOM_SHRANK = "room_shrank"
+    CAPACITY_SHRANK = "room_shrank"
     """Its start got no answer, and its executor has no room for it any more."""
     JOB_ENDED = "job_ended"
 
@@ -42,7 +42,7 @@
 
     def count(self, key: TaskKey, run: int, rule: StopRule, *, is_gang: bool) -> bool:
         """Count a stop; a gang's run counts once, by the rule that stopped its first member."""
-        number = _WHOLE_GANG if is_gang else key.number
+        number = _ENTIRE_GANG if is_gang else key.number
         place = (key.occurrence, key.step, number)
         if self._last_runs.get(place) == run:
             return False
--- a/src/galenastall/coordination/cell/task_runs.py
+++ b/src/galenastall/coordination/cell/task_runs.py
@@ -6,7 +6,7 @@
 from galenastall.state.cell.jobs import TaskKey
 from galenastall.state.cell.phases import TaskPhase
 
-WHOLE_PERCENT: Final = 100
+DONE_PERCENT: Final = 100
 """What the progress of a run that is done would be."""
 
 
@@ -35,6 +35,7 @@
         "blame",
         "checkpoint",
         "checkpoint_at",
+        "confirmed_seq",
         "crashes",
         "executor_id",
         "failures",
@@ -46,16 +47,15 @@
         "is_stopping",
         "is_suspect",
         "key",
-        "known_seq",
         "listed_at",
         "not_before",
-        "pace_percent",
-        "pace_sent_at",
-        "pace_sent_percent",
         "percent",
         "percent_at",
         "phase",
+        "rate_percent",
+        "rate_sent_at",
         "run",
+        "sent_rate_percent",
         "state",
         "stop_sent_at",
         "stop_seq",
@@ -74,7 +74,7 @@
         """Leader's time at which it came; of an earlier leader's no time is known."""
         self.state = StartState.WRITING
         self.tries = 0
-        self.known_seq = 0
+        self.confirmed_seq = 0
         """Sequence number after which a listing that lacks the run proves that it has ended."""
         self.is_stopping = False
         self.stop_sent_at = 0.0
@@ -85,10 +85,10 @@
         """Leader's time at which the share of its work done last rose."""
         self.figure = 0
         """Last tail in milliseconds of a task that serves; processor use of others."""
-        self.pace_percent = WHOLE_PERCENT
+        self.rate_percent = DONE_PERCENT
         """Pace that its executor has confirmed."""
-        self.pace_sent_percent = WHOLE_PERCENT
-        self.pace_sent_at = float("-inf")
+        self.sent_rate_percent = DONE_PERCENT
+        self.rate_sent_at = float("-inf")
         self.listed_at = 0.0
         """Leader's time of the last listing that showed it at work."""
         self.avoided: frozenset[str] = frozenset()
@@ -128,17 +128,17 @@
         self.executor_id = executor_id
         self.state = StartState.WRITING
         self.tries = 0
-        self.known_seq = 0
+        self.confirmed_seq = 0
         self.is_stopping = False
         self.stop_seq = 0
         self.percent = 0
         self.percent_at = self.assigned_at = now
         self.first_seen_at = None
         self.began_at = None
-        self.pace_percent = WHOLE_PERCENT
-        self.pace_sent_percent = WHOLE_PERCENT
+        self.rate_percent = DONE_PERCENT
+        self.sent_rate_percent = DONE_PERCENT
 
-    def see(self, *, percent: int, now: float, figure: int = 0) -> None:
+    def record_progress(self, *, percent: int, now: float, figure: int = 0) -> None:
         """Take a listing that shows the run at work."""
         self.state = StartState.STARTED
         self.figure = figure
@@ -151,16 +151,16 @@
         elif percent > self.percent:
             self.percent = percent
             self.percent_at = now
-        elif self.is_slowed_down:
+        elif self.is_throttled:
             self.percent_at = now
 
     @property
-    def is_slowed_down(self) -> bool:
+    def is_throttled(self) -> bool:
         """Whether it works, or is to work, at a pace that the leader has ordered."""
-        return min(self.pace_percent, self.pace_sent_percent) < WHOLE_PERCENT
+        return min(self.rate_percent, self.sent_rate_percent) < DONE_PERCENT
 
     @property
-    def has_gained(self) -> bool:
+    def has_progressed(self) -> bool:
         """Whether progress was seen since its first listing."""
         return self.percent > self.first_percent
 
@@ -187,7 +187,7 @@
         if self.first_seen_at is None or gained <= 0:
             return None
         pace_s = (self.percent_at - self.first_seen_at) / gained
-        return self.percent_at + pace_s * (WHOLE_PERCENT - self.percent)
+        return self.percent_at + pace_s * (DONE_PERCENT - self.percent)
 
     def release(self) -> None:
         """Wait again: its last run is known to have ended."""
--- a/src/galenastall/coordination/cell/waiting_report.py
+++ b/src/galenastall/coordination/cell/waiting_report.py
@@ -8,7 +8,7 @@
 from galenastall.coordination.cell.advice import AdviceBook, StepAdvice
 from galenastall.coordination.cell.approved_room import ApprovedRoom, room_of
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.executors import Closed
+from galenastall.coordination.cell.executors import ClosedReason
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
 from galenastall.coordination.cell.room_plan import RoomPlan
 from galenastall.coordination.cell.wait_reasons import WaitReason
@@ -63,7 +63,7 @@
         self.steps_by_reason: Counter[WaitReason] = Counter()
         """Waiting steps at the last report."""
 
-    def tell(self, closed_by_id: Mapping[str, Closed]) -> None:
+    def tell(self, closed_by_id: Mapping[str, ClosedReason]) -> None:
         """Note the lines for the log; `closed_by_id` names the executors that are not open."""
         waits = [self._sharpened(wait, closed_by_id) for wait in self._waits()]
         self.steps_by_reason = Counter(wait.reason for wait in waits)
@@ -92,7 +92,7 @@
             return known
         return _Since(at=self._state.now, runs=runs)
 
-    def _sharpened(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> _Wait:
+    def _sharpened(self, wait: _Wait, closed_by_id: Mapping[str, ClosedReason]) -> _Wait:
         """Return a gang's wait with what a decision has no time to find out.
 
         Only gangs for which a decision looks for a start come here, and the limits of `turns` bound
@@ -112,7 +112,7 @@
             fields["others"] = str(others)
         self._state.note("cell.waiting", fields=fields)
 
-    def _tell_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, Closed]) -> None:
+    def _tell_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, ClosedReason]) -> None:
         now = self._state.now
         oldest = now - TELL_AGAIN_S
         self._told_at_by_job = {i: at for i, at in self._told_at_by_job.items() if at > oldest}
@@ -156,7 +156,7 @@
             },
         )
 
-    def _room(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> ApprovedRoom:
+    def _room(self, wait: _Wait, closed_by_id: Mapping[str, ClosedReason]) -> ApprovedRoom:
         queue = self._state.queue_of(wait.job)
         advice: StepAdvice | None = None
         if queue.advisor is not None:
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -83,7 +83,7 @@
         """Wait until a poll may leave; return whether it had to wait."""
         if self._executor.needs_polling(trio.current_time()):
             return False
-        turn_at = self._context.idle_polls.next_turn(trio.current_time())
+        turn_at = self._context.idle_polls.next_slot(trio.current_time())
         if turn_at <= trio.current_time():
             return False
         self._is_waiting_for_turn = True
@@ -109,7 +109,7 @@
 
     async def _wait_until_durable(self) -> None:
         with trio.move_on_after(DURABLE_WAIT_S):
-            while self._executor.durable < self._executor.noted:
+            while self._executor.durable_position < self._executor.applied_position:
                 await self._context.committed.wait()
 
     async def look(self) -> None:
@@ -127,7 +127,7 @@
 
     async def _poll(self, wait_s: float) -> bool:
         context, executor = self._context, self._executor
-        executor.wants_look = False
+        executor.needs_listing = False
         asked_seq = context.core.next_seq()
         token = context.token_of(executor.executor_id)
         answer = await context.executors.renew(
@@ -154,7 +154,7 @@
         is_sure = executor.lost_at is None and executor.has_answered(
             now=trio.current_time(), reach_s=ACKNOWLEDGES_WITHIN_S
         )
-        return executor.durable if is_sure else 0
+        return executor.durable_position if is_sure else 0
 
     def _deadline_ms(self) -> int | None:
         """Return the deadline to name now; None for an executor that does not answer.
@@ -164,7 +164,7 @@
         a call after one without an answer names none.
         """
         executor = self._executor
-        if executor.lost_at is not None or executor.is_doubted or executor.has_restarted:
+        if executor.lost_at is not None or executor.has_unacked_start or executor.has_restarted:
             return None
         confirmed_at = self._context.confirmed_at
         return executor.clock.deadline_ms(confirmed_at=confirmed_at, now=trio.current_time())
@@ -226,7 +226,9 @@
         An order that is sent again needlessly may be carried out late, by a later incarnation.
         """
         await trio.sleep(RETRY_S)
-        while self._executor.is_doubted and self._context.core.is_wanted(order):  # noqa: ASYNC110
+        while self._executor.has_unacked_start and self._context.core.is_wanted(  # noqa: ASYNC110
+            order
+        ):
             await trio.sleep(RETRY_S)
 
     async def _send_start(self, order: StartOrder) -> StartOutcome:
@@ -248,7 +250,7 @@
             error = answer.failure()
             context.note("run.start_failed", order.task.job, cause=str(error))
             if error.may_have_taken_effect:
-                executor.clock.doubt(sent_at)
+                executor.clock.assume_lease_granted(sent_at)
                 return StartOutcome.UNKNOWN
             return StartOutcome.UNHEALTHY
         verdict = answer.unwrap().verdict
--- a/src/galenastall/node/cell/term_context.py
+++ b/src/galenastall/node/cell/term_context.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from galenastall.coordination.cell.poll_pace import PollPace
+from galenastall.coordination.cell.poll_limiter import IdlePollLimiter
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.node.cell.call_counts import CallCounts
 from galenastall.protocol.cell.executor_port import ExecutorPort
@@ -36,7 +36,7 @@
         self.token = token
         self.confirmed_at = confirmed_at
         self.executors = executors
-        self.idle_polls = PollPace()
+        self.idle_polls = IdlePollLimiter()
         self.call_counts = CallCounts()
         self.polls_under_way = 0
         """Polls of this term that have no answer yet."""
--- a/src/galenastall/standin/cell/executors.py
+++ b/src/galenastall/standin/cell/executors.py
@@ -15,7 +15,7 @@
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.coordination.cell.listings import (
-    ENDS_IN_A_LISTING,
+    MAX_LISTED_ENDS,
     ListedEnd,
     ListedRun,
     Listing,
@@ -198,7 +198,7 @@
                 ListedRun(task=run.task, run=run.run, percent=self._percent(run, now))
                 for run in self.runs.values()
             ),
-            ended=tuple(self.ended[:ENDS_IN_A_LISTING]),
+            ended=tuple(self.ended[:MAX_LISTED_ENDS]),
         )
 
     def _percent(self, run: Run, now: float) -> int:
--- a/tests/cell/alone.py
+++ b/tests/cell/alone.py
@@ -8,7 +8,7 @@
 from galenastall.bench.cell_load.play import fix_order_of_tasks
 
 
-def play_alone(
+def simulate_isolated(
     scenario: Scenario,
     *,
     seed: int,
--- a/tests/cell/weakenings.py
+++ b/tests/cell/mutations.py
@@ -9,20 +9,20 @@
 from galenastall.coordination.cell.election import Election, Move
 from galenastall.coordination.cell.incarnations import Incarnations
 from galenastall.coordination.cell.lease_clock import LeaseClock
-from galenastall.coordination.cell.orders import OrderBook, StartOutcome
+from galenastall.coordination.cell.orders import OrderOutcomes, StartOutcome
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.node.cell.commit_loop import CommitLoop
 from galenastall.node.cell.term_context import TOKENS_IN_A_TERM, TermContext
 from galenastall.state.cell.phases import RunEnd
 
-Weakening = Callable[[], Any]
-WEAKENINGS: dict[str, Weakening] = {}
+Mutation = Callable[[], Any]
+MUTATIONS: dict[str, Mutation] = {}
 
 
-def weakening(begin: Weakening) -> Weakening:
+def mutation(begin: Mutation) -> Mutation:
     """File a weakening under its name, as a context."""
-    WEAKENINGS[begin.__name__] = contextmanager(begin)
+    MUTATIONS[begin.__name__] = contextmanager(begin)
     return begin
 
 
@@ -37,7 +37,7 @@
         setattr(owner, name, original)
 
 
-@weakening
+@mutation
 def starts_leave_before_they_are_durable() -> Iterator[None]:
     async def commit(self: CommitLoop) -> list[StartOrder]:
         context = self._context
@@ -58,48 +58,48 @@
         yield
 
 
-@weakening
+@mutation
 def who_does_not_answer_counts_as_lapsed_at_once() -> Iterator[None]:
     with replaced(LeaseClock, "has_lapsed", lambda self, now: True):
         yield
 
 
-@weakening
+@mutation
 def an_unanswered_start_counts_as_not_started() -> Iterator[None]:
     def on_start(
-        self: OrderBook, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
+        self: OrderOutcomes, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
     ) -> bool:
         if outcome is StartOutcome.UNKNOWN:
             self._ends.apply(order.task, order.run, RunEnd.NEVER_STARTED, wall=wall)
             return False
         return bool(original(self, order, outcome, now=now, wall=wall))
 
-    with replaced(OrderBook, "on_start", on_start) as original:
+    with replaced(OrderOutcomes, "on_start", on_start) as original:
         yield
 
 
-@weakening
+@mutation
 def any_listing_that_lacks_a_run_ends_it() -> Iterator[None]:
     def is_settled(task: TaskRun, asked_seq: int) -> bool:
         return True
 
-    with replaced(listings, "_is_settled", is_settled):
+    with replaced(listings, "_proves_ended", is_settled):
         yield
 
 
-@weakening
+@mutation
 def ends_are_acknowledged_before_they_are_durable() -> Iterator[None]:
     def on_listing(self: CellScheduler, executor_id: str, *args: Any, **options: Any) -> None:
         original(self, executor_id, *args, **options)
         executor = self.executors_by_id.get(executor_id)
         if executor is not None:
-            executor.durable = executor.noted
+            executor.durable_position = executor.applied_position
 
     with replaced(CellScheduler, "on_listing", on_listing) as original:
         yield
 
 
-@weakening
+@mutation
 def a_job_is_acknowledged_before_it_is_durable() -> Iterator[None]:
     def submit(self: CellScheduler, job: Any, *, wall: float) -> Any:
         run = original(self, job, wall=wall)
@@ -122,9 +122,9 @@
 
 
 @contextmanager
-def runs_are_not_handed_on() -> Iterator[None]:
+def runs_are_not_transferred() -> Iterator[None]:
     """Take all runs of an incarnation for lost with it."""
-    with replaced(Incarnations, "_hand_on", lambda self, earlier, later, listing: None):
+    with replaced(Incarnations, "_transfer_runs", lambda self, earlier, later, listing: None):
         yield
 
 
@@ -140,7 +140,7 @@
 
 
 @contextmanager
-def standbys_claim_without_a_look() -> Iterator[None]:
+def standbys_claim_without_reading() -> Iterator[None]:
     """Claim at the first silence; that costs terms and must break nothing."""
 
     def next_move(self: Election, now: float) -> Move:
--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -38,7 +38,7 @@
     return replace(info, capacity=replace(info.capacity, cores_milli=cores))
 
 
-class TestStartsOnTheirWay:
+class TestStartsInFlight:
     def test_a_start_that_waits_for_the_store_does_not_leave(self) -> None:
         info = make_info("e0")
         rig = Rig(info)
@@ -71,7 +71,7 @@
         assert not (again and rig.core.is_wanted(late))
         assert [stop.task for stop in rig.stops()] == [late.task]
 
-    def test_an_order_sent_again_is_dropped_once_the_room_is_gone(self) -> None:
+    def test_a_retried_order_is_dropped_once_the_capacity_is_gone(self) -> None:
         info = make_info("e0")
         rig = Rig(info)
         rig.submit(make_job(make_step(4)))
@@ -81,10 +81,10 @@
         rig.see(resized(info, 3000))
         assert not rig.core.is_wanted(orders[0])
         assert [stop.task for stop in rig.stops()] == [orders[0].task]
-        assert rig.core.stopped_by_rule == {StopRule.ROOM_SHRANK: 1}
+        assert rig.core.stopped_by_rule == {StopRule.CAPACITY_SHRANK: 1}
 
 
-class TestBelowWhatRuns:
+class TestCapacityBelowUsage:
     @pytest.mark.parametrize("cores", [0, 1000])
     def test_nothing_starts_where_any_amount_is_over(self, cores: int) -> None:
         """A filler reserves no processor; an executor over its capacity takes none all the same."""
@@ -105,7 +105,7 @@
         assert rig.stops() == []
         assert len(rig.runs_on("e0")) == 4
 
-    def test_room_that_is_back_is_used_at_once(self) -> None:
+    def test_restored_capacity_is_used_at_once(self) -> None:
         info = make_info("e0")
         rig = Rig(info)
         rig.submit(make_job(make_step(6)))
@@ -136,12 +136,12 @@
         rig = Rig(info)
         rig.submit(make_job(make_step(4)))
         rig.run_all(rig.step())
-        heir = Rig(rows=rig.rows)
-        heir.see(resized(info, 3000))
-        heir.listing("e0", tuple(ListedRun(task=task, run=1) for task in rig.runs_on("e0")))
-        assert heir.core.executors_by_id["e0"].free.cores_milli == -1000
-        heir.submit(make_job(make_step(1), job_id=OTHER))
-        assert heir.step() == []
+        successor = Rig(rows=rig.rows)
+        successor.see(resized(info, 3000))
+        successor.listing("e0", tuple(ListedRun(task=task, run=1) for task in rig.runs_on("e0")))
+        assert successor.core.executors_by_id["e0"].free.cores_milli == -1000
+        successor.submit(make_job(make_step(1), job_id=OTHER))
+        assert successor.step() == []
 
 
 class TestTrouble:
@@ -188,7 +188,9 @@
         await play(scenario, seed=727, executors=4)
 
     @pytest.mark.parametrize("seed", [3004, 3005, 3006, 3007])
-    async def test_crashing_tasks_besides(self, seed: int, autojump_clock: object) -> None:
+    async def test_crashing_tasks_with_changing_capacities(
+        self, seed: int, autojump_clock: object
+    ) -> None:
         """With seed 3004 a task crashed five executors, the most that is allowed.
 
         One of them was cut off from its callers while the list, which could not be read, still
--- a/tests/test_cell_core.py
+++ b/tests/test_cell_core.py
@@ -387,9 +387,9 @@
         orders = self.start(rig, make_step(1))
         rig.end(orders[0], RunEnd.DONE, 7)
         executor = rig.core.executors_by_id["e1"]
-        assert (executor.noted, executor.durable) == (7, 0)
+        assert (executor.applied_position, executor.durable_position) == (7, 0)
         rig.commit()
-        assert executor.durable == 7
+        assert executor.durable_position == 7
 
     def test_a_failed_run_is_tried_again_up_to_the_limit(self) -> None:
         rig = Rig(make_info("e1"))
@@ -527,7 +527,7 @@
         rig.core.on_start(first, StartOutcome.UNKNOWN, now=rig.now, wall=rig.wall)
         rig.submit(make_job(make_step(1), job_id="b" * 16))
         assert rig.step() == []
-        assert rig.core.executors_by_id["e1"].wants_look
+        assert rig.core.executors_by_id["e1"].needs_listing
         rig.now += 0.01
         rig.listing("e1")
         assert len(rig.step()) == 1
--- a/tests/test_cell_crash_blame.py
+++ b/tests/test_cell_crash_blame.py
@@ -10,14 +10,14 @@
 from galenastall.coordination.cell.crashes import (
     ALONE_WEIGHT,
     AT_WORK_WEIGHT,
-    MOST_WEIGHT,
-    PROVEN_S,
+    MAX_WEIGHT,
     SETTLED_S,
     SHARED_WEIGHT,
-    SUSPECT_PROVEN_S,
-    Victim,
-    blame_for_crash,
-    blame_for_silence,
+    STARTUP_S,
+    SUSPECT_STARTUP_S,
+    AffectedRun,
+    attribute_crash,
+    attribute_lost_contact,
 )
 from galenastall.coordination.cell.executors import Cordon
 from galenastall.coordination.cell.listings import ListedRun
@@ -35,56 +35,67 @@
 """The platform allows three crashes and two starts after them."""
 
 
-def victim(task: TaskKey, at_work_s: float | None = 0.0, **fields: object) -> Victim:
+def affected_run(task: TaskKey, at_work_s: float | None = 0.0, **fields: object) -> AffectedRun:
     return replace(
-        Victim(task=task, unit=task, at_work_s=at_work_s), **fields  # type: ignore[arg-type]
+        AffectedRun(task=task, unit=task, at_work_s=at_work_s), **fields  # type: ignore[arg-type]
     )
 
 
 class TestWeights:
     @pytest.mark.parametrize(
-        ("victims", "is_alone", "weights"),
+        ("affected_runs", "is_isolated", "weights"),
         [
-            pytest.param([victim(A)], True, [ALONE_WEIGHT], id="alone"),
-            pytest.param([victim(A)], False, [SHARED_WEIGHT], id="many executors crash"),
-            pytest.param([victim(A), victim(B)], True, [SHARED_WEIGHT] * 2, id="two had begun"),
+            pytest.param([affected_run(A)], True, [ALONE_WEIGHT], id="alone"),
+            pytest.param([affected_run(A)], False, [SHARED_WEIGHT], id="many executors crash"),
             pytest.param(
-                [victim(A), victim(B, PROVEN_S), victim(C, SETTLED_S)],
+                [affected_run(A), affected_run(B)], True, [SHARED_WEIGHT] * 2, id="two had begun"
+            ),
+            pytest.param(
+                [affected_run(A), affected_run(B, STARTUP_S), affected_run(C, SETTLED_S)],
                 True,
                 [ALONE_WEIGHT, AT_WORK_WEIGHT, 0],
                 id="the others were at work",
             ),
             pytest.param(
-                [victim(A, is_suspect=True), victim(B)],
+                [affected_run(A, is_suspect=True), affected_run(B)],
                 True,
                 [ALONE_WEIGHT, SHARED_WEIGHT],
                 id="one was suspected before",
             ),
             pytest.param(
-                [victim(A, is_suspect=True), victim(B, is_suspect=True)],
+                [affected_run(A, is_suspect=True), affected_run(B, is_suspect=True)],
                 True,
                 [SHARED_WEIGHT] * 2,
                 id="both were suspected before",
             ),
             pytest.param(
-                [victim(A, unit=STEP), victim(B, unit=STEP)],
+                [affected_run(A, unit=STEP), affected_run(B, unit=STEP)],
                 True,
                 [ALONE_WEIGHT] * 2,
                 id="members of one gang",
             ),
             pytest.param(
-                [victim(A, is_confirmed=False)], True, [SHARED_WEIGHT], id="perhaps not started"
+                [affected_run(A, is_confirmed=False)],
+                True,
+                [SHARED_WEIGHT],
+                id="perhaps not started",
+            ),
+            pytest.param(
+                [affected_run(A, None)], True, [SHARED_WEIGHT], id="not known to this leader"
             ),
-            pytest.param([victim(A, None)], True, [SHARED_WEIGHT], id="not known to this leader"),
         ],
     )
-    def test_a_crash(self, victims: list[Victim], is_alone: bool, weights: list[int]) -> None:
-        blames = blame_for_crash(victims, is_alone=is_alone)
-        assert [blames[each.task].weight for each in victims] == weights
+    def test_a_crash(
+        self, affected_runs: list[AffectedRun], is_isolated: bool, weights: list[int]
+    ) -> None:
+        attributions = attribute_crash(affected_runs, is_isolated=is_isolated)
+        assert [attributions[each.task].weight for each in affected_runs] == weights
 
     def test_only_what_had_just_begun_or_is_not_known_is_suspect(self) -> None:
-        blames = blame_for_crash([victim(A), victim(B, PROVEN_S), victim(C, None)], is_alone=True)
-        assert [blames[task].is_suspect for task in (A, B, C)] == [True, False, True]
+        attributions = attribute_crash(
+            [affected_run(A), affected_run(B, STARTUP_S), affected_run(C, None)], is_isolated=True
+        )
+        assert [attributions[task].is_suspect for task in (A, B, C)] == [True, False, True]
 
     @pytest.mark.parametrize(
         ("is_listed", "weights"),
@@ -94,15 +105,15 @@
         self, is_listed: bool, weights: list[int]
     ) -> None:
         """A task crashed its executor while the store was away; the list named it to the end."""
-        victims = [victim(A), victim(B, 2.0), victim(C, SETTLED_S)]
-        blames = blame_for_silence(victims, is_listed=is_listed)
-        assert [blames[task].weight for task in (A, B, C)] == weights
+        affected_runs = [affected_run(A), affected_run(B, 2.0), affected_run(C, SETTLED_S)]
+        attributions = attribute_lost_contact(affected_runs, is_listed=is_listed)
+        assert [attributions[task].weight for task in (A, B, C)] == weights
 
     @pytest.mark.parametrize("weight", [ALONE_WEIGHT, SHARED_WEIGHT, AT_WORK_WEIGHT])
     def test_each_kind_of_evidence_ends_a_task_in_time(self, weight: int) -> None:
         """Not after two crashes, which may be chance, and within the starts that are allowed."""
-        assert 2 * weight < MOST_WEIGHT
-        assert MOST_STARTS * weight >= MOST_WEIGHT
+        assert 2 * weight < MAX_WEIGHT
+        assert MOST_STARTS * weight >= MAX_WEIGHT
 
 
 class TestChance:
@@ -114,14 +125,14 @@
     def test_a_crash_at_work_weighs_less_the_likelier_it_is(
         self, chance: float, weight: int
     ) -> None:
-        there = victim(A, PROVEN_S, chance=chance)
-        assert blame_for_crash([there], is_alone=True)[A].weight == weight
+        there = affected_run(A, STARTUP_S, chance=chance)
+        assert attribute_crash([there], is_isolated=True)[A].weight == weight
 
     def test_crashes_of_other_executors_tell_how_likely(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
-        rig.work(PROVEN_S)
+        rig.work(STARTUP_S)
         others = [i.executor_id for i in rig.infos if i.executor_id != order.executor_id]
         for executor_id in others[:4]:
             rig.crash(executor_id)
@@ -129,16 +140,16 @@
         assert 0 < rig.task(A)[0] < AT_WORK_WEIGHT
 
     def test_crashes_under_the_task_itself_do_not(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         for _ in range(2):
             (order,) = rig.start()
-            rig.work(2 * PROVEN_S)
+            rig.work(2 * STARTUP_S)
             rig.crash(order.executor_id)
         assert rig.task(A)[0] == 2 * AT_WORK_WEIGHT
 
 
-class CrashRig(Rig):
+class CrashHarness(Rig):
     """A core whose executors crash, and start again."""
 
     def __init__(self, *, executors: int = 8, rows: dict[str, bytes] | None = None) -> None:
@@ -184,7 +195,7 @@
 
 class TestCounting:
     def test_a_job_fails_with_a_reason_that_names_the_task(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         for _ in range(3):
             (order,) = rig.start()
@@ -194,8 +205,8 @@
         ended = [note for note in rig.core.take_notes() if note.step == "job.ended"]
         assert [note.cause for note in ended] == ["3 executors crashed under task 0.0.0"]
 
-    def test_the_log_tells_what_is_put_down_to_whom(self) -> None:
-        rig = CrashRig(executors=1)
+    def test_the_log_names_what_is_attributed_to_each_task(self) -> None:
+        rig = CrashHarness(executors=1)
         rig.submit(make_job(make_step(1, cores=500)))
         rig.start()
         rig.work(1.0)
@@ -208,14 +219,14 @@
         assert (end.fields["runs"], end.fields["draining"]) == ("2", "false")
         ended = {note.subjects[0]: note.fields for note in notes if note.step == "run.ended"}
         assert float(ended[JOB]["at_work_s"]) >= 0.9
-        assert float(ended[OTHER]["at_work_s"]) < PROVEN_S
-        assert ended[JOB]["blame"] == f"{AT_WORK_WEIGHT} of {MOST_WEIGHT}"
-        assert ended[OTHER]["blame"] == f"{ALONE_WEIGHT} of {MOST_WEIGHT}"
+        assert float(ended[OTHER]["at_work_s"]) < STARTUP_S
+        assert ended[JOB]["blame"] == f"{AT_WORK_WEIGHT} of {MAX_WEIGHT}"
+        assert ended[OTHER]["blame"] == f"{ALONE_WEIGHT} of {MAX_WEIGHT}"
         assert ended[OTHER]["crashes"] == "1"
 
     @pytest.mark.parametrize("cordon", list(Cordon))
     def test_a_host_that_this_cell_took_down_is_no_crash(self, cordon: Cordon) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.core.executors_by_id[order.executor_id].cordons.add(cordon)
@@ -223,7 +234,7 @@
         assert rig.task(A) == (0, False)
 
     def test_a_planned_departure_is_no_crash(self) -> None:
-        rig = CrashRig(executors=1)
+        rig = CrashHarness(executors=1)
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.see(replace(rig.infos[0], is_draining=True, leaves_in_s=2.0))
@@ -231,14 +242,14 @@
         assert rig.task(A) == (0, False)
 
     def test_a_start_that_has_not_left_is_not_there(self) -> None:
-        rig = CrashRig(executors=1)
+        rig = CrashHarness(executors=1)
         rig.submit(make_job(make_step(1)))
         rig.core.decide(now=rig.now, wall=rig.wall)
         rig.crash("e0.1")
         assert rig.task(A) == (0, False)
 
     def test_a_start_sent_after_the_executor_fell_silent_is_not_there(self) -> None:
-        rig = CrashRig(executors=1)
+        rig = CrashHarness(executors=1)
         rig.core.executors_by_id["e0.1"].lost_at = rig.now
         rig.now += 0.1
         rig.submit(make_job(make_step(1)))
@@ -247,7 +258,7 @@
         assert rig.task(A) == (0, False)
 
     def test_many_executors_that_crash_together_weigh_less(self) -> None:
-        rig = CrashRig(executors=4)
+        rig = CrashHarness(executors=4)
         rig.submit(make_job(make_step(4, cores=4000)))
         orders = rig.start()
         assert len({order.executor_id for order in orders}) == 4
@@ -255,12 +266,12 @@
         rig.step()
         for order in orders:
             rig.core.on_other_executor(order.executor_id, wall=rig.wall)
-        blames = [rig.task(order.task)[0] for order in orders]
-        assert blames == [SHARED_WEIGHT] * 4
+        attributions = [rig.task(order.task)[0] for order in orders]
+        assert attributions == [SHARED_WEIGHT] * 4
 
-    def test_executors_that_wait_for_their_turn_have_not_crashed_with_it(self) -> None:
+    def test_executors_that_wait_to_be_polled_are_not_counted_as_crashed(self) -> None:
         # In a large fleet most of those that run nothing have not answered for seconds.
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.now += 2.0
@@ -271,13 +282,13 @@
         assert rig.task(A) == (ALONE_WEIGHT, True)
 
     def test_the_count_outlives_the_leader(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
         rig.commit()
-        heir = CrashRig(rows=rig.rows)
-        assert heir.task(A) == (ALONE_WEIGHT, True)
+        successor = CrashHarness(rows=rig.rows)
+        assert successor.task(A) == (ALONE_WEIGHT, True)
 
     def test_rows_written_before_there_was_a_count_are_read(self) -> None:
         row = ProgressRow(phase=JobPhase.RUNNING, queue_name="q")
@@ -289,11 +300,11 @@
         )
 
 
-class TestApart:
+class TestIsolatedStarts:
     """A suspect begins where nothing else has just begun, and nothing else begins beside it."""
 
     def test_suspects_begin_on_executors_of_their_own(self) -> None:
-        rig = CrashRig(executors=16)
+        rig = CrashHarness(executors=16)
         rig.submit(make_job(make_step(2, cores=500)))
         first, second = rig.start()
         assert first.executor_id == second.executor_id
@@ -307,37 +318,37 @@
         assert not suspects & others
 
     def test_a_suspect_at_work_for_half_a_second_is_cleared(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
         rig.start()
-        rig.work(PROVEN_S + 0.2)
+        rig.work(STARTUP_S + 0.2)
         assert rig.task(A) == (ALONE_WEIGHT, False)
 
     def test_an_executor_is_asked_as_soon_as_its_suspect_could_be_cleared(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
         (order,) = rig.start()
-        rig.now += PROVEN_S
+        rig.now += STARTUP_S
         rig.step()
-        assert rig.core.executors_by_id[order.executor_id].wants_look
+        assert rig.core.executors_by_id[order.executor_id].needs_listing
 
     def test_a_suspect_that_was_seen_at_work_is_not_at_its_start(self) -> None:
         # Listings came once a second, so chance crashes counted as crashes at a start.
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
         (order,) = rig.start()
-        rig.work(2 * SUSPECT_PROVEN_S)
+        rig.work(2 * SUSPECT_STARTUP_S)
         rig.crash(order.executor_id)
         assert rig.task(A)[0] <= ALONE_WEIGHT + AT_WORK_WEIGHT
 
     def test_suspect_members_of_a_gang_are_watched_from_their_start(self) -> None:
-        rig = CrashRig()
+        rig = CrashHarness()
         rig.submit(make_job(make_step(2, is_gang=True)))
         orders = rig.start()
         rig.crash(orders[0].executor_id)
@@ -345,25 +356,25 @@
         rig.now += 1.0
         orders = rig.start()
         suspects = [order for order in orders if rig.task(order.task)[1]]
-        rig.now += 2 * SUSPECT_PROVEN_S
+        rig.now += 2 * SUSPECT_STARTUP_S
         rig.step()
         assert suspects
         for order in suspects:
-            assert rig.core.executors_by_id[order.executor_id].wants_look
+            assert rig.core.executors_by_id[order.executor_id].needs_listing
 
     def test_few_executors_are_used_at_a_time(self) -> None:
-        rig = CrashRig(executors=8)
+        rig = CrashHarness(executors=8)
         rig.submit(make_job(make_step(8, cores=500)))
         orders = rig.start()
         assert len({order.executor_id for order in orders}) == 1
         rig.crash(orders[0].executor_id)
         assert len(rig.start()) == 1
         assert rig.start() == []
-        rig.work(PROVEN_S + 0.2)
+        rig.work(STARTUP_S + 0.2)
         assert len(rig.start()) == 1
 
     def test_a_suspect_that_waits_for_its_turn_says_so(self) -> None:
-        rig = CrashRig(executors=2)
+        rig = CrashHarness(executors=2)
         rig.submit(make_job(make_step(2, cores=500)))
         first, _ = rig.start()
         rig.crash(first.executor_id)
@@ -372,7 +383,7 @@
         assert rig.core._placer.sight.reason_of(STEP) is WaitReason.ON_PROBATION
 
     def test_a_suspect_goes_where_no_urgent_run_and_few_others_are(self) -> None:
-        rig = CrashRig(executors=3)
+        rig = CrashHarness(executors=3)
         urgent = replace(QUEUE, name="urgent", priority=0)
         rig.core.set_queues([QUEUE, urgent])
         rig.submit(make_job(make_step(2, cores=3000), job_id=OTHER, queue=urgent))
@@ -384,13 +395,13 @@
         (again,) = (order for order in rig.start() if order.task.job == THIRD)
         assert not self._urgent_on(rig, again.executor_id, urgent)
 
-    def _urgent_on(self, rig: CrashRig, executor_id: str, urgent: Queue) -> bool:
+    def _urgent_on(self, rig: CrashHarness, executor_id: str, urgent: Queue) -> bool:
         jobs_by_id = rig.core.jobs_by_id
         return any(jobs_by_id[task.job].queue is urgent for task in rig.runs_on(executor_id))
 
     def test_a_busy_cell_makes_place_for_a_suspect(self) -> None:
         """Beside a stream of small tasks each executor always has something that has just begun."""
-        rig = CrashRig(executors=2)
+        rig = CrashHarness(executors=2)
         rig.submit(make_job(make_step(1, cores=500)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
@@ -408,8 +419,8 @@
                 break
         assert JOB in started
 
-    def test_a_need_that_no_executor_holds_keeps_none(self) -> None:
-        rig = CrashRig(executors=2)
+    def test_a_need_that_no_executor_fits_reserves_none(self) -> None:
+        rig = CrashHarness(executors=2)
         rig.submit(make_job(make_step(1, cores=4000)))
         (order,) = rig.start()
         rig.crash(order.executor_id)
--- a/tests/test_cell_crashing_tasks.py
+++ b/tests/test_cell_crashing_tasks.py
@@ -130,7 +130,7 @@
         await play(scenario, seed=14, executors=8)
 
 
-class TestWhatLasts:
+class TestCountsOutliveLeaders:
     """What was counted of a task outlives the leader that counted it."""
 
     @pytest.mark.parametrize("after_s", [0.1, 1.0, 2.5])
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -10,18 +10,18 @@
 from returns.result import Failure, Result, Success
 
 from cell.advised import AdvisedRig
-from cell.alone import play_alone
+from cell.alone import simulate_isolated
 from cell.cluster import Cluster
 from cell.cluster import make_job as make_cluster_job
+from cell.mutations import incarnations_are_shown_one_token, runs_are_not_transferred
 from cell.play import check_all_end, hand_in, play, random_trouble, restarts_in_trouble
 from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
-from cell.weakenings import incarnations_are_shown_one_token, runs_are_not_handed_on
 from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
-from galenastall.coordination.cell.executors import Closed
+from galenastall.coordination.cell.executors import ClosedReason
 from galenastall.coordination.cell.lease_clock import longest_lease_s
 from galenastall.coordination.cell.listings import (
-    ENDS_IN_A_LISTING,
+    MAX_LISTED_ENDS,
     ListedEnd,
     ListedRun,
     Listing,
@@ -116,24 +116,24 @@
         await play(scenario, seed=seed, keeps_ids=True)
 
 
-class TestWeakenedRulesOfRestarts:
+class TestRestartRuleMutations:
     """Each rule is needed: without it the same seed breaks what must hold."""
 
-    def test_without_handing_runs_on_they_start_again(self) -> None:
+    def test_without_transferring_runs_they_start_again(self) -> None:
         for seed in (0, 4, 24, 26):
-            play_alone(restarts_in_trouble, seed=seed, keeps_ids=True)
-        with runs_are_not_handed_on(), pytest.raises(AssertionError, match="starts after"):
-            play_alone(restarts_in_trouble, seed=24, keeps_ids=True)
+            simulate_isolated(restarts_in_trouble, seed=seed, keeps_ids=True)
+        with runs_are_not_transferred(), pytest.raises(AssertionError, match="starts after"):
+            simulate_isolated(restarts_in_trouble, seed=24, keeps_ids=True)
 
     def test_without_a_token_for_each_incarnation_late_calls_are_carried_out(self) -> None:
         scenario = partial(restarts_in_trouble, asks_tickets=True, is_late=True)
         for seed in (1, 2, 5):
-            play_alone(scenario, seed=seed, keeps_ids=True)
+            simulate_isolated(scenario, seed=seed, keeps_ids=True)
         with (
             incarnations_are_shown_one_token(),
             pytest.raises(AssertionError, match="starts after"),
         ):
-            play_alone(scenario, seed=2, keeps_ids=True)
+            simulate_isolated(scenario, seed=2, keeps_ids=True)
 
 
 class TestExecutorIds:
@@ -151,7 +151,7 @@
         assert executor_name(EARLIER) == executor_name(LATER)
 
 
-class RestartRig(Rig):
+class RestartHarness(Rig):
     """A core with one executor that runs one task, and starts again."""
 
     def __init__(self) -> None:
@@ -173,23 +173,23 @@
 
 class TestRunsOfAnEarlierIncarnation:
     def test_a_run_that_the_later_one_does_not_list_starts_again(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         assert [(order.run, order.executor_id) for order in rig.restart()] == [(2, LATER)]
         assert EARLIER not in rig.core.executors_by_id
 
     def test_a_run_that_the_later_one_has_carried_out_is_not_started_again(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         assert rig.restart((rig.listed_run,)) == []
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_the_end_of_a_run_that_the_later_one_has_carried_out_counts(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         end = ListedEnd(position=1, task=rig.order.task, run=rig.order.run, end=RunEnd.DONE)
         assert rig.restart((), end) == []
         assert rig.shown() is JobPhase.COMPLETED
 
     def test_a_stop_that_the_earlier_one_has_answered_is_sent_to_the_later_one(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.cancel(JOB, wall=rig.wall)
         rig.commit()
         (stop,) = rig.stops()
@@ -201,16 +201,16 @@
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_a_full_listing_proves_no_run_gone(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         others = [
             ListedEnd(position=n, task=TaskKey("f" * 16, 0, 0, n), run=1, end=RunEnd.DONE)
-            for n in range(1, ENDS_IN_A_LISTING + 1)
+            for n in range(1, MAX_LISTED_ENDS + 1)
         ]
         assert rig.restart((), *others) == []
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_ends_of_the_later_one_count_from_the_first(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.end(rig.order, RunEnd.FAILED, position=40)
         rig.commit()
         (order,) = rig.restart()
@@ -220,18 +220,18 @@
         assert rig.shown() is JobPhase.COMPLETED
 
     def test_ends_of_the_earlier_one_are_not_acknowledged_to_the_later_one(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.end(rig.order, RunEnd.FAILED, position=40)
         batch = rig.core.take_batch()
         rig.see(make_info(LATER, host="h"))
         rig.listing(LATER)
         rig.core.commit(batch, wall=rig.wall)
-        assert rig.core.executors_by_id[LATER].durable == 0
+        assert rig.core.executors_by_id[LATER].durable_position == 0
 
     @pytest.mark.parametrize("born_ms", [2_000, 500])
     def test_the_order_of_answers_tells_which_is_later(self, born_ms: int) -> None:
         # Clocks of hosts may go back between two births.
-        rig = RestartRig()
+        rig = RestartHarness()
         later = make_executor_id("e", born_ms)
         rig.see(make_info(later, host="h"))
         rig.listing(later)
@@ -239,7 +239,7 @@
         assert set(rig.core.executors_by_id) == {later}
 
     def test_a_new_leader_finds_a_run_that_an_earlier_order_began(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         following = Rig(rows=rig.rows)
         following.see(make_info(LATER, host="h"))
         following.listing(LATER, (rig.listed_run,))
@@ -247,7 +247,7 @@
         assert following.runs_on(LATER) == {rig.order.task}
 
     def test_a_new_leader_starts_again_what_the_later_one_lacks(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         following = Rig(rows=rig.rows)
         following.see(make_info(LATER, host="h"))
         following.listing(LATER)
@@ -263,26 +263,26 @@
         assert following.runs_on(LATER) == {order.task}
 
     def test_an_executor_that_has_restarted_is_closed_and_its_runs_are_waited_for(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.on_restart(EARLIER, LATER, now=rig.now)
         earlier, later = (rig.core.executors_by_id[e] for e in (EARLIER, LATER))
         reach = {"now": rig.now, "reach_s": 2.0, "delisted_grace_s": 2.0}
-        assert earlier.why_closed(**reach) is Closed.RESTARTED
-        assert later.why_closed(**reach) is Closed.UNUSABLE
+        assert earlier.why_closed(**reach) is ClosedReason.RESTARTED
+        assert later.why_closed(**reach) is ClosedReason.UNUSABLE
         rig.now += 9.9
         assert rig.step() == []
         assert rig.runs_on(EARLIER) == {rig.order.task}
 
     def test_one_known_by_its_answer_takes_work_once_its_entry_and_its_listing_came(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.on_restart(EARLIER, LATER, now=rig.now)
         rig.listing(LATER)
         assert rig.step() == []
         rig.see(make_info(LATER, host="h"))
         assert [order.executor_id for order in rig.step()] == [LATER]
 
-    def test_an_answer_of_one_that_is_over_brings_it_not_back(self) -> None:
-        rig = RestartRig()
+    def test_an_answer_of_an_ended_incarnation_does_not_restore_it(self) -> None:
+        rig = RestartHarness()
         rig.restart()
         rig.core.on_restart(LATER, EARLIER, now=rig.now)
         assert EARLIER not in rig.core.executors_by_id
@@ -336,7 +336,7 @@
         return Success(OrderAnswer(verdict=self.verdict, clock_ms=None))
 
 
-class SessionRig:
+class SessionHarness:
     """A session with an executor's first incarnation."""
 
     def __init__(self) -> None:
@@ -379,7 +379,7 @@
     async def test_the_later_incarnation_is_shown_a_higher_token(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         earlier = await rig.poll()
         rig.port.answerer = LATER
         await rig.poll()
@@ -390,14 +390,14 @@
         assert set(rig.rig.core.executors_by_id) == {LATER}
 
     async def test_tokens_of_a_later_term_are_higher(self, autojump_clock: object) -> None:
-        rig, following = SessionRig(), SessionRig()
+        rig, following = SessionHarness(), SessionHarness()
         following.context.token = TOKEN + 1
         assert (await following.poll())["token"] > (await rig.poll())["token"]
 
     async def test_a_call_to_the_earlier_one_that_is_fenced_does_not_end_the_term(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await rig.poll()
         rig.context.raise_token(LATER)
         rig.port.verdict = StartVerdict.FENCED
@@ -407,7 +407,7 @@
     async def test_an_executor_that_has_seen_a_later_term_ends_this_one(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         rig.port.verdict = StartVerdict.FENCED
         await rig.poll()
         assert len(rig.losses) == 1
@@ -417,9 +417,9 @@
         self, autojump_clock: object, is_silent: bool
     ) -> None:
         # Its first ends would be forgotten before anybody has read them.
-        rig = SessionRig()
+        rig = SessionHarness()
         await rig.poll()
-        rig.rig.core.executors_by_id[EARLIER].durable = 5
+        rig.rig.core.executors_by_id[EARLIER].durable_position = 5
         assert (await rig.poll())["noted"] == 5
         rig.port.is_silent = is_silent
         await rig.poll()
@@ -430,7 +430,7 @@
     async def test_nothing_is_started_on_one_that_has_restarted(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.answerer = LATER
         await rig.poll()
@@ -438,11 +438,11 @@
         assert rig.port.starts == []
         assert rig.rig.runs_on(EARLIER) == set()
 
-    async def test_nothing_is_named_to_or_started_on_one_that_does_not_answer(
+    async def test_no_deadline_is_sent_to_and_no_run_started_on_an_unresponsive_executor(
         self, autojump_clock: object
     ) -> None:
         # A deadline on the clock of before would be a lease of full length after a restart.
-        rig = SessionRig()
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.is_silent = True
         await rig.poll()
@@ -453,7 +453,7 @@
     async def test_one_that_does_not_answer_is_asked_without_waiting_for_an_end(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await rig.poll()
         rig.port.is_silent = True
         with trio.move_on_after(3.0):
@@ -465,7 +465,7 @@
     async def test_an_order_without_an_answer_is_sent_again_only_after_a_listing(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.is_silent = True
         async with trio.open_nursery() as nursery:
@@ -479,7 +479,7 @@
     async def test_leases_that_an_unanswered_order_may_have_granted_are_waited_for(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await trio.sleep(200.0)
         order = await rig.place()
         rig.port.is_silent = True
@@ -490,12 +490,12 @@
         assert not clock.has_lapsed(sent_at + longest_lease_s(TIMINGS) - 0.1)
         assert clock.has_lapsed(sent_at + longest_lease_s(TIMINGS) + 0.1)
 
-    async def test_one_that_falls_silent_is_shown_a_higher_token_from_then_on(
+    async def test_an_executor_that_stops_answering_is_shown_a_higher_token_from_then_on(
         self, autojump_clock: object
     ) -> None:
         # A start sent before the silence was carried out by a later incarnation after its first
         # call, which had shown it no higher token.
-        rig = SessionRig()
+        rig = SessionHarness()
         before = (await rig.poll())["token"]
         rig.port.is_silent = True
         await rig.poll()
--- a/tests/test_cell_fleet_size.py
+++ b/tests/test_cell_fleet_size.py
@@ -20,7 +20,7 @@
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.lease_clock import LeaseClock
 from galenastall.coordination.cell.orders import StartOutcome
-from galenastall.coordination.cell.poll_pace import BURST, IDLE_POLLS_A_S, PollPace
+from galenastall.coordination.cell.poll_limiter import BURST, IDLE_POLLS_PER_S, IdlePollLimiter
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.state.cell.phases import JobPhase
 
@@ -46,7 +46,7 @@
     return count
 
 
-def rig_of(executors: int) -> Rig:
+def harness_of(executors: int) -> Rig:
     return Rig(*(make_info(f"e{number}") for number in range(executors)))
 
 
@@ -54,7 +54,7 @@
     """Listings scanned the whole table for incarnations on the same host: 1.2 ms of 3,000."""
 
     def test_it_does_not_grow_with_the_fleet(self) -> None:
-        small, large = rig_of(SMALL_FLEET), rig_of(LARGE_FLEET)
+        small, large = harness_of(SMALL_FLEET), harness_of(LARGE_FLEET)
         assert lines_of(partial(small.listing, "e7")) == lines_of(partial(large.listing, "e7"))
 
 
@@ -63,8 +63,8 @@
 
     STARTS = 60
 
-    def test_those_that_fail_together_look_at_the_fleet_once(self) -> None:
-        rig = rig_of(LARGE_FLEET)
+    def test_those_that_fail_together_scan_the_fleet_once(self) -> None:
+        rig = harness_of(LARGE_FLEET)
         rig.submit(make_job(make_step(self.STARTS, cores=3000)))
         orders = rig.step()
         assert len(orders) == self.STARTS
@@ -88,56 +88,58 @@
         self.table.add(executor)
         return executor
 
-    def names_beside(self, executor: Executor) -> list[str]:
-        return [other.executor_id for other in self.table.beside(executor)]
+    def names_sharing(self, executor: Executor) -> list[str]:
+        return [other.executor_id for other in self.table.sharing_name_or_host(executor)]
 
     def test_it_finds_incarnations_by_host_and_by_name(self) -> None:
         first = self.add(make_info("a@1", host="h1"))
         self.add(make_info("a@2", host="h2"))
         self.add(make_info("b", host="h1"))
         self.add(make_info("c", host="h3"))
-        assert self.names_beside(first) == ["a@2", "b"]
+        assert self.names_sharing(first) == ["a@2", "b"]
 
     def test_an_executor_that_is_listed_after_its_runs_were_restored_is_found_on_its_host(
         self,
     ) -> None:
         adopted = self.add(replace(make_info("a"), host=""))
         other = self.add(make_info("b", host="h1"))
-        assert self.names_beside(other) == []
+        assert self.names_sharing(other) == []
         self.table.set_info(adopted, make_info("a", host="h1"))
-        assert self.names_beside(other) == ["a"]
+        assert self.names_sharing(other) == ["a"]
 
     def test_executors_without_a_host_are_not_together(self) -> None:
         one = self.add(replace(make_info("a"), host=""))
         self.add(replace(make_info("b"), host=""))
-        assert self.names_beside(one) == []
+        assert self.names_sharing(one) == []
 
     def test_one_that_is_removed_is_found_no_more(self) -> None:
         one = self.add(make_info("a", host="h1"))
         self.add(make_info("b", host="h1"))
         self.table.remove("b")
-        assert self.names_beside(one) == []
+        assert self.names_sharing(one) == []
         assert list(self.table.on_host("h1")) == [one]
 
 
-class TestPollPace:
+class TestIdlePollLimiter:
     def test_a_fleet_that_fits_into_the_rate_never_waits(self) -> None:
-        pace = PollPace(polls_a_s=300.0, burst=400)
-        turns = [pace.next_turn(10.0) for _ in range(400)]
+        limiter = IdlePollLimiter(polls_per_s=300.0, burst=400)
+        turns = [limiter.next_slot(10.0) for _ in range(400)]
         assert max(turns) <= 10.0 + ROUNDING_S
-        later = [pace.next_turn(10.0 + number / 250.0) - number / 250.0 for number in range(1_000)]
+        later = [
+            limiter.next_slot(10.0 + number / 250.0) - number / 250.0 for number in range(1_000)
+        ]
         assert max(later) <= 10.0 + 1.0
 
     def test_a_larger_one_takes_turns_in_the_order_of_asking(self) -> None:
-        pace = PollPace(polls_a_s=300.0, burst=400)
-        turns = [pace.next_turn(10.0) for _ in range(LARGE_FLEET)]
+        limiter = IdlePollLimiter(polls_per_s=300.0, burst=400)
+        turns = [limiter.next_slot(10.0) for _ in range(LARGE_FLEET)]
         assert turns == sorted(turns)
         assert turns[-1] == pytest.approx(10.0 + (LARGE_FLEET - 400) / 300.0)
 
     def test_a_pause_gives_no_more_than_a_burst(self) -> None:
-        pace = PollPace(polls_a_s=300.0, burst=400)
-        pace.next_turn(0.0)
-        turns = [pace.next_turn(1_000.0) for _ in range(401)]
+        limiter = IdlePollLimiter(polls_per_s=300.0, burst=400)
+        limiter.next_slot(0.0)
+        turns = [limiter.next_slot(1_000.0) for _ in range(401)]
         assert sum(1 for turn in turns if turn <= 1_000.0 + ROUNDING_S) == 400
 
 
@@ -155,7 +157,7 @@
         begun_at = trio.current_time()
         await trio.sleep(6.0)
         lasted_s = trio.current_time() - begun_at
-        assert world.renewals <= BURST + IDLE_POLLS_A_S * (lasted_s + 1.0)
+        assert world.renewals <= BURST + IDLE_POLLS_PER_S * (lasted_s + 1.0)
         heard = [e for e in world.executors.values() if e.fence > 0]
         assert len(heard) == self.EXECUTORS
 
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -6,9 +6,9 @@
 import trio
 
 from cell.cluster import Cluster
+from cell.mutations import replaced
 from cell.play import changed_quotas_in_trouble, hand_in, play
 from cell.rig import JOB, TIMINGS, Rig, make_info, make_job, make_step
-from cell.weakenings import replaced
 from cell.world import World
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.orders import StartOutcome
--- a/tests/test_cell_refusals.py
+++ b/tests/test_cell_refusals.py
@@ -46,7 +46,7 @@
             rig.listing(f"e{number}")
         assert {order.executor_id for order in rig.step()} == {"e0", "e1"}
 
-    def test_an_executor_that_refuses_start_after_start_is_left_alone_for_longer(self) -> None:
+    def test_an_executor_that_keeps_refusing_starts_is_paused_for_longer(self) -> None:
         rig = Rig(make_info("e0"))
         pauses: list[float] = []
         rig.submit(make_job(make_step(1)))
@@ -60,7 +60,7 @@
         assert pauses[0] < 1.0
         assert 10.0 < pauses[-1] <= 30.0
 
-    def test_one_start_that_it_takes_ends_that(self) -> None:
+    def test_an_accepted_start_resets_the_pause(self) -> None:
         rig = Rig(make_info("e0"))
         rig.submit(make_job(make_step(1)))
         pauses: list[float] = []
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -210,7 +210,7 @@
         for _ in range(round(seconds / LISTED_EVERY_S)):
             self.now += LISTED_EVERY_S
             for order in self.fillers:
-                pace = self.core.executors_by_id[order.executor_id].filler_percent / 100
+                pace = self.core.executors_by_id[order.executor_id].filler_rate_percent / 100
                 self.percents[order] = self.percents.get(order, 0.0) + 10 * pace * LISTED_EVERY_S
             for info in self.infos:
                 self.listing(info.executor_id, self._running(info.executor_id))
@@ -240,7 +240,7 @@
         for _ in range(16):
             rig.play(LISTED_EVERY_S)
             stops += rig.stops()
-        assert rig.core.executors_by_id[rig.host].filler_percent == 0
+        assert rig.core.executors_by_id[rig.host].filler_rate_percent == 0
         assert paused(rig) == set()
         assert stops == []
 
@@ -254,7 +254,7 @@
         for _ in range(12):
             rig.play(LISTED_EVERY_S)
             stops += rig.stops()
-        assert 0 < rig.core.executors_by_id[rig.host].filler_percent <= 25
+        assert 0 < rig.core.executors_by_id[rig.host].filler_rate_percent <= 25
         assert paused(rig) == set()
         assert stops == []
 
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -13,7 +13,7 @@
 from galenastall.cli.app import app
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.commands import AskAdvice, Note, StartOrder
-from galenastall.coordination.cell.executors import Closed, Cordon, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Cordon, Executor
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.explain_reasons import reasons_by_queue, tell_reasons
 from galenastall.coordination.cell.explain_restarts import tell_restarts
@@ -23,7 +23,7 @@
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.coordination.cell.placer import TICKETED_SOON_S
 from galenastall.coordination.cell.room_plan import PlannedStart
-from galenastall.coordination.cell.standstill import STILL_S
+from galenastall.coordination.cell.stalls import STALL_TIMEOUT_S
 from galenastall.coordination.cell.stop_rules import JobStops, StopRule
 from galenastall.coordination.cell.turns import (
     FRUITLESS_PLANS,
@@ -387,7 +387,7 @@
         rig = SightRig(executors=1)
         return rig.core.executors_by_id["e000"]
 
-    def why(self, executor: Executor, now: float = 100.0) -> Closed | None:
+    def why(self, executor: Executor, now: float = 100.0) -> ClosedReason | None:
         why = executor.why_closed(now=now, reach_s=1.5, delisted_grace_s=2.0)
         assert executor.is_open(now=now, reach_s=1.5, delisted_grace_s=2.0) is (why is None)
         return why
@@ -396,9 +396,10 @@
         assert self.why(self.executor()) is None
 
     @pytest.mark.parametrize(
-        ("field", "closed"), [("is_draining", Closed.DRAINING), ("is_usable", Closed.UNUSABLE)]
+        ("field", "closed"),
+        [("is_draining", ClosedReason.DRAINING), ("is_usable", ClosedReason.UNUSABLE)],
     )
-    def test_what_the_list_says(self, field: str, closed: Closed) -> None:
+    def test_what_the_list_says(self, field: str, closed: ClosedReason) -> None:
         executor = self.executor()
         value = not getattr(executor.info, field)
         executor.set_info(replace(executor.info, **{field: value}))  # type: ignore[arg-type]
@@ -407,15 +408,15 @@
     @pytest.mark.parametrize(
         ("field", "value", "closed"),
         [
-            ("cordons", {Cordon.POOL}, Closed.CORDONED),
-            ("strangers", frozenset({(TaskKey(JOB, 0, 0, 0), 1)}), Closed.STRANGERS),
-            ("paused_until", 101.0, Closed.PAUSED),
-            ("doubted_at", 100.0, Closed.DOUBTED),
-            ("answered_at", 98.0, Closed.NOT_ANSWERED),
-            ("answered_at", None, Closed.NOT_ANSWERED),
+            ("cordons", {Cordon.POOL}, ClosedReason.CORDONED),
+            ("unknown_runs", frozenset({(TaskKey(JOB, 0, 0, 0), 1)}), ClosedReason.UNKNOWN_RUNS),
+            ("paused_until", 101.0, ClosedReason.PAUSED),
+            ("start_unanswered_at", 100.0, ClosedReason.UNANSWERED_START),
+            ("answered_at", 98.0, ClosedReason.NOT_ANSWERED),
+            ("answered_at", None, ClosedReason.NOT_ANSWERED),
         ],
     )
-    def test_what_the_leader_knows(self, field: str, value: object, closed: Closed) -> None:
+    def test_what_the_leader_knows(self, field: str, value: object, closed: ClosedReason) -> None:
         executor = self.executor()
         setattr(executor, field, value)
         assert self.why(executor) is closed
@@ -426,12 +427,12 @@
         executor.delisted_at = 99.0
         assert self.why(executor) is None
         executor.delisted_at = 97.0
-        assert self.why(executor) is Closed.DELISTED
+        assert self.why(executor) is ClosedReason.DELISTED
 
     def test_one_that_was_never_heard(self) -> None:
         clock = LeaseClock(timings=SightRig().core.timings, unknown_until=0.0)
         executor = Executor(info=make_info("e1"), clock=clock, now=100.0)
-        assert self.why(executor) is Closed.NOT_ANSWERED
+        assert self.why(executor) is ClosedReason.NOT_ANSWERED
 
     def test_the_load_report_counts_them_by_reason(self) -> None:
         rig = SightRig(executors=4)
@@ -458,7 +459,7 @@
         rig.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
         rig.run_all(rig.step())
         rig.answer_listings(40)
-        for _ in range(int(STILL_S) + 1):
+        for _ in range(int(STALL_TIMEOUT_S) + 1):
             rig.now += 1.0
             rig.answer_listings(40)
             rig.decide()
@@ -475,7 +476,7 @@
     def test_a_gang_s_run_counts_once(self) -> None:
         rig, notes = self.stalled()
         assert len(notes) == 2
-        assert rig.core.stopped_by_rule == {StopRule.STANDS_STILL: 1}
+        assert rig.core.stopped_by_rule == {StopRule.STALLED: 1}
 
     def test_the_job_s_line_tells_them(self) -> None:
         rig, _ = self.stalled()
@@ -516,7 +517,7 @@
 
     def __init__(self) -> None:
         self.waiting_by_reason = {WaitReason.ROOM_KEPT: 3}
-        self.stopped_by_rule = {StopRule.STANDS_STILL: 2}
+        self.stopped_by_rule = {StopRule.STALLED: 2}
 
 
 class _Host:
@@ -538,7 +539,7 @@
 
     PAGE = Path(__file__).parents[1] / "docs" / "guide" / "observability.md"
 
-    @pytest.mark.parametrize("kind", [WaitReason, Closed, StopRule])
+    @pytest.mark.parametrize("kind", [WaitReason, ClosedReason, StopRule])
     def test_all_reasons_and_rules_are_named(self, kind: type[StrEnum]) -> None:
         page = self.PAGE.read_text()
         assert [name.value for name in kind if f"`{name.value}`" not in page] == []
--- a/tests/test_cell_standstill.py
+++ b/tests/test_cell_standstill.py
@@ -42,7 +42,7 @@
         rig.stops()
 
 
-class TestStandstillOfAGang:
+class TestGangStalls:
     def start(self, *, members: int = 3) -> tuple[Rig, list[StartOrder]]:
         rig = Rig(*(make_info(f"e{number}") for number in range(members + 1)))
         rig.submit(make_job(make_step(members, cores=4000, is_gang=True)))
@@ -55,14 +55,14 @@
         watch(rig, dict.fromkeys(orders[:2], (0, 0)))
         assert paused(rig) == set()
 
-    def test_members_that_all_stand_still_are_not_blamed(self) -> None:
+    def test_members_that_all_stall_are_not_blamed(self) -> None:
         rig, orders = self.start()
         rig.run_all(orders)
         watch(rig, dict.fromkeys(orders, (40, 0)))
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
         assert paused(rig) == set()
 
-    def test_a_member_that_stands_still_while_the_others_go_on_is_blamed(self) -> None:
+    def test_a_member_that_stalls_while_the_others_progress_is_blamed(self) -> None:
         rig, orders = self.start()
         rig.run_all(orders)
         watch(rig, {orders[0]: (40, 0), orders[1]: (40, 1), orders[2]: (45, 1)})
@@ -83,7 +83,7 @@
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
 
 
-class TestStandstillRunAfterRun:
+class TestRepeatedStalls:
     """A task that shows no progress for longer than others, on sound executors."""
 
     def stopped_after(self, rig: Rig, order: StartOrder, *, most_s: float = 200.0) -> float | None:
@@ -122,7 +122,7 @@
                 show(rig, {order: percent})
                 assert rig.stops() == []
 
-    def test_a_run_whose_pace_has_shown_is_given_the_time_of_its_next_percents(self) -> None:
+    def test_a_run_of_known_speed_is_given_the_time_of_its_next_percents(self) -> None:
         rig = Rig(make_info("e1"))
         rig.submit(make_job(make_step(1, estimate_s=1.0)))
         order = rig.step()[0]
--- a/tests/test_cell_weakenings.py
+++ b/tests/test_cell_weakenings.py
@@ -5,14 +5,14 @@
 import pytest
 import trio
 
-from cell.alone import play_alone
+from cell.alone import simulate_isolated
 from cell.cluster import Cluster
-from cell.play import check_all_end, hand_in, random_trouble
-from cell.weakenings import (
-    WEAKENINGS,
+from cell.mutations import (
+    MUTATIONS,
     leases_reach_beyond_the_confirmation,
-    standbys_claim_without_a_look,
+    standbys_claim_without_reading,
 )
+from cell.play import check_all_end, hand_in, random_trouble
 from cell.world import World
 
 SEEDS = range(300, 305)
@@ -28,7 +28,7 @@
 def fails(seed: int) -> bool:
     """Whether a check of the random trouble fails."""
     try:
-        play_alone(random_trouble, seed=seed)
+        simulate_isolated(random_trouble, seed=seed)
     except Exception as error:
         if isinstance(innermost(error), AssertionError):
             return True
@@ -36,17 +36,17 @@
     return False
 
 
-class TestWeakenedRules:
-    @pytest.mark.parametrize("name", sorted(WEAKENINGS))
+class TestRuleMutations:
+    @pytest.mark.parametrize("name", sorted(MUTATIONS))
     def test_a_rule_taken_out_is_noticed(self, name: str) -> None:
-        with WEAKENINGS[name]():
+        with MUTATIONS[name]():
             assert any(fails(seed) for seed in SEEDS)
 
     def test_with_all_rules_the_same_seeds_pass(self) -> None:
         assert not any(fails(seed) for seed in SEEDS)
 
-    def test_claims_without_manners_cost_terms_and_break_nothing(self) -> None:
-        with standbys_claim_without_a_look():
+    def test_claims_without_reading_first_cost_terms_and_break_nothing(self) -> None:
+        with standbys_claim_without_reading():
             assert not any(fails(seed) for seed in SEEDS[:3])
 
 
@@ -70,11 +70,11 @@
 
 class TestConfirmedLeases:
     def test_a_leader_that_the_store_does_not_confirm_lets_its_leases_end(self) -> None:
-        play_alone(leader_cut_off_with_an_executor, seed=40)
+        simulate_isolated(leader_cut_off_with_an_executor, seed=40)
 
     def test_without_that_rule_work_runs_twice(self) -> None:
         with (
             leases_reach_beyond_the_confirmation(),
             pytest.raises(AssertionError, match="runs twice"),
         ):
-            play_alone(leader_cut_off_with_an_executor, seed=40)
+            simulate_isolated(leader_cut_off_with_an_executor, seed=40)
