--- a/src/galenastall/coordination/cell/batches.py
+++ b/src/galenastall/coordination/cell/batches.py
@@ -1,4 +1,4 @@
-"""What the leader writes to the store, and what may leave once it is durable."""
+"""Collects the leader's writes to the store, and the orders to send once they are durable."""
 
 from collections.abc import Iterable
 
@@ -20,12 +20,12 @@
 
 
 class Batches:
-    """Collects changes for one append, and acts on it once it is durable."""
+    """Collects changes for one append, and applies its effects once it is durable."""
 
     def __init__(
         self, *, state: CellState, ends: RunEnds, advice: AdviceBook, hosts: HostCare
     ) -> None:
-        """Work on these tables; `hosts` adds its rows and orders."""
+        """Work on these tables; `hosts` adds its own rows and orders to each batch."""
         self._state = state
         self._ends = ends
         self._advice = advice
@@ -34,13 +34,13 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether a batch would hold anything."""
+        """Whether a batch taken now would contain anything."""
         state = self._state
         has_work = state.dirty_jobs or state.noted_executors or state.new_starts
         return bool(has_work) or self._hosts.has_changes
 
     def drop(self, key: str) -> None:
-        """Have the store forget a key."""
+        """Delete a key from the store with the next batch."""
         self._dropped_keys.add(key)
 
     def take(self) -> Batch:
@@ -73,7 +73,7 @@
         return batch
 
     def commit(self, batch: Batch, *, wall: float) -> list[StartOrder]:
-        """Note that a batch is durable; return the starts that may leave now."""
+        """Record that a batch is durable; return the starts that may be sent now."""
         for executor_id, position in batch.noted_by_executor.items():
             executor = self._state.executors_by_id.get(executor_id)
             if executor is not None:
@@ -89,10 +89,10 @@
         return [order for order in batch.starts if self._may_send(order, wall)]
 
     def _withhold_over_capacity(self, orders: Iterable[StartOrder], wall: float) -> None:
-        """Take back starts whose room or quota shrank while they were made durable.
+        """Withdraw starts whose capacity or quota shrank while they were being made durable.
 
-        An executor that does not guard its capacity would start them. The last to be placed goes
-        first; a gang waits as a whole.
+        An executor that does not enforce its capacity would start them. The last one placed is
+        withdrawn first; a gang is withdrawn as a whole.
         """
         for order in reversed(list(orders)):
             cause = self._withheld_cause(order)
@@ -105,7 +105,7 @@
     def _withheld_cause(self, order: StartOrder) -> str:
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None and executor.is_overcommitted:
-            return "no room left"
+            return "no capacity left"
         job = self._state.jobs_by_id.get(order.task.job)
         if job is not None and self._state.workspaces.is_over(job.job.workspace):
             return "no quota left"
@@ -124,7 +124,7 @@
                 self._ends.stop(task, rule=StopRule.JOB_ENDED, cause=cause)
 
     def _on_acceptance_durable(self, run: JobRun) -> None:
-        """Note that an earlier state of a job is durable: at least its acceptance is."""
+        """Record that a job's acceptance is durable, even if newer changes of the job are not."""
         if not run.is_durable:
             run.is_durable = True
             self._state.note(
@@ -157,8 +157,8 @@
 def _job_rows(run: JobRun) -> dict[str, bytes]:
     """Return a job's rows in the order in which they are written.
 
-    A write may break off after any of them: progress without a definition can't be taken up, so the
-    definition is the first row of a job to come and the last to go.
+    A write may stop after any of them. Progress without a definition can't be restored, so a job's
+    definition is the first of its rows to be written and the last to be deleted.
     """
     job_id = run.job.job_id
     progress = {PROGRESS_PREFIX + job_id: encode_progress(run.row())}
--- a/src/galenastall/coordination/cell/crashes.py
+++ b/src/galenastall/coordination/cell/crashes.py
@@ -1,10 +1,10 @@
-"""To which tasks the crash of an executor is put down, and how heavily.
+"""Attributes the crash of an executor to the tasks that ran there, with weights.
 
-Answers this load: now and then a task crashes each executor that starts it, just after its start,
-with some ten runs of others beside it; other executors crash by themselves, several at a time. A
-task at fault is to be given up once three executors have crashed under it, and none that was only
-there. So a crash weighs on what had just begun, most on a task that alone had; a task suspected
-like that begins its next run where nothing else has just begun (`probation.py`).
+Occasionally a task crashes every executor that starts it, right after its start, along with some
+ten runs of other tasks; other executors crash on their own, several at a time. A faulty task should
+be given up once three executors have crashed under it, and no task that merely ran there should be.
+So a crash is attributed to tasks that were starting, with the highest weight if there was only one;
+such a suspect starts its next run where nothing else is starting (`probation.py`).
 """
 
 from collections import deque
@@ -19,36 +19,37 @@
 from galenastall.state.cell.jobs import StepKey, TaskKey
 
 STARTUP_S: Final = 0.5
-"""A run that was seen at work for as long has not just begun; a task that crashes its executor does
-so within 0.01 s of its start."""
+"""A run is starting until listings have shown it in progress for this long; a task that crashes
+its executor does so within 0.01 s of its start."""
 SUSPECT_STARTUP_S: Final = 0.1
-"""The same for a suspect, whose executor is asked that often while it begins."""
+"""The same for a suspect, whose executor is polled at this interval while it starts."""
 SETTLED_S: Final = 10.0
-"""A crash under a run that was seen at work for as long is not put down to it."""
+"""A crash is not attributed to a run that was in progress for at least this long."""
 ALONE_WEIGHT: Final = 24
-"""For a task that alone had just begun, or alone of these was suspected before."""
+"""For the only task that was starting, or the only suspect among several that were."""
 SHARED_WEIGHT: Final = 15
-"""For each of several that had just begun, for a task of which that is not known, and for all that
-had just begun where other executors crashed at the same time."""
+"""For each of several tasks that were starting, for a task of which that is not known, and for all
+that were starting if other executors crashed at the same time."""
 AT_WORK_WEIGHT: Final = 12
-"""For a task that was at work."""
+"""For a task that was in progress and past its startup."""
 MIN_AT_WORK_WEIGHT: Final = 3
-"""For a task at work however often executors crash by themselves: 20 crashes end it."""
+"""Minimum for a task in progress, however often executors crash on their own: it is given up after
+20 crashes."""
 MAX_WEIGHT: Final = 60
-"""A task with as much is given up: after three crashes at the earliest, for a task that is only
-there may be under two by chance, and after five where others do not crash by themselves."""
+"""A task with this total weight is given up: after three crashes at the earliest, since a task may
+be under two by chance, and after five while in progress if executors rarely crash on their own."""
 LISTING_AGE_S: Final = 1.2
-"""A listing tells what was so up to so long ago; an executor that crashes may have run on."""
+"""Maximum age of the last listing when an executor crashes; its runs may have gone on since."""
 FULL_WEIGHT_CHANCE: Final = 0.01
-"""A crash at work counts in full if executors crash by themselves no more often than this in the
-time that the run was there, and the less, the likelier that is."""
+"""A crash under a task in progress has full weight if the chance of a spontaneous crash while the
+run was there is at most this; the weight falls as that chance rises."""
 RATE_WINDOW_S: Final = 30.0
-"""Crashes of the other executors within this time tell how often they crash by themselves."""
+"""Window of crashes from which the rate of spontaneous crashes is estimated."""
 CONCURRENT_S: Final = 1.5
-"""Executors that fall silent within this time of each other may have one cause: each is heard once
-in 1.2 s."""
+"""Executors that stop answering within this time of each other may have a common cause: each sends
+a listing every 1.2 s."""
 MIN_CONCURRENT: Final = 3
-"""So many others that fall silent with an executor make a cause outside of it likely."""
+"""If this many other executors stop answering at the same time, an external cause is likely."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -57,24 +58,24 @@
 
     task: TaskKey
     unit: TaskKey | StepKey
-    """What is suspected as one: a task, or all members of a gang, which begin together."""
+    """What is suspected as a unit: a task, or all members of a gang, which start together."""
     at_work_s: float | None
-    """For how long it was seen at work; None if this leader does not know."""
+    """How long listings showed it in progress; None if this leader does not know."""
     is_confirmed: bool = True
-    """Whether the executor has said that it started; else it may have crashed before."""
+    """Whether the executor has confirmed the start; otherwise it may have crashed before it."""
     is_suspect: bool = False
-    """Whether it was suspected before."""
+    """Whether the task was already a suspect."""
     chance: float = 0.0
-    """How likely it is that its executor crashed by itself while the run was there."""
+    """Probability of a spontaneous crash of the executor while the run was there."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Attribution:
-    """What a crash means for a task that was there."""
+    """The share of a crash attributed to a task that ran on the executor."""
 
     weight: int
     is_suspect: bool
-    """Whether its next run is to begin apart from others."""
+    """Whether its next run has to start where no other run is starting."""
 
 
 NO_ATTRIBUTION: Final = Attribution(weight=0, is_suspect=False)
@@ -83,9 +84,9 @@
 def attribute_crash(
     affected_runs: Iterable[AffectedRun], *, is_isolated: bool
 ) -> dict[TaskKey, Attribution]:
-    """Return what a crash means for each task that was there.
+    """Return the attribution of a crash for each task that ran on the executor.
 
-    `is_isolated` tells that hardly any other executor crashed at the same time.
+    `is_isolated` means that hardly any other executor crashed at the same time.
     """
     affected_runs = list(affected_runs)
     starting = [affected_run for affected_run in affected_runs if _is_starting(affected_run)]
@@ -109,10 +110,10 @@
 def attribute_lost_contact(
     affected_runs: Iterable[AffectedRun], *, is_listed: bool
 ) -> dict[TaskKey, Attribution]:
-    """Return what it means for tasks that their executor fell silent and their leases have ended.
+    """Return the attribution for tasks whose leases expired after their executor stopped answering.
 
-    It has crashed, or is cut off: from its callers alone if the platform's list still names it
-    (`is_listed`), and then only a task that had just begun may have to do with it.
+    The executor has crashed or is cut off. If the platform still lists it (`is_listed`), it is cut
+    off from its callers only, and at most a task that was starting can be the cause.
     """
     return {
         affected_run.task: (
@@ -125,7 +126,7 @@
 
 
 def _sole_unit(affected_runs: Iterable[AffectedRun]) -> TaskKey | StepKey | None:
-    """Return what all of them belong to, if that is one task or one gang."""
+    """Return the unit of all runs if they share one, a task or a gang."""
     units = {affected_run.unit for affected_run in affected_runs}
     return units.pop() if len(units) == 1 else None
 
@@ -149,7 +150,7 @@
 
 
 def weight_at_work(chance: float) -> int:
-    """Return what a crash weighs on a task at work, by the chance that it was only there."""
+    """Return the weight of a crash for a task in progress, by the chance of a spontaneous one."""
     if chance <= FULL_WEIGHT_CHANCE:
         return AT_WORK_WEIGHT
     weight = round(AT_WORK_WEIGHT * log(chance) / log(FULL_WEIGHT_CHANCE))
@@ -157,18 +158,18 @@
 
 
 class CrashAttributor:
-    """Finds who was there when an executor crashed, in the leader's tables."""
+    """Attributes crashes to the tasks that ran on the executor, from the leader's tables."""
 
     def __init__(self, *, state: CellState) -> None:
         """Read these tables."""
         self._state = state
         self._unresponsive_since: deque[float] = deque(maxlen=64)
-        """Leader's times at which executors that have crashed were last heard."""
+        """Leader's times of the last listings of executors that have crashed."""
         self._crashed: deque[tuple[float, frozenset[TaskKey]]] = deque()
-        """Crashes within RATE_WINDOW_S, each with the tasks that were there."""
+        """Crashes within RATE_WINDOW_S, each with the tasks that ran on the executor."""
 
     def on_crash(self, executor: Executor) -> dict[TaskKey, Attribution]:
-        """Return what the end of an incarnation means for the tasks that were there."""
+        """Return the attribution of an incarnation's end to the tasks that ran there."""
         if executor.has_planned_departure:
             return {}
         is_isolated = self._count_concurrent(executor) < MIN_CONCURRENT
@@ -179,13 +180,13 @@
         return attributions
 
     def on_lapsed(self, executor: Executor) -> dict[TaskKey, Attribution]:
-        """Return what it means for tasks that their leases ended before the executor answered."""
+        """Return the attribution for tasks whose leases expired before the executor answered."""
         if executor.has_planned_departure:
             return {}
         return attribute_lost_contact(self._affected_runs(executor), is_listed=executor.is_listed)
 
     def _count_concurrent(self, executor: Executor) -> int:
-        """Count the other executors that fell silent at the same time, and are or were silent."""
+        """Count other executors, ended or still listed, that stopped answering at the same time."""
         at = executor.answered_at
         if at is None:
             return 0
@@ -227,7 +228,7 @@
             self._crashed.popleft()
 
     def _chance_without(self, task: TaskKey, at_work_s: float | None) -> float:
-        """Return how likely an executor crashes in so long, by the crashes without the task."""
+        """Return the chance of a crash in that time, estimated from crashes without the task."""
         crashes = sum(1 for _, there in self._crashed if task not in there)
         executors = max(len(self._state.executors_by_id), 1)
         watched_s = min(max(self._state.now - self._state.fenced_at, 1.0), RATE_WINDOW_S)
@@ -236,7 +237,7 @@
 
 
 def _may_have_reached_executor(executor: Executor, task: TaskRun) -> bool:
-    """Whether a run's order may have come to its executor before that fell silent."""
+    """Whether a run's order may have reached its executor before it stopped answering."""
     if task.state is StartState.WRITING:
         return False
     if executor.lost_at is None or task.state is StartState.INHERITED:
--- a/src/galenastall/coordination/cell/executor_health.py
+++ b/src/galenastall/coordination/cell/executor_health.py
@@ -1,4 +1,4 @@
-"""Which executors fail, stall or crawl, judged by what becomes of runs there."""
+"""Detects executors on which runs fail, stall or are slow, and pauses them."""
 
 from collections import defaultdict
 from statistics import median
@@ -12,34 +12,34 @@
 from galenastall.state.cell.jobs import Step, StepKey
 
 MAX_CONSECUTIVE_FAILURES: Final = 3
-"""Failed runs in a row after which an executor is paused; sound ones fail one run in twenty."""
+"""Consecutive failed runs after which an executor is paused; healthy ones fail one run in 20."""
 FIRST_PAUSE_S: Final = 4.0
 MAX_PAUSE_S: Final = 30.0
-"""Pauses double from the first to the longest, so that an executor that stays bad is tried
-seldom, and one that recovers is back soon."""
+"""Pauses double from the first to the longest, so that an executor that stays unhealthy is rarely
+tried, and one that recovers is used again soon."""
 MAX_PAUSE_DOUBLINGS: Final = 10
-"""Doublings that are worked out; they take the shortest pause beyond the longest."""
+"""Limit of doublings that are computed; they take the shortest pause beyond the longest."""
 MIN_OBSERVED_S: Final = 0.6
-"""A run is watched for this long before its pace counts; sound ones gain some 20% in it."""
+"""A run is observed for this long before its speed counts; healthy ones gain some 20% by then."""
 SLOW_SHARE: Final = 0.4
-"""An executor whose runs gain less than this share of what others of their steps gain is slow;
-sound ones differ by 0.8 to 1.25, and tasks of one step by a third."""
+"""An executor is slow if its runs gain less than this share of what other runs of their steps gain;
+healthy executors differ by 0.8 to 1.25, and tasks of one step by a third."""
 RUNS_TO_COMPARE: Final = 3
-"""Runs of one step that are needed to tell its usual pace. Declared times are off by up to a
-factor of ten between steps, so paces of different steps are not compared."""
+"""Minimum number of runs of one step to determine its usual speed. Declared times are off by up to
+a factor of ten between steps, so speeds of different steps are not compared."""
 RUNS_TO_JUDGE: Final = 2
-"""Compared runs that are needed before an executor is judged by them."""
+"""Minimum number of compared runs before an executor is found slow."""
 
 
 class ExecutorHealth:
-    """Pauses executors on evidence."""
+    """Pauses executors that fail, refuse, stall or slow down runs."""
 
     def __init__(self, *, state: CellState) -> None:
-        """Judge the executors of these tables."""
+        """Track the executors of these tables."""
         self._state = state
 
     def on_failure(self, executor: Executor, task: TaskRun) -> None:
-        """Note that a run of a task failed there."""
+        """Record that a run of a task failed on an executor."""
         if _is_task_at_fault(executor, task):
             return
         executor.consecutive_failures += 1
@@ -48,14 +48,14 @@
             self._pause(executor, f"{failures} failed runs in a row")
 
     def on_success(self, executor: Executor) -> None:
-        """Note that a run was done there."""
+        """Record that a run completed on an executor."""
         executor.consecutive_failures = 0
         executor.pauses = 0
 
     def on_refusal(self, executor: Executor, task: TaskRun, *, now: float) -> None:
-        """Note that it refused a start for want of health or room.
+        """Record that an executor refused a start for lack of health or capacity.
 
-        Starts that left together are refused together, and a longer pause stays as it is.
+        Starts sent together are refused together; an executor that is paused already stays so.
         """
         if _is_task_at_fault(executor, task):
             first_s = self._state.timings.refused_pause_s
@@ -68,29 +68,29 @@
         executor.paused_until = now + pause_s
 
     def on_start_late(self, executor: Executor, *, now: float) -> None:
-        """Note that a start came too late for it, or was meant for another executor."""
+        """Record that a start arrived too late, or was meant for another executor."""
         pause_s = self._state.timings.refused_pause_s
         executor.paused_until = max(executor.paused_until, now + pause_s)
 
     def on_start_taken(self, executor_id: str) -> None:
-        """Note that it took a start."""
+        """Record that an executor accepted a start."""
         executor = self._state.executors_by_id.get(executor_id)
         if executor is not None:
             executor.refusals = 0
 
     def on_stall(self, executor: Executor, step: StepKey) -> None:
-        """Note that a run of a step made no progress there.
+        """Record that a run of a step made no progress on an executor.
 
-        While other runs there go on, one step that stands still may do so by its nature; four tasks
-        of one closed four sound executors. Two steps do not.
+        While other runs there progress, a stall of a single step may be due to the step itself;
+        four tasks of such a step closed four healthy executors. Stalls of two steps are not.
         """
         executor.stalled_steps.add(step)
         if len(executor.stalled_steps) > 1 or not self._is_progressing(executor):
             executor.stalled_steps.clear()
-            self._pause(executor, "a run stands still")
+            self._pause(executor, "a run has stalled")
 
     def _is_progressing(self, executor: Executor) -> bool:
-        """Whether a run there has made progress lately."""
+        """Whether any run on the executor has made progress recently."""
         for key in executor.runs_by_task:
             found = self._state.find(key)
             if found is None or not found[2].has_progressed:
@@ -106,12 +106,12 @@
             if len(shares) < RUNS_TO_JUDGE or median(shares) >= SLOW_SHARE:
                 continue
             executor = self._state.executors_by_id[executor_id]
-            self._pause(executor, f"its runs gain {median(shares):.2f} of what others do")
+            self._pause(executor, f"its runs progress at {median(shares):.2f} of the usual speed")
             slow.append(executor)
         return slow
 
     def _shares_by_executor(self) -> dict[str, list[float]]:
-        """Return each run's pace as a share of the usual one of its step, by executor."""
+        """Return each run's speed as a share of the median of its step, by executor."""
         gains_by_step: defaultdict[StepKey, list[tuple[str, float]]] = defaultdict(list)
         for executor_id, executor in self._state.executors_by_id.items():
             for key in executor.runs_by_task:
@@ -144,25 +144,25 @@
 
 
 def _is_task_at_fault(executor: Executor, task: TaskRun) -> bool:
-    """Whether other executors, too, have failed or refused a task: the fault may be its own.
+    """Whether other executors have also failed or refused a task, so that it may be at fault.
 
-    One task that fails or is refused wherever it goes closed all executors, one after the other.
+    Otherwise one task that fails or is refused everywhere closes all executors, one by one.
     """
     return bool(task.avoided - {executor.executor_id})
 
 
 def _doubled_s(first_s: float, times: int) -> float:
-    """Return a pause that has been doubled so many times, the longest one at most."""
+    """Return a pause doubled `times` times, limited to the longest one."""
     return min(first_s * 2.0 ** min(times, MAX_PAUSE_DOUBLINGS), MAX_PAUSE_S)
 
 
 def _is_compared(step: Step) -> bool:
-    """Whether the pace of a step's runs is their own: gangs wait, and fillers are slowed down."""
+    """Whether a step's runs set their own speed: gang members wait, and fillers are throttled."""
     return not (step.is_gang or step.is_long_running or step.is_filler)
 
 
 def _percent_per_second(task: TaskRun) -> float | None:
-    """Return the percent of its work that a run does in a second; None while it can't be told."""
+    """Return the progress of a run in percent per second; None while it is unknown."""
     if task.state is not StartState.STARTED or task.first_seen_at is None:
         return None
     observed_s = task.listed_at - task.first_seen_at
--- a/src/galenastall/coordination/cell/executor_table.py
+++ b/src/galenastall/coordination/cell/executor_table.py
@@ -1,7 +1,7 @@
-"""The executors of a cell, found by id, by name and by host.
+"""The executors of a cell, indexed by id, by name and by host.
 
-Answers this load: thousands of executors that list themselves again and again. What a listing
-costs must not grow with the fleet.
+Thousands of executors send listings continuously, so the cost of handling one listing must not grow
+with the size of the fleet.
 """
 
 from collections import defaultdict
@@ -11,27 +11,27 @@
 
 
 class ExecutorTable:
-    """All incarnations that are listed or may still run something; indexes follow changes."""
+    """All incarnations that are listed or may still run something."""
 
     def __init__(self) -> None:
         """Create an empty table."""
         self.by_id: dict[str, Executor] = {}
-        """To be changed by the methods here only."""
+        """Modified only by the methods of this class, which keep the indexes consistent."""
         self.version = 0
-        """Rises whenever an executor comes or goes."""
+        """Increases whenever an executor is added or removed."""
         self._ended_ids: set[str] = set()
         self._ids_by_name: defaultdict[str, set[str]] = defaultdict(set)
         self._ids_by_host: defaultdict[str, set[str]] = defaultdict(set)
 
     def add(self, executor: Executor) -> None:
-        """Take an incarnation in."""
+        """Add an incarnation."""
         self.version += 1
         self.by_id[executor.executor_id] = executor
         self._ids_by_name[executor.name].add(executor.executor_id)
         self._ids_by_host[executor.info.host].add(executor.executor_id)
 
     def remove(self, executor_id: str) -> None:
-        """Forget an incarnation, if it is known."""
+        """Remove an incarnation if it is known."""
         executor = self.by_id.pop(executor_id, None)
         if executor is None:
             return
@@ -40,10 +40,10 @@
         _discard(self._ids_by_host, executor.info.host, executor_id)
 
     def end(self, executor_id: str) -> None:
-        """Forget an incarnation that is over.
+        """Remove an incarnation that has ended, and remember its id.
 
-        Its entry stays listed for some heartbeats, and one that was held up on its way may be
-        listed again seconds later.
+        Its entry stays in the platform's list for some heartbeats, and a delayed heartbeat may add
+        it again seconds later.
         """
         self.remove(executor_id)
         self._ended_ids.add(executor_id)
@@ -53,19 +53,19 @@
         return executor_id in self._ended_ids
 
     def set_info(self, executor: Executor, info: ExecutorInfo) -> None:
-        """Take what the list says of an incarnation now."""
+        """Apply the current entry of an incarnation in the platform's list."""
         if info.host != executor.info.host:
             _discard(self._ids_by_host, executor.info.host, executor.executor_id)
             self._ids_by_host[info.host].add(executor.executor_id)
         executor.set_info(info)
 
     def on_host(self, host: str) -> Iterator[Executor]:
-        """Return the incarnations on a host, in no promised order; none on an unnamed one."""
+        """Return the incarnations on a host, in no particular order; none if `host` is empty."""
         ids = self._ids_by_host.get(host, ()) if host else ()
         return (self.by_id[executor_id] for executor_id in ids)
 
     def sharing_name_or_host(self, executor: Executor) -> list[Executor]:
-        """Return the other incarnations of its name or on its host, in the order of their ids."""
+        """Return the other incarnations with its name or on its host, ordered by id."""
         ids = {other.executor_id for other in self.on_host(executor.info.host)}
         ids |= self._ids_by_name.get(executor.name, set())
         ids.discard(executor.executor_id)
--- a/src/galenastall/coordination/cell/executors.py
+++ b/src/galenastall/coordination/cell/executors.py
@@ -1,4 +1,4 @@
-"""Executors as the leader sees them: room, reachability, and the runs that may be there."""
+"""The leader's view of executors: free capacity, reachability, and runs that may exist there."""
 
 from dataclasses import dataclass
 from enum import Enum, StrEnum, auto
@@ -10,111 +10,112 @@
 
 
 class Cordon(Enum):
-    """Why a host is being emptied; each reason is set and lifted by the module that has it."""
+    """Why a host is being emptied; each reason is set and cleared by the module that owns it."""
 
     WAVE = auto()
-    """It is taken down for maintenance."""
+    """The host is being taken down for maintenance."""
     POOL = auto()
-    """It is given back to the pool that it came from."""
+    """The host is being returned to the pool that it came from."""
 
 
 class ClosedReason(StrEnum):
-    """Why an executor takes no new work; the first that holds, in this order."""
+    """Why an executor accepts no new work; if several apply, the first in this order is given."""
 
     RESTARTED = "restarted"
-    """A later incarnation of it has answered."""
+    """A later incarnation of the executor has answered."""
     DRAINING = "draining"
     UNUSABLE = "unusable"
-    """Its entry in the list can't be read."""
+    """Its entry in the platform's list can't be parsed."""
     CORDONED = "cordoned"
     UNKNOWN_RUNS = "strangers"
-    """Runs are there that no live job accounts for."""
+    """It runs something that belongs to no live job."""
     PAUSED = "paused"
     DELISTED = "delisted"
     UNANSWERED_START = "doubted"
-    """A start got no answer since its last listing."""
+    """A start has gone unanswered since its last listing."""
     NOT_ANSWERED = "not_answered"
-    """It has given no listing lately, or none yet."""
+    """It has sent no recent listing, or none at all yet."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExecutorInfo:
-    """One incarnation of an executor, as the platform's list names it."""
+    """One incarnation of an executor, as described in the platform's list."""
 
     executor_id: str
     host: str
-    """The host that it runs on; its next incarnation has another id and the same host."""
+    """The host that it runs on; its next incarnation has a new id on the same host."""
     address: str
     data_centre: str
     service: str
     capacity: Resources
     labels: tuple[str, ...] = ()
-    """What steps may require: its kind, and more."""
+    """Labels that steps may require, such as the kind of executor."""
     rack: str = ""
     is_usable: bool = True
-    """False once its entry can't be read any more: it gets nothing new, and what runs goes on."""
+    """False once its entry can no longer be parsed: it gets no new work, and its runs continue."""
     is_draining: bool = False
     leaves_in_s: float = 0.0
-    """Least time in seconds until it leaves, while it drains."""
+    """Minimum time in seconds until a draining executor leaves."""
 
 
 class Executor:
-    """One incarnation of an executor; the ledger counts every run that may be there."""
+    """One incarnation of an executor; its ledger counts every run that may exist there."""
 
     def __init__(self, *, info: ExecutorInfo, clock: LeaseClock, now: float) -> None:
-        """Start with an empty ledger; nothing is placed before the first listing."""
+        """Create an executor with an empty ledger; nothing is placed before its first listing."""
         self.info = info
         self.executor_id = info.executor_id
         """Id of this incarnation."""
         self.name = executor_name(info.executor_id)
-        """What all incarnations of it are called."""
+        """Name shared by all incarnations of the executor."""
         self.clock = clock
         self.runs_by_task: dict[TaskKey, int] = {}
         self.unknown_runs: frozenset[tuple[TaskKey, int]] = frozenset()
-        """Runs listed there that no live job accounts for; they are stopped first."""
+        """Listed runs that belong to no live job; stopped before new work is placed."""
         self.cordons: set[Cordon] = set()
-        """Why its host is being emptied; while there is any reason it gets nothing new."""
+        """Why its host is being emptied; it gets no new work while there is any reason."""
         self.has_restarted = False
-        """Whether a later incarnation has answered in its stead; what it did is not known yet."""
+        """Whether a later incarnation has answered in its place; it is not known yet which orders
+        that one carried out."""
         self.is_listed = True
         self.delisted_at = now
         self.answered_at: float | None = None
-        """Leader's time of its last good listing."""
+        """Leader's time of its last successful listing."""
         self.answered_seq = 0
-        """Sequence number at which that listing came; 0 before the first."""
+        """Sequence number at which that listing arrived; 0 before the first."""
         self.lost_at: float | None = None
         """Leader's time at which it stopped answering; None while it answers."""
         self.start_unanswered_at = float("-inf")
-        """Leader's time at which a start got no answer, here or next to it; it gets nothing new
-        before it has answered since. Of the starts sent into a cut, each unanswered one waits for
-        the cut's end or for its lease."""
+        """Leader's time at which a start got no answer, here or from another executor of the same
+        data centre. It gets no new work until it answers again: each start sent into a network cut
+        has to wait for the end of the cut or of its lease."""
         self.paused_until = 0.0
         self.applied_position = 0
-        """Position in its list of ends up to which ends were applied."""
+        """Position in its list of run ends up to which ends have been applied."""
         self.durable_position = 0
-        """Position up to which applied ends are durable, so that it may forget them."""
+        """Position up to which applied ends are durable, so that the executor may discard them."""
         self.consecutive_failures = 0
         self.pauses = 0
-        """Pauses since the last run that was done here."""
+        """Pauses since a run last completed here."""
         self.stalled_steps: set[StepKey] = set()
-        """Steps of which a run stood still there since its last pause for that."""
+        """Steps of which a run has stalled here since the last pause for stalls."""
         self.refusals = 0
-        """Starts that it refused since it last took one."""
+        """Starts refused since it last accepted one."""
         self._leaves_at: float | None = None
         self.filler_rate_percent = 100
-        """Pace of the fillers here."""
+        """Rate at which filler tasks work here, in percent of full speed."""
         self.filler_rate_set_at = float("-inf")
         self.needs_listing = False
-        """Whether a listing is needed now, without waiting for an end."""
+        """Whether a listing is needed now, without waiting for a run to end."""
         self.polled_until = float("-inf")
-        """Until when it is polled without a pause though it runs nothing: a step waits for it."""
+        """Until when it is polled continuously even without runs: a step waits for it."""
         self.free = info.capacity
-        """What the ledger has left; negative where a capacity has shrunk."""
+        """Capacity not reserved in the ledger; may be negative after the capacity has shrunk."""
         self.version = 0
-        """Rises with each change of the ledger and each listing that shows runs."""
+        """Increases with each change of the ledger and each listing."""
 
     def set_info(self, info: ExecutorInfo) -> None:
-        """Take what the list says now; the ledger follows a changed capacity."""
+        """Apply the current entry of the list; a changed capacity is applied to the ledger."""
         old, new = self.info.capacity, info.capacity
         if new != old:
             self.release(new)
@@ -123,31 +124,31 @@
 
     @property
     def has_planned_departure(self) -> bool:
-        """Whether its end was planned, by the platform or by this cell."""
+        """Whether its departure was planned, by the platform or by this cell."""
         return self.info.is_draining or bool(self.cordons)
 
     def leaves_at(self, now: float) -> float:
-        """Return the time at which a draining executor may leave, as first read off the list."""
+        """Return when a draining executor may leave, as computed from its first draining entry."""
         if self._leaves_at is None:
             self._leaves_at = now + self.info.leaves_in_s
         return self._leaves_at
 
     def count_fitting(self, need: Resources, most: int) -> int:
-        """Return how many of `need` fit now, `most` at the highest."""
+        """Return how many times `need` fits into the free capacity, at most `most`."""
         return 0 if self.is_overcommitted else need.count_in(self.free, most)
 
     @property
     def is_overcommitted(self) -> bool:
-        """Whether what may be there is more than its capacity, which has shrunk."""
+        """Whether the reserved capacity exceeds the total, which has shrunk."""
         return self.free.is_negative()
 
     def reserve(self, need: Resources) -> None:
-        """Reserve room."""
+        """Reserve capacity."""
         self.free = self.free - need
         self.version += 1
 
     def release(self, need: Resources) -> None:
-        """Return reserved room."""
+        """Release reserved capacity."""
         self.free = self.free + need
         self.version += 1
 
@@ -181,13 +182,13 @@
 
     @property
     def has_unacked_start(self) -> bool:
-        """Whether a start got no answer since it last gave a listing."""
+        """Whether a start has gone unanswered since its last listing."""
         return self.answered_at is not None and self.answered_at <= self.start_unanswered_at
 
     def needs_polling(self, now: float) -> bool:
-        """Whether it has to be polled without a pause."""
+        """Whether it has to be polled continuously."""
         return bool(self.runs_by_task) or self.has_unacked_start or now < self.polled_until
 
     def has_answered(self, *, now: float, reach_s: float) -> bool:
-        """Whether it has given a listing within `reach_s`."""
+        """Whether a listing arrived within the last `reach_s` seconds."""
         return self.answered_at is not None and now - self.answered_at <= reach_s
--- a/src/galenastall/coordination/cell/fleet.py
+++ b/src/galenastall/coordination/cell/fleet.py
@@ -1,4 +1,4 @@
-"""Executors that come, drain and vanish, as the platform's list and their silence tell."""
+"""Tracks executors that join, drain and leave, from the platform's list and missing answers."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -14,11 +14,11 @@
 from galenastall.state.resources import NOTHING
 
 FORGET_AFTER_S: Final = 5.0
-"""An executor without runs that has been off the list for longer is forgotten."""
+"""An executor without runs is removed after it has been off the list for this long."""
 
 
 class Fleet:
-    """Keeps the table of executors in step with the platform's list, and ends lapsed runs."""
+    """Updates the executor table from the platform's list, and ends runs with expired leases."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
         crashes: CrashAttributor,
         incarnations: Incarnations,
     ) -> None:
-        """Work on these tables; `incarnations` takes in who is listed."""
+        """Work on these tables; `incarnations` adds executors that are newly listed."""
         self._state = state
         self._ends = ends
         self._crashes = crashes
         self._incarnations = incarnations
         self._unknown_service_ids: set[str] = set()
-        """Executors that were told of once as being of no service that the configuration names."""
+        """Executors already logged as being of a service that no configuration names."""
 
     def adopt(self, run: JobRun) -> None:
-        """Count the runs that earlier leaders assigned, on executors that may not be listed yet."""
+        """Reserve capacity for runs of earlier leaders; their executors may not be listed yet."""
         for task in run.assigned():
             step = run.find_step(task.key.step_key)
             if step is None:
@@ -52,7 +52,7 @@
             self._state.count_run(task, step)
 
     def update(self, infos: Iterable[ExecutorInfo], *, now: float) -> None:
-        """Take the list as it is now; which of two incarnations is over, only answers tell."""
+        """Apply the current list; which of two incarnations has ended is decided by answers."""
         listed_by_id = {info.executor_id: info for info in infos if self._is_of_service(info)}
         for info in listed_by_id.values():
             if not self._incarnations.has_ended(info.executor_id):
@@ -62,7 +62,7 @@
                 self._on_delisted(executor, now)
 
     def _is_of_service(self, info: ExecutorInfo) -> bool:
-        """Whether the configuration names the executor's service; others are not even called."""
+        """Whether a configuration names the executor's service; others are not called."""
         services = self._state.named_services
         if services is None or info.service in services:
             self._unknown_service_ids.discard(info.executor_id)
@@ -86,18 +86,18 @@
         if executor.is_overcommitted:
             self._stop_unanswered(executor)
         if info.is_draining and not was_draining:
-            cause = "the platform's list says so"
+            cause = "marked as draining in the platform's list"
             self._state.note("executor.draining", info.executor_id, cause=cause)
 
     def _stop_unanswered(self, executor: Executor) -> None:
-        """Stop the runs whose starts would be sent again, to an executor without room for them."""
+        """Stop runs with unanswered starts on an overcommitted executor, instead of retrying."""
         for key in executor.runs_by_task:
             found = self._state.find(key)
             if found is not None and found[2].state is StartState.UNSURE:
                 self._ends.stop_for_capacity(found[2])
 
     def stop_unanswered_over_limits(self) -> None:
-        """Stop the runs whose starts would be sent again, of workspaces over their limits."""
+        """Stop runs with unanswered starts of workspaces over their limits, instead of retrying."""
         for executor in self._state.executors_by_id.values():
             for key in executor.runs_by_task:
                 found = self._state.find(key)
@@ -116,19 +116,19 @@
             self._state.note("executor.forgotten", executor.executor_id)
 
     def expire(self, *, now: float, wall: float) -> None:
-        """End runs whose leases have surely lapsed on executors that do not answer."""
+        """End runs whose leases have certainly expired on executors that do not answer."""
         reach_s = self._state.timings.reach_s
         running = [e for e in self._state.executors_by_id.values() if e.runs_by_task]
         for executor in running:
             if executor.has_answered(now=now, reach_s=reach_s):
-                # Its listings tell what has ended.
+                # Ends of its runs are taken from its listings.
                 continue
             if not executor.runs_by_task or not executor.clock.has_lapsed(now):
                 continue
             self._state.note(
                 "executor.lapsed",
                 executor.executor_id,
-                cause="its leases ended before it answered again",
+                cause="its leases expired before it answered again",
                 fields={"runs": str(len(executor.runs_by_task))},
             )
             attributions = self._crashes.on_lapsed(executor)
@@ -138,7 +138,7 @@
 
 
 def _unlisted(executor_id: str) -> ExecutorInfo:
-    """Return what is known of an executor of which only the id is stored."""
+    """Return a placeholder entry for an executor of which only the id is stored."""
     return ExecutorInfo(
         executor_id=executor_id,
         host="",
--- a/src/galenastall/coordination/cell/incarnations.py
+++ b/src/galenastall/coordination/cell/incarnations.py
@@ -1,7 +1,7 @@
-"""Incarnations of executors: which one is on a host now, and what became of runs of earlier ones.
+"""Tracks which incarnation of an executor is current, and what happens to runs of earlier ones.
 
-Answers this load: executors crash and start again, some under the name that they had, some behind a
-cut, while orders to the earlier incarnation are on their way or are carried out late.
+Executors crash and restart, some under the same name, some behind a network cut, while orders to
+the earlier incarnation are in flight or are carried out late.
 """
 
 from dataclasses import replace
@@ -18,10 +18,10 @@
 
 
 class Incarnations:
-    """Adds incarnations to the table, and ends those that are over."""
+    """Adds incarnations to the table, and removes those that have ended."""
 
     def __init__(self, *, state: CellState, ends: RunEnds, crashes: CrashAttributor) -> None:
-        """Work on these tables; `crashes` tells what an end means for tasks that were there."""
+        """Work on these tables; `crashes` attributes the end of an incarnation to its tasks."""
         self._state = state
         self._ends = ends
         self._crashes = crashes
@@ -31,7 +31,7 @@
         return self._state.executors.has_ended(executor_id)
 
     def add(self, info: ExecutorInfo, *, now: float) -> Executor:
-        """Take an incarnation into the table; nothing is placed before its first listing."""
+        """Add an incarnation to the table; nothing is placed on it before its first listing."""
         timings = self._state.timings
         clock = LeaseClock(
             timings=timings, unknown_until=self._state.fenced_at + longest_lease_s(timings)
@@ -41,10 +41,10 @@
         return executor
 
     def on_restart(self, executor_id: str, later_id: str) -> None:
-        """Take in the incarnation that has answered a call to an earlier one of its name.
+        """Record that a later incarnation answered a call to an earlier one of the same name.
 
-        Orders to the earlier one may have been carried out by the later one, whose first listing
-        tells; until then all runs that were counted there may be at work.
+        The later one may have carried out orders to the earlier one. Its first listing shows which;
+        until then all runs counted there may be in progress.
         """
         earlier = self._state.executors_by_id.get(executor_id)
         if earlier is None:
@@ -55,18 +55,19 @@
             fields = {"incarnation": later_id, "runs": str(len(earlier.runs_by_task))}
             self._state.note("executor.restarted", executor_id, fields=fields)
         if not self.has_ended(later_id) and later_id not in self._state.executors_by_id:
-            # Its entry tells its capacity and labels, which may differ.
+            # Unusable until its own entry is read: its capacity and labels may differ.
             info = replace(earlier.info, executor_id=later_id, is_usable=False)
             self.add(info, now=self._state.now)
 
     def end_earlier(
         self, executor: Executor, listing: Listing, *, asked_seq: int, wall: float
     ) -> None:
-        """End the other incarnations on a host of which one listed at a call sent at `asked_seq`.
+        """End other incarnations on a host when one answers a call sent at `asked_seq`.
 
-        A host has one at a time. One that answers a call sent after another's last answer came is
-        the later one. The list alone does not tell: the entry of one that was over had been held up
-        for 4 s, and taken for a new one it ended the runs of the one that was there.
+        A host has one incarnation at a time. If one answers a call sent after another's last answer
+        arrived, it is the later one. The platform's list alone is not enough: the entry of an ended
+        incarnation once arrived 4 s late, was taken for a new one, and ended the runs of the
+        current one.
         """
         for other in self._state.executors.sharing_name_or_host(executor):
             is_same = other.name == executor.name
@@ -79,7 +80,7 @@
                 self.end(other.executor_id, cause=cause, wall=wall, later_clock_ms=clock_ms)
 
     def _transfer_runs(self, earlier: Executor, later: Executor, listing: Listing) -> None:
-        """Count runs where an order to an earlier incarnation was carried out by a later one."""
+        """Transfer runs to a later incarnation that carried out orders to an earlier one."""
         later.clock.assume_lease_granted(self._state.now)
         listed = {(run.task, run.run) for run in listing.running}
         listed |= {(end.task, end.run) for end in listing.ended}
@@ -98,7 +99,7 @@
         later.reserve(step.step.need)
         task.executor_id = later.executor_id
         task.state = StartState.INHERITED
-        # A stop that the earlier incarnation has answered says nothing of this one.
+        # A stop answered by the earlier incarnation does not apply to the later one.
         task.stop_seq = 0
         task.stop_sent_at = float("-inf")
         self._state.dirty_jobs.add(key.job)
@@ -106,9 +107,9 @@
         self._state.note("run.handed_on", key.job, fields=fields)
 
     def end(self, executor_id: str, *, cause: str, wall: float, later_clock_ms: str = "") -> None:
-        """End all runs of an incarnation that is over, and forget it.
+        """End all runs of an incarnation that has ended, and remove it.
 
-        `later_clock_ms` is the clock of the one that has replaced it, for the log.
+        `later_clock_ms` is the clock of the incarnation that replaced it, for the log.
         """
         executor = self._state.executors_by_id.get(executor_id)
         if executor is None:
@@ -132,5 +133,5 @@
 
 
 def _unresponsive_text(executor: Executor, *, now: float) -> str:
-    """Return for how many seconds an executor has not answered; empty if it never did."""
+    """Return the seconds since an executor last answered, as text; empty if it never did."""
     return "" if executor.answered_at is None else f"{now - executor.answered_at:.2f}"
--- a/src/galenastall/coordination/cell/job_runs.py
+++ b/src/galenastall/coordination/cell/job_runs.py
@@ -1,4 +1,4 @@
-"""A job in the leader's memory: occurrences, steps and tasks, restored from and saved as rows."""
+"""A job in the leader's memory: its occurrences, steps and tasks, stored as rows."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -12,36 +12,36 @@
 from galenastall.state.cell.rows import ProgressRow, TaskRow
 
 MAX_OPEN_TASKS: Final = 4_000
-"""Tasks of a timed job's occurrences that are open at once; later ones wait. The progress of all is
-one row, of up to 65 bytes a task, and stores take some 256 KiB."""
+"""Maximum number of tasks in open occurrences of a timed job; later occurrences wait. Their
+progress is one row of up to 65 bytes per task, and stores accept rows of some 256 KiB."""
 
 
 class StepRun:
     """The tasks of one step of one occurrence."""
 
     def __init__(self, *, key: StepKey, step: Step) -> None:
-        """Create all its tasks."""
+        """Create a step with all its tasks."""
         self.key = key
         self.step = step
         self.tasks = [TaskRun(key=TaskKey(*key, index)) for index in range(step.count)]
         self.is_done = False
         self.done_at = float("-inf")
-        """Leader's time at which a gang was done; an earlier leader's is not known."""
+        """Leader's time at which a gang was done; unknown if that was under an earlier leader."""
         self.gang_failures = 0
         self.failed_run = 0
-        """The last run of a gang that was counted as failed."""
+        """Number of the last run of a gang that was counted as failed."""
 
     @property
     def highest_run(self) -> int:
-        """The highest run number of its tasks."""
+        """The highest run number among its tasks."""
         return max(task.run for task in self.tasks)
 
     def waiting(self) -> list[TaskRun]:
-        """Return the tasks that have no run now."""
+        """Return the tasks that wait for a run."""
         return [task for task in self.tasks if task.phase is TaskPhase.WAITING]
 
     def share_given_up(self) -> None:
-        """Count a gang's run as given up for all members, whichever of them stood still."""
+        """Count a gang's run as stopped for a stall for all members, whichever of them stalled."""
         before = max(task.given_up_runs for task in self.tasks)
         given_up_runs = before + int(any(task.is_given_up for task in self.tasks))
         for task in self.tasks:
@@ -51,8 +51,8 @@
     def share_checkpoint(self) -> None:
         """Give all members of a gang the newest checkpoint of any of them.
 
-        One is valid for all, and only members that carry the same one work together: with different
-        ones a gang stood still until it was stopped, and lost 3.4 s and a start each time.
+        A checkpoint is valid for all members, and only members with the same one can work together:
+        with different ones a gang stalled until it was stopped, losing 3.4 s and a start each time.
         """
         newest = max(self.tasks, key=lambda task: (task.checkpoint_at, task.checkpoint))
         for task in self.tasks:
@@ -60,17 +60,17 @@
             task.checkpoint_at = newest.checkpoint_at
 
     def check_done(self) -> bool:
-        """Note and return whether all tasks are done; a gang's first end as done counts for all."""
+        """Update and return whether all tasks are done; a gang is done once any member is."""
         if not self.is_done:
             self.is_done = all(task.phase is TaskPhase.DONE for task in self.tasks)
         return self.is_done
 
 
 class Occurrence:
-    """One time that a job's steps run."""
+    """One execution of a job's steps; a timed job has several."""
 
     def __init__(self, *, job: CellJob, number: int, begins_at: float, queue: Queue) -> None:
-        """Create its steps; `begins_at` is in wall seconds."""
+        """Create an occurrence with its steps; `begins_at` is wall-clock time in seconds."""
         self.number = number
         self.begins_at = begins_at
         self.objective = objective_at(steps=job.steps, queue=queue, begins_at=begins_at)
@@ -80,7 +80,7 @@
         ]
 
     def is_ready(self, step: StepRun) -> bool:
-        """Whether all steps that it comes after are done."""
+        """Whether all steps that the given step depends on are done."""
         return all(self.steps[index].is_done for index in step.step.after)
 
     @property
@@ -98,51 +98,51 @@
         self.queue = job.queue
         self.phase = JobPhase.QUEUED
         self.shown_phase = JobPhase.QUEUED
-        """What callers may be told: the last durable phase."""
+        """The phase reported to callers: the last durable one."""
         self.is_written = False
-        """Whether its acceptance has left for the store."""
+        """Whether its acceptance has been sent to the store."""
         self.is_durable = False
         self.has_started = False
-        """Whether an executor has confirmed a run of it; an assignment whose order never left, or
-        got no answer, is no start."""
+        """Whether an executor has confirmed a run of it; an assignment whose order was not sent or
+        got no answer does not count."""
         self.is_within_rate = True
-        """Whether its workspace is owed it; what is beyond its rate goes last."""
+        """Whether it is within its workspace's rate; jobs beyond the rate are placed last."""
         self.ended_at = 0.0
         self.stops = JobStops()
-        """Runs of it that this leader has stopped."""
+        """Counts of its runs stopped by this leader."""
         self.occurrences_opened = 0
         self.occurrences_by_number: dict[int, Occurrence] = {}
         self.done_occurrences: set[int] = set()
-        """Numbers of occurrences of a timed job that are done and forgotten, but those that follow
-        `done_before`."""
+        """Numbers from `done_before` on of a timed job's occurrences that are done and have been
+        dropped."""
         self.done_before = 0
-        """All occurrences with lower numbers are done and forgotten."""
+        """All occurrences with lower numbers are done and have been dropped."""
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing of it starts any more."""
+        """Whether it has ended, so that none of its tasks starts again."""
         return self.phase in ENDED_PHASES
 
     @property
     def is_long_running(self) -> bool:
-        """Whether it goes on until cancelled."""
+        """Whether it runs until it is cancelled."""
         return any(step.is_long_running for step in self.job.steps)
 
     @property
     def objective_s(self) -> float:
-        """Time from submission, or from its first due time, within which it should be done."""
+        """Target time from submission, or from the first due time, to completion."""
         for occurrence in self.occurrences_by_number.values():
             return occurrence.objective - occurrence.begins_at
         return 0.0
 
     def note_start(self) -> None:
-        """Note that an executor has confirmed a run."""
+        """Record that an executor has confirmed a run."""
         self.has_started = True
         if self.shown_phase is JobPhase.QUEUED:
             self.shown_phase = JobPhase.RUNNING
 
     def next_due(self) -> float | None:
-        """Return the wall time at which the next occurrence is due, or None after the last."""
+        """Return the wall-clock time of the next occurrence, or None after the last."""
         recurrence = self.job.recurrence
         if recurrence is None:
             return self.job.submitted_at if self.occurrences_opened == 0 else None
@@ -151,7 +151,7 @@
         return recurrence.first_due + self.occurrences_opened * recurrence.interval_s
 
     def open_due(self, wall: float) -> list[Occurrence]:
-        """Open and return the occurrences that have come due; a job that is not timed has one."""
+        """Open and return the occurrences that are due; a job that is not timed has only one."""
         opened: list[Occurrence] = []
         while True:
             due = self.next_due()
@@ -162,7 +162,7 @@
             opened.append(self._open(due))
 
     def _fits_another_occurrence(self) -> bool:
-        """Whether the tasks of one more occurrence fit into the row beside those that are open."""
+        """Whether the tasks of one more occurrence fit into the row with the open ones."""
         tasks = sum(step.count for step in self.job.steps)
         return (len(self.occurrences_by_number) + 1) * tasks <= MAX_OPEN_TASKS
 
@@ -180,7 +180,7 @@
                 yield from step.tasks
 
     def assigned(self) -> list[TaskRun]:
-        """Return the tasks whose runs may exist."""
+        """Return the assigned tasks, whose runs may exist."""
         return [task for task in self.tasks() if task.phase is TaskPhase.ASSIGNED]
 
     def find_step(self, key: StepKey) -> StepRun | None:
@@ -191,14 +191,14 @@
         return occurrence.steps[key.step]
 
     def find_task(self, key: TaskKey) -> TaskRun | None:
-        """Return a task, or None if there is none of that name."""
+        """Return a task, or None if there is none with that key."""
         step = self.find_step(key.step_key)
         if step is None or not 0 <= key.number < len(step.tasks):
             return None
         return step.tasks[key.number]
 
     def drop_done_occurrences(self) -> None:
-        """Forget occurrences that are done and have no runs left; their number stays counted."""
+        """Drop occurrences that are done and have no runs left; their numbers stay recorded."""
         if self.job.recurrence is None:
             return
         for number, occurrence in list(self.occurrences_by_number.items()):
@@ -214,13 +214,13 @@
             self.done_before += 1
 
     def forget_tasks(self) -> None:
-        """Forget the tasks and the payload of a job that has ended; some 10 KB a job."""
+        """Drop the tasks and the payload of a job that has ended; this frees some 10 KB per job."""
         if self.occurrences_by_number:
             self.occurrences_by_number.clear()
             self.job = replace(self.job, payload="", steps=())
 
     def row(self) -> ProgressRow:
-        """Return what must be durable of its progress."""
+        """Return the progress that must be durable, as a row."""
         self._fold_done()
         if self.has_ended:
             tasks: tuple[TaskRow, ...] = ()
@@ -239,7 +239,7 @@
         )
 
     def restore(self, row: ProgressRow, *, wall: float) -> None:
-        """Take over the progress that an earlier leader made durable."""
+        """Restore the progress that an earlier leader made durable."""
         self.is_written = self.is_durable = True
         self.phase = self.shown_phase = row.phase
         self.has_started = row.has_started
@@ -295,6 +295,6 @@
     task.checkpoint = row.checkpoint
     task.crashes = row.crashes
     task.blame = row.blame
-    # Whether it has been cleared since is not stored: it begins apart from others once more.
+    # Whether it was cleared since is not stored, so it starts in isolation once more.
     task.is_suspect = row.blame > 0
     task.state = StartState.INHERITED
--- a/src/galenastall/coordination/cell/lease_clock.py
+++ b/src/galenastall/coordination/cell/lease_clock.py
@@ -1,23 +1,23 @@
-"""What is known of an executor's clock, and so when its leases end.
+"""Estimates an executor's clock, and so when its leases end.
 
-Deadlines are absolute on the executor's clock. An order never names a deadline later than that
-clock's reading at the leader's last confirmation by the store, plus the lease. So whoever leads
-next knows when all leases of earlier leaders have ended, even of executors it can't reach.
+Deadlines are absolute times on the executor's clock. An order never carries a deadline later than
+that clock's reading at the store's last confirmation of the leader, plus the lease. So the next
+leader knows when all leases of earlier leaders have ended, even on executors it can't reach.
 """
 
 from galenastall.coordination.cell.timings import CellTimings
 
 
 def longest_lease_s(timings: CellTimings) -> float:
-    """Return for how long at most a lease lasts once it is granted, in leader's time."""
+    """Return the maximum duration of a lease after it was granted, on the leader's clock."""
     return timings.lease_s / (1.0 - timings.clock_rate_slack) + timings.lease_slack_s
 
 
 class LeaseClock:
-    """Samples of one executor's clock against the leader's."""
+    """Relates one executor's clock to the leader's by samples from answers."""
 
     def __init__(self, *, timings: CellTimings, unknown_until: float) -> None:
-        """`unknown_until`: when leases that others named have surely ended, in leader's time."""
+        """`unknown_until`: leader's time by which leases granted by others have certainly ended."""
         self._timings = timings
         self._unknown_until = unknown_until
         self._clock_ms: int | None = None
@@ -26,29 +26,29 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the executor has answered since this leader took over."""
+        """Whether the executor has answered this leader."""
         return self._clock_ms is not None
 
     def observe(self, *, clock_ms: int, received_at: float) -> None:
-        """Take in a reading that came with an answer received at `received_at`."""
+        """Record a clock reading from an answer received at `received_at`."""
         if self._clock_ms is None or received_at >= self._received_at:
             self._clock_ms = clock_ms
             self._received_at = received_at
 
     def assume_lease_granted(self, at: float) -> None:
-        """Count no lease as lapsed that may have been granted at `at`, by whatever clock."""
+        """Assume that a lease was granted at `at`, by any clock, and don't report it as expired."""
         self._unknown_until = max(self._unknown_until, at + longest_lease_s(self._timings))
 
     @property
     def promised_ms(self) -> int:
-        """The latest deadline that was named."""
+        """The latest deadline sent to the executor, on its clock."""
         return self._promised_ms
 
     def deadline_ms(self, *, confirmed_at: float, now: float) -> int | None:
-        """Return the deadline to name now, or None before the first answer.
+        """Return the deadline to send now, or None before the first answer.
 
-        It reaches one renewal beyond `now`, and never further than one lease beyond the store's
-        last confirmation. A pause of this process between the readings makes the result earlier,
+        It is one renewal period after `now`, but never more than one lease after the store's last
+        confirmation. If this process pauses between the clock readings, the result is earlier,
         never later.
         """
         if self._clock_ms is None:
@@ -60,7 +60,7 @@
         return deadline
 
     def has_lapsed(self, now: float) -> bool:
-        """Whether nothing can run there any more under any lease that was named."""
+        """Whether every lease granted to the executor has certainly expired."""
         timings = self._timings
         if self._clock_ms is None:
             return now >= self._unknown_until
--- a/src/galenastall/coordination/cell/listings.py
+++ b/src/galenastall/coordination/cell/listings.py
@@ -1,4 +1,4 @@
-"""What an executor's listing says about the runs that the ledger counts there."""
+"""Applies an executor's listing to the runs that the ledger counts there."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,26 +13,26 @@
 from galenastall.state.cell.phases import RunEnd, TaskPhase
 
 MAX_LISTED_ENDS: Final = 500
-"""Ends that one listing shows at most; a full one proves nothing about what it lacks."""
+"""Maximum number of ends in one listing; a full listing proves nothing about missing runs."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedRun:
-    """A run that is at work."""
+    """A run that is in progress."""
 
     task: TaskKey
     run: int
     saved: str = ""
-    """Its last checkpoint."""
+    """The last checkpoint of the run."""
     percent: int = 0
-    """Share of its work done, 0 to 100."""
+    """Progress, 0 to 100."""
     figure: int = 0
-    """Tail in milliseconds of a task that serves; processor use of any other."""
+    """Tail latency in milliseconds of a task that serves requests; processor use of any other."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedEnd:
-    """A run that has ended and is not yet acknowledged."""
+    """A run whose end has not been acknowledged yet."""
 
     position: int
     task: TaskKey
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Listing:
-    """All that an executor says about itself."""
+    """The state that an executor reports: its clock, its runs, and ends to acknowledge."""
 
     clock_ms: int
     running: tuple[ListedRun, ...]
@@ -51,17 +51,17 @@
 
 
 class ListingReader:
-    """Applies listings to the tables."""
+    """Applies listings to the leader's tables."""
 
     def __init__(self, *, state: CellState, ends: RunEnds) -> None:
-        """Work on these tables; ends go to `ends`."""
+        """Work on these tables; ends of runs are passed to `ends`."""
         self._state = state
         self._ends = ends
 
     def read(
         self, executor: Executor, listing: Listing, *, asked_seq: int, now: float, wall: float
     ) -> None:
-        """Apply a listing that was asked for at `asked_seq`."""
+        """Apply a listing that was requested at sequence number `asked_seq`."""
         executor.answered_at = now
         executor.version += 1
         executor.answered_seq = self._state.next_seq()
@@ -105,7 +105,7 @@
         asked_seq: int,
         wall: float,
     ) -> None:
-        """End the runs that the executor would list if they existed."""
+        """End runs that the listing lacks and would contain if they existed."""
         for key, run in list(executor.runs_by_task.items()):
             if (key, run) in running:
                 continue
@@ -125,7 +125,7 @@
             self._state.note(
                 "run.stranger",
                 task.job,
-                cause="no live job accounts for this run",
+                cause="the run belongs to no live job",
                 fields={"run": str(run), "executor": executor.executor_id},
             )
         if unknown_runs:
@@ -137,12 +137,12 @@
 
 
 def _proves_ended(task: TaskRun, asked_seq: int) -> bool:
-    """Whether a listing asked for at `asked_seq` that lacks the run proves that it has ended."""
+    """Whether a listing requested at `asked_seq` that lacks the run proves that it has ended."""
     if task.phase is not TaskPhase.ASSIGNED:
         return False
     if task.stop_seq and asked_seq > task.stop_seq:
         return True
     if task.state is StartState.INHERITED:
-        # Orders of earlier leaders are fenced since the call that brought this listing.
+        # The call that returned this listing has fenced all orders of earlier leaders.
         return True
     return task.state is StartState.STARTED and 0 < task.confirmed_seq < asked_seq
--- a/src/galenastall/coordination/cell/orders.py
+++ b/src/galenastall/coordination/cell/orders.py
@@ -1,4 +1,4 @@
-"""What answers to starts and stops, and their absence, say about runs."""
+"""Applies the outcomes of start and stop orders, including missing answers, to runs."""
 
 from enum import StrEnum
 from typing import Final
@@ -14,33 +14,33 @@
 from galenastall.state.cell.phases import RunEnd
 
 PATH_CHECK_INTERVAL_S: Final = 0.1
-"""Between two looks at a data centre for executors that have not answered since a start left.
-Starts that a cut swallows fail together, by the hundred in a large fleet."""
+"""Minimum time between two scans of a data centre for executors that have not answered since a
+start was sent. Starts lost to a network cut fail together, by the hundred in a large fleet."""
 
 
 class StartOutcome(StrEnum):
-    """What is known after a start order."""
+    """The known result of a start order."""
 
     STARTED = "started"
     NOT_STARTED = "not_started"
-    """The executor refused it, or nothing was sent: it never runs."""
+    """The executor refused it, or nothing was sent: the run never starts."""
     ENDED = "ended"
-    """This run or a later one was stopped or has ended there; a listing tells which."""
+    """This run or a later one was stopped or has ended there; a listing shows which."""
     NO_TICKET = "no_ticket"
-    """Refused for its ticket."""
+    """Refused because of its ticket."""
     UNHEALTHY = "unhealthy"
-    """Refused by an executor that needs a pause."""
+    """Refused by an executor that is to be paused."""
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be later."""
+    """No answer: it may have been carried out, or may still be."""
 
 
 class OrderOutcomes:
-    """Applies answers to the tables."""
+    """Applies the outcomes of orders to the leader's tables."""
 
     def __init__(
         self, *, state: CellState, ends: RunEnds, advice: AdviceBook, health: ExecutorHealth
     ) -> None:
-        """Work on these tables; `doubts` hears of starts that were taken or refused."""
+        """Work on these tables; `health` is notified of accepted and refused starts."""
         self._state = state
         self._health = health
         self._ends = ends
@@ -50,7 +50,7 @@
     def on_start(
         self, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
     ) -> bool:
-        """Apply a start's outcome; return whether the same order should be sent once more."""
+        """Apply a start's outcome; return whether the same order should be retried."""
         task = self._state.find_ordered(order)
         if task is None:
             return False
@@ -72,7 +72,10 @@
         return False
 
     def _hold_unresponsive(self, executor_id: str, now: float) -> None:
-        """Place nothing on an executor, or beside it, that has not answered since a start left."""
+        """Hold new work from an executor that left a start unanswered.
+
+        The same applies to executors of its data centre that have not answered since that start.
+        """
         unresponsive = self._state.executors_by_id.get(executor_id)
         if unresponsive is None or Mechanism.PATH_DOUBTS in self._state.without:
             return
@@ -108,7 +111,7 @@
             return False
         if task.tries < self._state.timings.start_tries:
             return True
-        cause = f"no answer to {task.tries} starts"
+        cause = f"no answer to {task.tries} start orders"
         self._ends.stop(task, rule=StopRule.NO_ANSWER, cause=cause)
         return False
 
@@ -124,8 +127,8 @@
     ) -> None:
         task = self._state.find_ordered(order)
         if task is not None and task.tries > 1:
-            # An earlier try got no answer and may still be carried out: only a stop settles it.
-            cause = f"refused as {outcome.value} after an unanswered try"
+            # An earlier try got no answer and may still be carried out; only a stop rules that out.
+            cause = f"refused as {outcome.value} after an unanswered start"
             self._ends.stop(task, rule=StopRule.REFUSED_LATER, cause=cause)
             return
         executor = self._state.executors_by_id.get(order.executor_id)
@@ -142,12 +145,12 @@
             fields={"run": str(order.run), "executor": order.executor_id},
         )
         if task is not None:
-            # A gang would be placed by the same best fit, and refused, as often as it is tried.
+            # Otherwise best fit would place a gang here again, to be refused again.
             task.avoid(order.executor_id)
         self._ends.apply(order.task, order.run, RunEnd.NEVER_STARTED, wall=wall)
 
     def on_stop(self, order: StopOrder) -> None:
-        """Apply the answer to a stop: from now on the run is listed as ended, or never comes."""
+        """Apply the answer to a stop: the run is listed as ended from now on, or never starts."""
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None:
             self._state.want_look(executor)
@@ -156,7 +159,7 @@
             task.stop_seq = self._state.next_seq()
 
     def order_stops(self, now: float) -> None:
-        """Order the stops that are wanted, and again those not listed as ended after a while."""
+        """Send pending stops, and resend those whose run is not listed as ended after a while."""
         for key in sorted(self._state.stopping):
             found = self._state.find(key)
             if found is None or not found[2].is_stopping:
@@ -166,7 +169,7 @@
                 self._state.stops.append(_stop_of(found[2]))
 
     def _is_stop_due(self, task: TaskRun, now: float) -> bool:
-        """Whether to send a stop; an order that has not left is dropped instead."""
+        """Whether to send a stop; if the start has not been sent yet, it is dropped instead."""
         if task.state is StartState.WRITING:
             return False
         return now - task.stop_sent_at >= self._state.timings.resend_after_s
--- a/src/galenastall/coordination/cell/probation.py
+++ b/src/galenastall/coordination/cell/probation.py
@@ -1,9 +1,9 @@
-"""Where tasks begin under which an executor has crashed: apart from all else that has just begun.
+"""Places tasks under which an executor has crashed where nothing else is starting.
 
-Answers this load: tasks at fault and tasks beside them wait for their next runs together, and the
-same best fit would put them on the same executor again. On probation each is given an executor on
-which nothing else begins until the run has been at work for a moment. A crash meanwhile is its own
-doing; others are cleared in half a second. Few executors are used up like that at a time.
+Faulty tasks and tasks that ran with them wait for their next runs together, and best fit would put
+them on the same executor again. On probation each one gets an executor on which nothing else starts
+until the run is past its startup. A crash before that is its own fault; other tasks are cleared in
+half a second. Only a small share of the executors is reserved like this at a time.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,23 +21,23 @@
 from galenastall.state.cell.phases import TaskPhase
 
 PROBATION_SHARE: Final = 0.125
-"""Share of the open executors that tasks on probation may have at once, one at least."""
+"""Share of the open executors that may be reserved for probation at once, at least one."""
 RESERVATION_TIMEOUT_S: Final = 3.0
-"""How long an executor is kept for a task until its room is free and what runs there is proven."""
+"""Maximum time that an executor is reserved before it has capacity and no starting runs."""
 RECHECK_S: Final = SUSPECT_STARTUP_S
-"""Between two looks at an executor where a suspect begins; a long poll takes a second."""
+"""Interval of polls of an executor on which a suspect starts; a long poll takes a second."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Reservation:
-    """An executor that is kept for a task."""
+    """An executor that is reserved for a task."""
 
     executor_id: str
     since: float
 
 
 class Probation:
-    """Keeps executors for suspect tasks, one for each."""
+    """Reserves executors for suspect tasks, one for each."""
 
     def __init__(self, *, state: CellState) -> None:
         """Work on these tables."""
@@ -47,13 +47,13 @@
 
     @property
     def reserved_ids(self) -> frozenset[str]:
-        """Executors on which nothing else may begin."""
+        """Reserved executors, on which no other task may start."""
         return frozenset(
             reservation.executor_id for reservation in self._reservations_by_task.values()
         )
 
     def begin(self, open_executors: Iterable[Executor]) -> None:
-        """Begin a decision: give up places that are of no more use, and have others looked at."""
+        """Begin a decision: drop reservations that are no longer needed, and poll the others."""
         open_ids = {executor.executor_id for executor in open_executors}
         self._max_reservations = max(1, int(len(open_ids) * PROBATION_SHARE))
         for key, reservation in list(self._reservations_by_task.items()):
@@ -70,7 +70,7 @@
         self._poll_suspect_members()
 
     def _poll_suspect_members(self) -> None:
-        """Ask often what becomes of suspect members, which begin with their gang and not apart."""
+        """Poll executors of suspect gang members often, as these start with their gang."""
         for key in sorted(self._state.suspect_members):
             task = self._suspect(key)
             if task is None:
@@ -83,7 +83,7 @@
     def choose(
         self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]
     ) -> Executor | None:
-        """Return the executor on which a suspect task may begin now; None while there is none."""
+        """Return the executor on which a suspect task may start now; None while there is none."""
         reservation = self._reservations_by_task.get(task.key)
         if reservation is None or reservation.executor_id not in usable:
             reservation = self._reserve(step, task, usable)
@@ -93,7 +93,7 @@
         return executor if self._is_ready(executor, step) else None
 
     def _suspect(self, key: TaskKey) -> TaskRun | None:
-        """Return a task that is still suspect and has a run to begin or to prove."""
+        """Return a task that is still suspect and not done."""
         found = self._state.find(key)
         if found is None or found[0].has_ended or not found[2].is_suspect:
             return None
@@ -115,7 +115,7 @@
         return any(self._is_startup_check_due(key) for key in executor.runs_by_task)
 
     def _is_startup_check_due(self, key: TaskKey) -> bool:
-        """Whether a run there has been at work for long enough, and no listing has shown it yet."""
+        """Whether a run should be past its startup, but no listing has shown that yet."""
         found = self._state.find(key)
         if found is None or found[2].at_work_s >= STARTUP_S or found[2].began_at is None:
             return False
@@ -145,7 +145,7 @@
     def _cost(
         self, executor: Executor, step: StepRun, task: TaskRun
     ) -> tuple[bool, bool, int, int, str]:
-        """Return what orders executors: ready ones first, then those where least would be lost."""
+        """Return the sort key of executors: ready ones first, then by the work at risk."""
         urgent = sum(1 for key in executor.runs_by_task if self._is_urgent(key))
         return (
             not self._is_ready(executor, step),
@@ -160,7 +160,7 @@
         return found is not None and self._state.queue_of(found[0]).priority == URGENT_PRIORITY
 
     def _is_ready(self, executor: Executor, step: StepRun) -> bool:
-        """Whether a task may begin there now, with nothing beside it that has just begun."""
+        """Whether a task may start there now without another run that is starting."""
         if not executor.count_fitting(step.step.need, 1) or not may_add(executor, step):
             return False
         return all(self._is_past_startup(key) for key in executor.runs_by_task)
--- a/src/galenastall/coordination/cell/run_ends.py
+++ b/src/galenastall/coordination/cell/run_ends.py
@@ -1,4 +1,4 @@
-"""What the end of a run means for its task, its step and its job."""
+"""Applies the end of a run to its task, its step and its job."""
 
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.crashes import MAX_WEIGHT, NO_ATTRIBUTION, Attribution
@@ -20,16 +20,16 @@
         RunEnd.LOST,
     }
 )
-"""Ends that say nothing about the task itself; `Attribution` may, where an executor has crashed."""
+"""Ends that don't count as attempts of the task; crashes of executors are attributed separately."""
 
 _RAN_TO_END = frozenset({RunEnd.DONE, RunEnd.FAILED})
 
 
 class RunEnds:
-    """Applies ends, and asks for what follows from them."""
+    """Applies ends of runs, and requests the stops that follow from them."""
 
     def __init__(self, *, state: CellState, health: ExecutorHealth) -> None:
-        """Work on these tables; `doubts` hears how runs end."""
+        """Work on these tables; `health` is notified of how runs end."""
         self._state = state
         self._health = health
 
@@ -43,9 +43,9 @@
         saved: str = "",
         attribution: Attribution = NO_ATTRIBUTION,
     ) -> bool:
-        """Apply the end of a run; False if the task has no such run now.
+        """Apply the end of a run; return False if the task has no such run now.
 
-        `blame` is what is put down to the task where its executor has crashed.
+        `attribution` is what a crash of its executor means for the task.
         """
         found = self._state.find(key)
         if found is None:
@@ -67,7 +67,7 @@
         return True
 
     def _log_end(self, task: TaskRun, end: RunEnd) -> None:
-        """Note an end, with what is known of the run: which one began just before tells causes."""
+        """Log an end and how long the run was in progress, which helps to find the cause."""
         fields = {
             "run": str(task.run),
             "executor": task.executor_id,
@@ -103,7 +103,8 @@
         if step.step.is_gang:
             self.stop_members(step, cause=f"member {task.key.number} ended as {end.value}")
         if task.blame >= MAX_WEIGHT:
-            # Nothing else would end it: a crash is no attempt, and takes all that runs beside it.
+            # A crash is not an attempt, so nothing else would end the job, and each crash ends all
+            # other runs on the executor.
             cause = f"{task.crashes} executors crashed under task {_task_name(task.key)}"
             self.end_job(job, JobPhase.FAILED, wall=wall, cause=cause)
             return
@@ -139,7 +140,7 @@
             self.end_job(job, JobPhase.COMPLETED, wall=wall, cause="all tasks are done")
 
     def end_job(self, job: JobRun, phase: JobPhase, *, wall: float, cause: str) -> None:
-        """End a job; runs that are left are stopped once the end is durable."""
+        """End a job; its remaining runs are stopped once the end is durable."""
         job.phase = phase
         job.ended_at = wall
         self._state.dirty_jobs.add(job.job.job_id)
@@ -147,13 +148,13 @@
         self._state.note("job.ended", job.job.job_id, cause=cause, fields={"phase": phase.value})
 
     def stop_members(self, step: StepRun, *, cause: str) -> None:
-        """Stop what is left of a gang's run."""
+        """Stop the remaining members of a gang's run."""
         for member in step.tasks:
             if member.phase is TaskPhase.ASSIGNED:
                 self.stop(member, rule=StopRule.MEMBER_ENDED, cause=cause)
 
     def stop_stalled(self, task: TaskRun, *, cause: str) -> None:
-        """Stop a run that stands still; the next is tried elsewhere and with more patience."""
+        """Stop a stalled run; the next avoids this executor and has a longer stall timeout."""
         if task.is_stopping:
             return
         task.is_given_up = True
@@ -161,11 +162,11 @@
         self.stop(task, rule=StopRule.STALLED, cause=cause)
 
     def stop_for_capacity(self, task: TaskRun) -> None:
-        """Stop a run whose start got no answer, where sending it again would be too much."""
-        self.stop(task, rule=StopRule.CAPACITY_SHRANK, cause="no answer, and no room or quota left")
+        """Stop a run with an unanswered start that no longer fits into the capacity or quota."""
+        self.stop(task, rule=StopRule.CAPACITY_SHRANK, cause="no answer; no capacity or quota left")
 
     def stop(self, task: TaskRun, *, rule: StopRule, cause: str) -> None:
-        """Have a task's run stopped; the next decision orders it, and again until it has ended."""
+        """Stop a task's run; decisions send the stop from now on until the run has ended."""
         if task.is_stopping:
             return
         task.is_stopping = True
@@ -182,7 +183,7 @@
 
 
 def _record_attribution(task: TaskRun, end: RunEnd, attribution: Attribution) -> None:
-    """Count a crash under a task; one whose run took its course is suspect no more."""
+    """Record a crash under a task; a run that ended on its own clears the suspicion."""
     if attribution.weight:
         task.crashes += 1
         task.blame += attribution.weight
--- a/src/galenastall/coordination/cell/run_moves.py
+++ b/src/galenastall/coordination/cell/run_moves.py
@@ -1,4 +1,4 @@
-"""Runs that are stopped where they are, so that they end sooner or go on elsewhere."""
+"""Stops runs that stall, are slow or would end too late, so that they run elsewhere."""
 
 from typing import Final
 
@@ -18,27 +18,27 @@
 from galenastall.coordination.cell.task_runs import DONE_PERCENT, StartState, TaskRun
 
 LEAVE_MARGIN_S: Final = 0.3
-"""A run on a leaving executor is moved unless it ends this much before the executor leaves."""
+"""A run on a leaving executor is moved unless it ends this long before the executor leaves."""
 CHECK_INTERVAL_S: Final = 0.2
-"""Between two looks at the progress of all runs: listings come once a second, and a look at 250
-runs takes a millisecond."""
+"""Interval between checks of the progress of all runs: listings arrive once a second, and checking
+250 runs takes a millisecond."""
 MIN_MOVE_GAIN_S: Final = 1.0
-"""A run on a slow executor is moved if that brings its end forward by more; a start from a
+"""A run on a slow executor is moved if it should then end earlier by more than this; a start from a
 checkpoint takes 0.3 s."""
 
 
 class RunMoves:
-    """Judges all runs by their progress."""
+    """Checks the progress of all runs."""
 
     def __init__(self, *, state: CellState, ends: RunEnds, health: ExecutorHealth) -> None:
-        """Work on these tables; `doubts` hears of executors where runs stand still."""
+        """Work on these tables; `health` is notified of executors on which runs stall."""
         self._state = state
         self._ends = ends
         self._health = health
         self._checked_at = float("-inf")
 
     def decide(self, *, now: float) -> None:
-        """Stop runs that stand still, crawl, or would not end before their executor leaves."""
+        """Stop runs that stall, are too slow, or would not end before their executor leaves."""
         if now - self._checked_at < CHECK_INTERVAL_S or Mechanism.MOVES in self._state.without:
             return
         self._checked_at = now
@@ -70,16 +70,16 @@
             self._move_if_faster_elsewhere(step, task, now)
 
     def _stop_if_left_over(self, step: StepRun, task: TaskRun) -> None:
-        """Stop a member that goes on though its gang is done: it would hold its room for good."""
+        """Stop a member that continues after its gang is done and would never free its capacity."""
         if task.listed_at > step.done_at + STALL_TIMEOUT_S:
-            cause = f"its gang was done {STALL_TIMEOUT_S:g} s before"
+            cause = f"its gang has been done for {STALL_TIMEOUT_S:g} s"
             self._ends.stop(task, rule=StopRule.MEMBER_ENDED, cause=cause)
 
     def _move_if_it_ends_late(self, executor: Executor, task: TaskRun, now: float) -> None:
         leaves_at = executor.leaves_at(now)
         ends_at = task.ends_at()
         if ends_at is not None and ends_at > leaves_at - LEAVE_MARGIN_S:
-            cause = "its executor leaves before it would end"
+            cause = "its executor leaves before the run would end"
             self._ends.stop(task, rule=StopRule.EXECUTOR_LEAVES, cause=cause)
 
     def _move_if_stalled(self, executor: Executor, step: StepRun, task: TaskRun) -> None:
@@ -96,11 +96,11 @@
         self._ends.stop_stalled(task, cause=f"no progress for {stalled_s:.1f} s at {task.percent}%")
 
     def _move_if_faster_elsewhere(self, step: StepRun, task: TaskRun, now: float) -> None:
-        """Move a run off a slow executor if it should end clearly sooner elsewhere."""
+        """Move a run off a slow executor if it should end clearly earlier elsewhere."""
         ends_at = task.ends_at()
         if step.step.is_gang or ends_at is None:
             return
         left = 1.0 - task.percent / DONE_PERCENT if step.step.is_checkpointing else 1.0
         if now + left * step.step.estimate_s + MIN_MOVE_GAIN_S < ends_at:
-            cause = "its executor is slow; it ends sooner elsewhere"
+            cause = "its executor is slow; the run should end sooner elsewhere"
             self._ends.stop(task, rule=StopRule.SLOW_EXECUTOR, cause=cause)
--- a/src/galenastall/coordination/cell/stalls.py
+++ b/src/galenastall/coordination/cell/stalls.py
@@ -1,9 +1,9 @@
-"""When a run that shows no progress is given up, and whether its executor is to blame for it.
+"""Decides when a run without progress is stopped, and whether its executor is at fault.
 
-Answers this load: a few executors on which runs hang, beside gangs whose members wait for each
-other and runs that are sound and slow. A run that hangs is found within 3 s. A rule that stops runs
-must not stop the same one at the same point for ever, nor close the executors of all members of a
-gang because one of them hangs or is missing.
+Runs hang on a few executors, while members of gangs wait for each other and some healthy runs are
+slow. A hanging run is found within 3 s. A rule that stops runs must not stop the same one at the
+same point forever, nor close the executors of all members of a gang because one of them hangs or is
+missing.
 """
 
 from typing import Final
@@ -13,30 +13,31 @@
 from galenastall.state.cell.phases import TaskPhase
 
 STALL_TIMEOUT_S: Final = 3.0
-"""Least time without progress after which a run is given up. Runs of 10 s show progress each 0.1 s,
-listings come 1.2 s apart, and a gang's members start within a second of each other."""
+"""Minimum time without progress before a run is stopped. Runs of 10 s show progress every 0.1 s,
+listings arrive 1.2 s apart, and members of a gang start within a second of each other."""
 STALL_TIMEOUT_PERCENTS: Final = 3.0
-"""A run is given the time that so many percents of it take: progress comes in whole percents, and
-the pace of a sound run differs by a factor of two."""
+"""A run may go without progress for the time that this many percent of it take: progress is
+reported in whole percents, and the speed of a healthy run varies by a factor of two."""
 MAX_TIMEOUT_DOUBLINGS: Final = 5
-"""Each run given up doubles the patience with the next, up to 96 s: a task whose own work shows no
-progress for longer would otherwise be stopped in each of its runs and never end."""
+"""Each stopped run doubles the stall timeout of the next, up to 96 s: otherwise a task that by its
+nature shows no progress for longer would be stopped in each of its runs and never end."""
 PROGRESS_SKEW_S: Final = 1.5
-"""Progress of two members counts as made at the same time within this: each executor is listed
-1.2 s after its last listing at the latest."""
+"""Progress of two members counts as simultaneous within this time: listings of an executor are at
+most 1.2 s apart."""
 
 
 def stall_timeout_s(step: StepRun, task: TaskRun) -> float:
-    """Return for how long a run may show no progress, in seconds."""
+    """Return how long a run may go without progress, in seconds."""
     given_up = max(member.given_up_runs for member in _concurrent_tasks(step, task))
     doubled = STALL_TIMEOUT_S * 2.0 ** min(given_up, MAX_TIMEOUT_DOUBLINGS)
     return max(doubled, STALL_TIMEOUT_PERCENTS * _seconds_per_percent(step, task))
 
 
 def waits_for_members(step: StepRun, task: TaskRun) -> bool:
-    """Whether a member of a gang has done its share, and others have not.
+    """Whether a member of a gang has finished its share while others have not.
 
-    Stopping such a member throws the work of all away, though one that is cut off may work on.
+    Stopping such a member discards the work of all members, and a member that is cut off may still
+    be working.
     """
     if not step.step.is_gang or task.percent < DONE_PERCENT:
         return False
@@ -44,10 +45,10 @@
 
 
 def is_executor_at_fault(step: StepRun, task: TaskRun) -> bool:
-    """Whether a run stands still by itself, and not for want of other members of its gang.
+    """Whether a run stalls on its own rather than waiting for other members of its gang.
 
-    It does if the others go on, or have all done their share and wait for it. If all stand still,
-    or one is missing, nobody can tell which member is at fault.
+    It does if other members progress, or if all of them have finished and wait for it. If all
+    members stall, or one is missing, the faulty one can't be determined.
     """
     others = [member for member in _concurrent_tasks(step, task) if member is not task]
     if not all(_is_running(member) for member in others):
@@ -58,7 +59,7 @@
 
 
 def _concurrent_tasks(step: StepRun, task: TaskRun) -> list[TaskRun]:
-    """Return the tasks that run together with this one, itself included."""
+    """Return the members of the task's gang, or the task alone."""
     return step.tasks if step.step.is_gang else [task]
 
 
@@ -68,7 +69,7 @@
 
 
 def _seconds_per_percent(step: StepRun, task: TaskRun) -> float:
-    """Return how long a percent of a run takes, by its pace, or before that shows as declared."""
+    """Return the seconds per percent of a run, measured, or as declared before any progress."""
     gained = task.percent - task.first_percent
     if task.first_seen_at is None or gained <= 0:
         return step.step.estimate_s / DONE_PERCENT
--- a/src/galenastall/coordination/cell/stop_rules.py
+++ b/src/galenastall/coordination/cell/stop_rules.py
@@ -1,4 +1,4 @@
-"""By which of its rules the leader stops runs, and how many of a job by each."""
+"""The rules by which the leader stops runs, and counts of stopped runs by rule."""
 
 from collections import Counter
 from enum import StrEnum
@@ -12,31 +12,31 @@
     """Why the leader stops a run."""
 
     STALLED = "stands_still"
-    """It makes no progress."""
+    """The run makes no progress."""
     SLOW_EXECUTOR = "slow_executor"
-    """It ends sooner elsewhere."""
+    """The run should end sooner on another executor."""
     EXECUTOR_LEAVES = "executor_leaves"
-    """Its executor leaves before it would end."""
+    """Its executor leaves before the run would end."""
     MAINTENANCE = "maintenance"
-    """Its host is emptied."""
+    """Its host is being emptied."""
     MEMBER_ENDED = "member_ended"
     """Another member of its gang has ended."""
     NO_ANSWER = "no_answer"
-    """Its starts got no answer."""
+    """Its start orders got no answer."""
     REFUSED_LATER = "refused_later"
-    """A start was refused after one that got no answer."""
+    """A start was refused after an earlier one that got no answer."""
     CAPACITY_SHRANK = "room_shrank"
-    """Its start got no answer, and its executor has no room for it any more."""
+    """Its start got no answer, and the capacity or quota for it is gone."""
     JOB_ENDED = "job_ended"
 
 
 class JobStops:
-    """Stopped runs of one job by rule, under this leader."""
+    """Counts the stopped runs of one job by rule, under this leader."""
 
     __slots__ = ("_last_runs", "by_rule")
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create empty counts."""
         self.by_rule: Counter[StopRule] = Counter()
         self._last_runs: dict[tuple[int, int, int], int] = {}
 
--- a/src/galenastall/coordination/cell/task_runs.py
+++ b/src/galenastall/coordination/cell/task_runs.py
@@ -1,4 +1,4 @@
-"""A task in the leader's memory: its last run, and what earlier runs told of it."""
+"""A task in the leader's memory: its last run, and what is known from earlier runs."""
 
 from enum import Enum, auto
 from typing import Final
@@ -7,26 +7,27 @@
 from galenastall.state.cell.phases import TaskPhase
 
 DONE_PERCENT: Final = 100
-"""What the progress of a run that is done would be."""
+"""Progress of a completed run; as a rate, full speed."""
 
 
 class StartState(Enum):
-    """What is known of an assigned task's run."""
+    """What is known about the start of an assigned task's run."""
 
     WRITING = auto()
-    """Its assignment is not durable; no order has left."""
+    """Its assignment is not durable yet; no order has been sent."""
     SENT = auto()
-    """An order is on its way; no answer yet."""
+    """The order was sent and has not been answered yet."""
     UNSURE = auto()
-    """The order got no answer; it may be carried out late."""
+    """The order got no answer; it may still be carried out."""
     STARTED = auto()
     """The executor has confirmed it."""
     INHERITED = auto()
-    """Assigned by an earlier leader; the first listing under this leader's token decides."""
+    """Assigned by an earlier leader; the first listing under this leader's token shows whether it
+    exists."""
 
 
 class TaskRun:
-    """One task and its last run."""
+    """A task and its last run."""
 
     __slots__ = (
         "assigned_at",
@@ -63,7 +64,7 @@
     )
 
     def __init__(self, *, key: TaskKey) -> None:
-        """Create a task that has had no run."""
+        """Create a task that has not been run."""
         self.key = key
         self.phase = TaskPhase.WAITING
         self.run = 0
@@ -71,7 +72,7 @@
         self.failures = 0
         self.checkpoint = ""
         self.checkpoint_at = float("-inf")
-        """Leader's time at which it came; of an earlier leader's no time is known."""
+        """Leader's time at which it arrived; unknown for one from an earlier leader."""
         self.state = StartState.WRITING
         self.tries = 0
         self.confirmed_seq = 0
@@ -79,48 +80,47 @@
         self.is_stopping = False
         self.stop_sent_at = 0.0
         self.stop_seq = 0
-        """Sequence number of the answer to its stop; 0 before."""
+        """Sequence number at which its stop was answered; 0 before that."""
         self.percent = 0
         self.percent_at = 0.0
-        """Leader's time at which the share of its work done last rose."""
+        """Leader's time at which its progress last increased."""
         self.figure = 0
-        """Last tail in milliseconds of a task that serves; processor use of others."""
+        """Last tail latency in milliseconds of a task that serves requests; processor use of other
+        tasks."""
         self.rate_percent = DONE_PERCENT
-        """Pace that its executor has confirmed."""
+        """Rate that its executor has confirmed, in percent of full speed."""
         self.sent_rate_percent = DONE_PERCENT
         self.rate_sent_at = float("-inf")
         self.listed_at = 0.0
-        """Leader's time of the last listing that showed it at work."""
+        """Leader's time of the last listing that showed it in progress."""
         self.avoided: frozenset[str] = frozenset()
-        """Executors that failed or refused runs of it, or where one stood still; others are tried
-        first."""
+        """Executors on which its runs failed, were refused or stalled; others are tried first."""
         self.not_before = float("-inf")
-        """Leader's time before which it is not tried again: executors have refused it one after the
-        other."""
+        """Leader's time before which it is not started again, after several refusals."""
         self.is_given_up = False
-        """Whether its last run was stopped for standing still; counted with its next start."""
+        """Whether its last run was stopped as stalled; counted when the next run is assigned."""
         self.given_up_runs = 0
-        """Runs before the last that were stopped for standing still."""
+        """Runs before the last one that were stopped as stalled."""
         self._init_crashes()
         self.assigned_at = 0.0
-        """Leader's time at which this run was given its executor."""
+        """Leader's time at which this run was assigned to its executor."""
         self.first_percent = 0
         self.first_seen_at: float | None = None
-        """Leader's time of the first listing that showed this run at work."""
+        """Leader's time of the first listing that showed this run in progress."""
         self.began_at: float | None = None
         """Leader's time at which the executor first confirmed this run, by an answer or a listing.
         """
 
     def _init_crashes(self) -> None:
         self.crashes = 0
-        """Executors that have crashed under it."""
+        """Number of executors that crashed while running it."""
         self.blame = 0
-        """How much of these crashes is put down to it."""
+        """Total weight of these crashes that is attributed to it."""
         self.is_suspect = False
-        """Whether its next run has to begin apart from others."""
+        """Whether its next run must start where no other run is starting."""
 
     def assign(self, *, run: int, executor_id: str, now: float) -> None:
-        """Give the task a new run on an executor."""
+        """Assign a new run of the task to an executor."""
         self.given_up_runs += int(self.is_given_up)
         self.is_given_up = False
         self.phase = TaskPhase.ASSIGNED
@@ -139,7 +139,7 @@
         self.sent_rate_percent = DONE_PERCENT
 
     def record_progress(self, *, percent: int, now: float, figure: int = 0) -> None:
-        """Take a listing that shows the run at work."""
+        """Record progress from a listing that shows the run in progress."""
         self.state = StartState.STARTED
         self.figure = figure
         self.listed_at = now
@@ -156,33 +156,33 @@
 
     @property
     def is_throttled(self) -> bool:
-        """Whether it works, or is to work, at a pace that the leader has ordered."""
+        """Whether the leader has ordered a reduced rate, confirmed or not."""
         return min(self.rate_percent, self.sent_rate_percent) < DONE_PERCENT
 
     @property
     def has_progressed(self) -> bool:
-        """Whether progress was seen since its first listing."""
+        """Whether it has progressed since its first listing."""
         return self.percent > self.first_percent
 
     @property
     def at_work_s(self) -> float:
-        """For how long a listing has shown its run at work, in seconds; 0 before one does."""
+        """How long listings have shown its run in progress, in seconds; 0 before the first."""
         if self.began_at is None or self.first_seen_at is None:
             return 0.0
         return self.listed_at - self.began_at
 
     def avoid(self, executor_id: str) -> None:
-        """Have its next runs tried elsewhere first."""
+        """Prefer other executors for its next runs."""
         self.avoided = self.avoided | {executor_id}
 
     def save(self, checkpoint: str, *, now: float) -> None:
-        """Take a checkpoint, if there is one."""
+        """Record a checkpoint unless it is empty."""
         if checkpoint:
             self.checkpoint = checkpoint
             self.checkpoint_at = now
 
     def ends_at(self) -> float | None:
-        """Return when the run should end at the pace seen so far; None before it is known."""
+        """Return when the run should end at its speed so far; None before that is known."""
         gained = self.percent - self.first_percent
         if self.first_seen_at is None or gained <= 0:
             return None
@@ -190,7 +190,7 @@
         return self.percent_at + pace_s * (DONE_PERCENT - self.percent)
 
     def release(self) -> None:
-        """Wait again: its last run is known to have ended."""
+        """Return to waiting after its last run has ended."""
         self.phase = TaskPhase.WAITING
         self.executor_id = ""
         self.is_stopping = False
--- a/tests/cell/alone.py
+++ b/tests/cell/alone.py
@@ -1,4 +1,4 @@
-"""Plays of the cluster in one order of trio's tasks, so that a seed gives the same each time."""
+"""Simulation runs with a fixed order of trio's tasks, so that a seed reproduces the same run."""
 
 import trio
 import trio.testing
@@ -16,7 +16,7 @@
     executors: int = 4,
     keeps_ids: bool = False,
 ) -> Cluster:
-    """Play a scenario in a trio run of its own."""
+    """Run a scenario in its own trio event loop."""
 
     async def run() -> Cluster:
         return await play(
--- a/tests/cell/mutations.py
+++ b/tests/cell/mutations.py
@@ -1,4 +1,4 @@
-"""Rules of the leader taken out one at a time, to show that the checks notice their absence."""
+"""Mutations that disable one rule of the leader each, to show that the checks detect it."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -21,14 +21,14 @@
 
 
 def mutation(begin: Mutation) -> Mutation:
-    """File a weakening under its name, as a context."""
+    """Register a mutation under its name, as a context manager."""
     MUTATIONS[begin.__name__] = contextmanager(begin)
     return begin
 
 
 @contextmanager
 def replaced(owner: Any, name: str, value: Any) -> Iterator[Any]:
-    """Replace an attribute for a while, and give out the original."""
+    """Replace an attribute within the context, which yields the original."""
     original = owner.__dict__[name]
     setattr(owner, name, value)
     try:
@@ -112,7 +112,7 @@
 
 @contextmanager
 def incarnations_are_shown_one_token() -> Iterator[None]:
-    """Show a restarted executor the token that it was shown before."""
+    """Send a restarted executor the same token as before its restart."""
 
     def raise_token(self: TermContext, executor_id: str) -> int:
         return self.token * TOKENS_IN_A_TERM
@@ -123,14 +123,14 @@
 
 @contextmanager
 def runs_are_not_transferred() -> Iterator[None]:
-    """Take all runs of an incarnation for lost with it."""
+    """Treat all runs of an ended incarnation as lost."""
     with replaced(Incarnations, "_transfer_runs", lambda self, earlier, later, listing: None):
         yield
 
 
 @contextmanager
 def leases_reach_beyond_the_confirmation() -> Iterator[None]:
-    """Renew for as long as the executor answers, whether or not the store confirms the leader."""
+    """Renew leases while the executor answers, even if the store does not confirm the leader."""
 
     def deadline_ms(self: LeaseClock, *, confirmed_at: float, now: float) -> int | None:
         return original(self, confirmed_at=now, now=now)  # type: ignore[no-any-return]
@@ -141,7 +141,7 @@
 
 @contextmanager
 def standbys_claim_without_reading() -> Iterator[None]:
-    """Claim at the first silence; that costs terms and must break nothing."""
+    """Claim as soon as the leader is unresponsive; this costs terms and must break nothing."""
 
     def next_move(self: Election, now: float) -> Move:
         is_heard = self.is_heard(now)
--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -1,13 +1,13 @@
-"""Executors whose capacity shrinks and grows again while starts are on their way.
+"""Executors whose capacity shrinks and grows again while starts are in flight.
 
-An executor that does not guard its capacity starts what it is told to. Starts were taken from a
-decision whose room was gone by the time at which they left: they wait until they are durable, are
-sent again without an answer, and leave with the first append after an outage, before the list of
-executors has been read again. In a minute of trouble with capacities that change the stand-in saw
+An executor that does not enforce its capacity starts everything it is ordered to. Starts were sent
+after the capacity they were decided on was gone: they wait until they are durable, are retried when
+unanswered, and are sent with the first append after an outage, before the list of executors has
+been read again. In a minute of random faults with changing capacities the stand-in reported
 
     executor-1 at 32.14 is over its capacity: Resources(cores_milli=3000, memory_mb=2000, ...)
 
-whose capacity had shrunk to 2000 thousandths at 27.49 s; the store was away from then to 32.14 s.
+whose capacity had shrunk to 2000 thousandths at 27.49 s; the store was down from then to 32.14 s.
 """
 
 from dataclasses import replace
@@ -47,7 +47,7 @@
         rig.see(resized(info, 2000))
         assert len(rig.commit()) == 2
         withheld = [note for note in rig.core.take_notes() if note.step == "run.withheld"]
-        assert [note.cause for note in withheld] == ["no room left"] * 2
+        assert [note.cause for note in withheld] == ["no capacity left"] * 2
         assert len(rig.runs_on("e0")) == 2
         assert not rig.core.executors_by_id["e0"].free.is_negative()
 
@@ -87,7 +87,7 @@
 class TestCapacityBelowUsage:
     @pytest.mark.parametrize("cores", [0, 1000])
     def test_nothing_starts_where_any_amount_is_over(self, cores: int) -> None:
-        """A filler reserves no processor; an executor over its capacity takes none all the same."""
+        """A filler task reserves no cores; an overcommitted executor still accepts none."""
         info = make_info("e0")
         rig = Rig(info)
         rig.submit(make_job(make_step(4)))
@@ -149,7 +149,7 @@
     async def test_capacities_that_change_in_a_minute_of_trouble(
         self, seed: int, autojump_clock: object
     ) -> None:
-        """No start brings an executor over what it has had for 3 s."""
+        """No start takes an executor above the capacity that it has had for 3 s."""
 
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
@@ -170,7 +170,7 @@
     async def test_capacities_that_shrink_while_the_store_is_away(
         self, autojump_clock: object
     ) -> None:
-        """Work waits for room; after the outage an append goes through before a list does."""
+        """Work waits for capacity; after the outage an append succeeds before the list is read."""
 
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             world.run_lasts_s = (4.0, 6.0)
@@ -191,10 +191,10 @@
     async def test_crashing_tasks_with_changing_capacities(
         self, seed: int, autojump_clock: object
     ) -> None:
-        """With seed 3004 a task crashed five executors, the most that is allowed.
+        """With seed 3004 a task crashed five executors, the maximum allowed.
 
-        One of them was cut off from its callers while the list, which could not be read, still
-        named it; its crash counted for nothing.
+        One of them was cut off from its callers while the list could not be read and still
+        contained it, so its crash was not counted.
         """
 
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
@@ -208,7 +208,7 @@
 
 
 async def change_capacities(world: World, rng: Random) -> None:
-    """Shrink executors and let them grow again, for a minute."""
+    """Shrink and restore random executors for a minute, then restore all."""
     until = trio.current_time() + 60.0
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(0.1, 0.6))
--- a/tests/test_cell_crash_blame.py
+++ b/tests/test_cell_crash_blame.py
@@ -1,4 +1,4 @@
-"""To whom a crash is put down, and where suspects begin their next runs."""
+"""To which tasks a crash is attributed, and where suspects start their next runs."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 A, B, C = (TaskKey(JOB, 0, 0, number) for number in range(3))
 STEP = StepKey(JOB, 0, 0)
 MOST_STARTS = 5
-"""The platform allows three crashes and two starts after them."""
+"""The platform allows three crashes, and two more starts after them."""
 
 
 def affected_run(task: TaskKey, at_work_s: float | None = 0.0, **fields: object) -> AffectedRun:
@@ -104,20 +104,20 @@
     def test_an_executor_that_never_answers_again_weighs_less(
         self, is_listed: bool, weights: list[int]
     ) -> None:
-        """A task crashed its executor while the store was away; the list named it to the end."""
+        """A task crashed its executor during a store outage; the platform listed it throughout."""
         affected_runs = [affected_run(A), affected_run(B, 2.0), affected_run(C, SETTLED_S)]
         attributions = attribute_lost_contact(affected_runs, is_listed=is_listed)
         assert [attributions[task].weight for task in (A, B, C)] == weights
 
     @pytest.mark.parametrize("weight", [ALONE_WEIGHT, SHARED_WEIGHT, AT_WORK_WEIGHT])
     def test_each_kind_of_evidence_ends_a_task_in_time(self, weight: int) -> None:
-        """Not after two crashes, which may be chance, and within the starts that are allowed."""
+        """Not after two crashes, which may be chance, and within the allowed number of starts."""
         assert 2 * weight < MAX_WEIGHT
         assert MOST_STARTS * weight >= MAX_WEIGHT
 
 
 class TestChance:
-    """Tasks were given up where executors crashed by themselves every few seconds."""
+    """Innocent tasks were given up where executors crashed on their own every few seconds."""
 
     @pytest.mark.parametrize(
         ("chance", "weight"), [(0.0, AT_WORK_WEIGHT), (0.01, AT_WORK_WEIGHT), (0.1, 6), (1.0, 3)]
@@ -150,7 +150,7 @@
 
 
 class CrashHarness(Rig):
-    """A core whose executors crash, and start again."""
+    """A core whose executors crash and restart."""
 
     def __init__(self, *, executors: int = 8, rows: dict[str, bytes] | None = None) -> None:
         infos = [make_info(f"e{n}.1", host=f"h{n}") for n in range(executors)]
@@ -158,13 +158,13 @@
         self.starts = [1] * executors
 
     def start(self) -> list[StartOrder]:
-        """Decide, and have all starts that leave confirmed."""
+        """Decide, and confirm all starts that are sent."""
         orders = self.step()
         self.run_all(orders)
         return orders
 
     def crash(self, executor_id: str) -> None:
-        """Have a later incarnation answer on an executor's host."""
+        """Replace an executor by a later incarnation that answers on its host."""
         number = int(executor_id[1:].split(".", maxsplit=1)[0])
         self.starts[number] += 1
         self.now += 2.0
@@ -174,20 +174,20 @@
         self.listen()
 
     def listen(self) -> None:
-        """Have all executors that are listed say what runs there."""
+        """Apply a listing of each listed executor with its current runs."""
         for info in self.infos:
             there = self.core.executors_by_id[info.executor_id].runs_by_task
             running = tuple(ListedRun(task=task, run=run) for task, run in there.items())
             self.listing(info.executor_id, running)
 
     def work(self, for_s: float) -> None:
-        """Have all runs go on for a while."""
+        """Let all runs continue for `for_s` seconds, with a listing every 0.1 s."""
         for _ in range(round(for_s / 0.1)):
             self.now += 0.1
             self.listen()
 
     def task(self, key: TaskKey) -> tuple[int, bool]:
-        """Return what is put down to a task, and whether it is suspect."""
+        """Return the weight attributed to a task, and whether it is suspect."""
         found = self.core._state.find(key)
         assert found is not None
         return found[2].blame, found[2].is_suspect
@@ -270,7 +270,7 @@
         assert attributions == [SHARED_WEIGHT] * 4
 
     def test_executors_that_wait_to_be_polled_are_not_counted_as_crashed(self) -> None:
-        # In a large fleet most of those that run nothing have not answered for seconds.
+        # In a large fleet most executors without runs have not answered for seconds.
         rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
@@ -301,7 +301,7 @@
 
 
 class TestIsolatedStarts:
-    """A suspect begins where nothing else has just begun, and nothing else begins beside it."""
+    """A suspect starts where no other run is starting, and no other run starts next to it."""
 
     def test_suspects_begin_on_executors_of_their_own(self) -> None:
         rig = CrashHarness(executors=16)
@@ -337,7 +337,7 @@
         assert rig.core.executors_by_id[order.executor_id].needs_listing
 
     def test_a_suspect_that_was_seen_at_work_is_not_at_its_start(self) -> None:
-        # Listings came once a second, so chance crashes counted as crashes at a start.
+        # Listings arrived once a second, so chance crashes counted as crashes at a start.
         rig = CrashHarness()
         rig.submit(make_job(make_step(1)))
         (order,) = rig.start()
@@ -400,7 +400,7 @@
         return any(jobs_by_id[task.job].queue is urgent for task in rig.runs_on(executor_id))
 
     def test_a_busy_cell_makes_place_for_a_suspect(self) -> None:
-        """Beside a stream of small tasks each executor always has something that has just begun."""
+        """With a stream of small tasks every executor always has a run that is starting."""
         rig = CrashHarness(executors=2)
         rig.submit(make_job(make_step(1, cores=500)))
         (order,) = rig.start()
--- a/tests/test_cell_crashing_tasks.py
+++ b/tests/test_cell_crashing_tasks.py
@@ -1,10 +1,9 @@
-"""Tasks that crash each executor that starts them, beside tasks that are only there.
+"""Tasks that crash every executor that starts them, along with tasks that merely run there.
 
-Callers of other jobs lost their runs again and again: two tasks, placed anew as soon as a later
-life answered on the host of the last one, crashed an executor every 3.3 s each, and took ten runs
-with it each time. An executor's crash ended a run as `lost`, which counted for nothing, so nothing
-ever gave such a task up. The leader's log showed it, with some of the runs beside it following
-along:
+Other jobs lost their runs repeatedly: two tasks, placed again as soon as a later incarnation
+answered on the host of the last one, crashed an executor every 3.3 s each, ending ten runs each
+time. An executor's crash ended a run as `lost`, which was not counted, so such a task was never
+given up. Some runs of other tasks moved along with it, as the leader's log showed:
 
     run.ended     0.0.0  cause=lost  run=5  executor=A
     run.assigned  0.0.0  run=6       executor=B
@@ -27,9 +26,10 @@
 
 BAD = "bad0bad0bad0bad0"
 MOST_CRASHES = 3
-"""A task may be given up after two; the runs that began with it first have to be told apart."""
+"""A task may be given up after two; a third may be needed to tell it apart from runs that started
+with it."""
 MOST_STARTS = 5
-"""Three crashes and two starts more are allowed."""
+"""Three crashes and two more starts are allowed."""
 
 
 def bad_job(world: World, *steps: Step, job_id: str = BAD, **fields: object) -> CellJob:
@@ -72,7 +72,7 @@
     async def test_a_task_that_crashes_its_executors(
         self, step: Step, autojump_clock: object
     ) -> None:
-        """Its job shows as failed soon, few executors crash, and jobs beside it are completed."""
+        """Its job fails soon, few executors crash, and other jobs complete."""
 
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             world.fail_share = 0.0
@@ -131,7 +131,7 @@
 
 
 class TestCountsOutliveLeaders:
-    """What was counted of a task outlives the leader that counted it."""
+    """Crashes counted for a task survive the leader that counted them."""
 
     @pytest.mark.parametrize("after_s", [0.1, 1.0, 2.5])
     async def test_leaders_that_are_killed_after_each_crash(
@@ -178,7 +178,7 @@
 
 
 class TestBystanders:
-    """Tasks that are only there when executors crash are run to their end."""
+    """Tasks that merely run on crashing executors complete."""
 
     @pytest.mark.parametrize("seed", range(17, 25))
     async def test_executors_that_crash_by_themselves(
@@ -195,7 +195,7 @@
         await play(scenario, seed=seed, executors=8)
 
     async def _crash_in_series(self, world: World, rng: Random) -> None:
-        """Crash an eighth of the executors every 3 s; as many are seen to crash at a time."""
+        """Crash an eighth of the executors every 3 s, as many as were seen to crash at a time."""
         while True:
             await trio.sleep(3.0)
             up = [executor for executor in world.executors.values() if executor.is_up]
@@ -216,7 +216,7 @@
         await play(scenario, seed=seed, executors=6)
 
     async def _mark_some(self, cluster: Cluster, world: World) -> None:
-        """Have the first task of each tenth job crash its executors."""
+        """Make the first task of every tenth job crash its executors."""
         for number in range(0, 80, 10):
             world.crashing.add(TaskKey(f"{number:016x}", 0, 0, 0))
         await trio.sleep(0.0)
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -1,4 +1,4 @@
-"""Executors that start again under the id that they had."""
+"""Executors that restart under the same id."""
 
 from dataclasses import replace
 from functools import partial
@@ -50,7 +50,7 @@
 async def work_and_restart(
     cluster: Cluster, world: World, rng: Random, *, job_every_s: float
 ) -> None:
-    """Have executors do some jobs, and restart all of them."""
+    """Run some jobs to their end, then restart all executors."""
     world.fail_share = 0.0
     await cluster.wait_for_leader()
     await hand_in(cluster, world, rng, 20, job_every_s)
@@ -66,7 +66,7 @@
     async def test_a_task_done_after_the_restart_is_not_started_again(
         self, autojump_clock: object
     ) -> None:
-        # Positions of ends start anew: the first ends after a restart were taken for known ones.
+        # Positions of ends start over, so the first ends after a restart were taken for known ones.
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.1)
             await hand_in(cluster, world, rng, 20, 0.1, first=100)
@@ -79,7 +79,7 @@
     async def test_a_step_begins_after_one_that_was_done_on_a_restarted_executor(
         self, autojump_clock: object
     ) -> None:
-        # Its tasks were started again and again, so the step before it never ended.
+        # Tasks of the preceding step were started over and over, so that step never ended.
         async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.5)
             step = Step(count=2, need=Resources(cores_milli=1000, memory_mb=1000))
@@ -111,13 +111,13 @@
     async def test_restarts_where_orders_come_late_without_tickets(
         self, autojump_clock: object, seed: int
     ) -> None:
-        # A restarted executor knows no token, and takes an order of before until it is called.
+        # A restarted executor knows no token, and accepts orders sent before until its first call.
         scenario = partial(restarts_in_trouble, is_late=True)
         await play(scenario, seed=seed, keeps_ids=True)
 
 
 class TestRestartRuleMutations:
-    """Each rule is needed: without it the same seed breaks what must hold."""
+    """Each rule is needed: without it the same seed violates an invariant."""
 
     def test_without_transferring_runs_they_start_again(self) -> None:
         for seed in (0, 4, 24, 26):
@@ -152,7 +152,7 @@
 
 
 class RestartHarness(Rig):
-    """A core with one executor that runs one task, and starts again."""
+    """A core with one executor that runs one task and then restarts."""
 
     def __init__(self) -> None:
         super().__init__(make_info(EARLIER, host="h"))
@@ -161,7 +161,7 @@
         self.run_all([self.order])
 
     def restart(self, running: tuple[ListedRun, ...] = (), *ended: ListedEnd) -> list[StartOrder]:
-        """Have the later incarnation listed, and give its first listing."""
+        """Add the later incarnation to the platform's list, and apply its first listing."""
         self.see(make_info(LATER, host="h"))
         self.listing(LATER, running, *ended)
         return self.step()
@@ -230,7 +230,7 @@
 
     @pytest.mark.parametrize("born_ms", [2_000, 500])
     def test_the_order_of_answers_tells_which_is_later(self, born_ms: int) -> None:
-        # Clocks of hosts may go back between two births.
+        # A host's clock may be set back between the starts of two incarnations.
         rig = RestartHarness()
         later = make_executor_id("e", born_ms)
         rig.see(make_info(later, host="h"))
@@ -290,7 +290,7 @@
 
 class TestAdviceForALaterIncarnation:
     def test_one_that_was_not_approved_is_asked_about_again_after_its_restart(self) -> None:
-        # A restarted executor may be of another kind, and tickets hold for one incarnation.
+        # A restarted executor may be of another kind, and tickets are valid for one incarnation.
         rig = AdvisedRig(executors=0, hosts=4)
         rig.see(make_info(EARLIER, host="h"))
         rig.listing(EARLIER)
@@ -304,7 +304,7 @@
 
 
 class Port:
-    """An executor that answers as it is told to, and keeps what it was called with."""
+    """An executor with scripted answers that records the arguments of its calls."""
 
     def __init__(self) -> None:
         self.answerer = EARLIER
@@ -362,7 +362,7 @@
         return ExecutorSession(context=self.context, executor=executor)
 
     async def place(self) -> StartOrder:
-        """Give the executor a run once it has answered, and return its order."""
+        """Poll the executor, assign a run to it, and return the start order."""
         await self.poll()
         self.rig.now = trio.current_time()
         self.rig.submit(make_job(make_step(1)))
@@ -370,7 +370,7 @@
         return order
 
     async def poll(self, session: ExecutorSession | None = None) -> dict[str, Any]:
-        """Ask for a listing, and return what the executor was called with."""
+        """Request a listing, and return the arguments of the call."""
         await (session or self.session).look()
         return self.port.renewals[-1]
 
@@ -416,7 +416,7 @@
     async def test_no_end_is_acknowledged_to_one_that_may_have_started_again(
         self, autojump_clock: object, is_silent: bool
     ) -> None:
-        # Its first ends would be forgotten before anybody has read them.
+        # A later incarnation would discard its first ends before the leader has read them.
         rig = SessionHarness()
         await rig.poll()
         rig.rig.core.executors_by_id[EARLIER].durable_position = 5
@@ -441,7 +441,7 @@
     async def test_no_deadline_is_sent_to_and_no_run_started_on_an_unresponsive_executor(
         self, autojump_clock: object
     ) -> None:
-        # A deadline on the clock of before would be a lease of full length after a restart.
+        # A deadline on the clock of before the restart could grant a lease of full length after it.
         rig = SessionHarness()
         order = await rig.place()
         rig.port.is_silent = True
@@ -493,8 +493,8 @@
     async def test_an_executor_that_stops_answering_is_shown_a_higher_token_from_then_on(
         self, autojump_clock: object
     ) -> None:
-        # A start sent before the silence was carried out by a later incarnation after its first
-        # call, which had shown it no higher token.
+        # A start sent before the executor stopped answering was carried out by a later incarnation
+        # after its first call, which had not carried a higher token.
         rig = SessionHarness()
         before = (await rig.poll())["token"]
         rig.port.is_silent = True
--- a/tests/test_cell_fleet_size.py
+++ b/tests/test_cell_fleet_size.py
@@ -1,4 +1,4 @@
-"""What a leader does for a fleet of thousands of executors of which few work."""
+"""Cost to the leader of a fleet of thousands of executors of which few run anything."""
 
 import sys
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 def lines_of(act: Callable[[], object]) -> int:
-    """Return how many lines of Python an act takes, which no load of the machine changes."""
+    """Return the number of lines traced in a call, a cost independent of the machine's load."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -51,7 +51,7 @@
 
 
 class TestCostOfAListing:
-    """Listings scanned the whole table for incarnations on the same host: 1.2 ms of 3,000."""
+    """Each listing scanned the whole table for incarnations on its host: 1.2 ms with 3,000."""
 
     def test_it_does_not_grow_with_the_fleet(self) -> None:
         small, large = harness_of(SMALL_FLEET), harness_of(LARGE_FLEET)
@@ -59,7 +59,7 @@
 
 
 class TestStartsWithoutAnAnswer:
-    """Each one that a cut had swallowed looked through the fleet, by the hundred in one moment."""
+    """Each start lost to a network cut scanned the fleet, hundreds of them at the same moment."""
 
     STARTS = 60
 
@@ -144,7 +144,7 @@
 
 
 class TestLargeFleet:
-    """At 3,000 executors a leader did nothing but poll, and was taken for a dead one."""
+    """With 3,000 executors a leader did nothing but poll, and was considered dead."""
 
     EXECUTORS = 1_000
 
--- a/tests/test_cell_large_writes.py
+++ b/tests/test_cell_large_writes.py
@@ -1,9 +1,9 @@
-"""What a leader writes when it is more than its store takes at a time.
+"""Writes of a leader that exceed the store's limit for one append.
 
-All changes since the last append went into one, and an append that failed was sent again as it was.
-A store refuses an append above its limit whenever it comes, so after an outage in which changes had
-gathered the leader repeated it for ever and accepted and started nothing more. With 22 hosts of
-callers and jobs of 150 tasks, some 150 changed jobs make up the 2 MB that a store takes.
+All changes since the last append went into one, and a failed append was retried unchanged. A store
+always refuses an append above its limit, so after an outage in which changes had accumulated the
+leader retried forever and accepted and started nothing more. With 22 hosts of callers and jobs of
+150 tasks, some 150 changed jobs make up the 2 MB that a store accepts.
 """
 
 from random import Random
@@ -23,7 +23,7 @@
 from galenastall.state.errors import Reason, StepError
 
 FEW_BYTES = 1_200
-"""A limit of the store that the rows of one job keep, and those of ten do not."""
+"""A limit of the store that the rows of one job stay below, and those of ten exceed."""
 JOBS = 30
 RECORD_BYTES = 262_144
 QUEUE = Queue(name="q", service="s")
@@ -69,7 +69,7 @@
 
 
 class TestRowsAboveTheLimit:
-    """A job's progress is one row, and a store takes a row of some size at most."""
+    """A job's progress is one row, and a store limits the size of a row."""
 
     def decode(self, *counts: int) -> Result[CellJob, StepError]:
         body = msgspec.json.encode({"steps": [{"count": count} for count in counts]})
--- a/tests/test_cell_refusals.py
+++ b/tests/test_cell_refusals.py
@@ -1,9 +1,9 @@
-"""Starts that executors refuse, and where the next run goes.
+"""Starts that executors refuse, and where the next run is placed.
 
-A gang needs all of its executors at once, so one that refuses ends the run of all. An executor that
-refuses every start and answers everything else well was paused for 0.7 s, and a gang's next run is
-placed about 1 s later: by the same best fit, on the same executors. Each of its runs ended in the
-same way for as long as that executor refused, beside others that would have taken it.
+A gang needs all of its executors at once, so one that refuses ends the run of all members. An
+executor that refused every start but answered everything else was paused for 0.7 s, and a gang's
+next run is placed about 1 s later: by the same best fit, on the same executors. So each of its runs
+ended the same way while that executor refused, although others would have accepted it.
 """
 
 from cell.rig import JOB, Rig, make_info, make_job, make_step
@@ -16,7 +16,7 @@
 
 
 def answer(rig: Rig, orders: list[StartOrder], *, refusing: set[str], position: int) -> None:
-    """Refuse starts on some executors, and end the others' runs, as stopped or on their own."""
+    """Refuse starts on some executors, accept the others, and end their runs as stopped."""
     for order in orders:
         refuses = order.executor_id in refusing
         outcome = StartOutcome.UNHEALTHY if refuses else StartOutcome.STARTED
--- a/tests/test_cell_standstill.py
+++ b/tests/test_cell_standstill.py
@@ -1,13 +1,12 @@
-"""Runs that a leader stops for standing still: who is blamed, and that it comes to an end.
-
-An accepted gang of 22 tasks was stopped by its leader at the same point of its work in run after
-run: after 12.7, 12.7 and 12.9 s, a second gang after 16.3, 16.9 and 16.2 s, each time on other
-executors, and neither ever completed. What ended such runs on a day that brings the same about was
-the leader's own rule that a run whose progress stands still for 3 s is stopped: it judged members
-that only waited for the others of their gang, 39 times as "no progress for 3 s at 100%".
-A rule like that has to give way to a run that it has stopped before, or the job never ends; and
-while a gang waits, the executors of the members that wait have done nothing wrong, so pausing them
-takes room from everybody (a gang that waited for one member closed the executors of all of them).
+"""Runs that a leader stops as stalled: which executors are at fault, and that jobs end.
+
+A gang of 22 tasks was stopped by its leader at the same point in every run: after 12.7, 12.7 and
+12.9 s, a second gang after 16.3, 16.9 and 16.2 s, each time on other executors, and neither ever
+completed. In a reproduction the leader's own rule ended such runs, which stops a run without
+progress for 3 s: it applied to members that only waited for others of their gang, 39 times as "no
+progress for 3 s at 100%". Such a rule has to tolerate more from a run that it has stopped before,
+or the job never ends. And executors of waiting members are not at fault, so pausing them withholds
+capacity from all jobs (a gang that waited for one member closed the executors of all of them).
 """
 
 import pytest
@@ -23,7 +22,7 @@
 
 
 def paused(rig: Rig) -> set[str]:
-    """Return the executors that get nothing new for now."""
+    """Return the executors that are paused now."""
     return {i for i, e in rig.core.executors_by_id.items() if e.paused_until > rig.now}
 
 
@@ -35,7 +34,7 @@
 
 
 def watch(rig: Rig, percents_by_order: dict[StartOrder, tuple[int, int]]) -> None:
-    """List runs for some seconds; each has a progress and what it gains by a listing."""
+    """List runs for some seconds; each has an initial progress and a gain per listing."""
     for turn in range(LISTED_TIMES):
         rig.now += LISTED_EVERY_S
         show(rig, {o: begin + turn * gain for o, (begin, gain) in percents_by_order.items()})
@@ -84,10 +83,10 @@
 
 
 class TestRepeatedStalls:
-    """A task that shows no progress for longer than others, on sound executors."""
+    """A task that shows no progress for longer than others, on healthy executors."""
 
     def stopped_after(self, rig: Rig, order: StartOrder, *, most_s: float = 200.0) -> float | None:
-        """Show a run at 40% until it is stopped; return the seconds, None if it is not."""
+        """List a run at 40% until it is stopped; return the seconds, or None if it is not."""
         began_at = rig.now
         while rig.now - began_at < most_s:
             show(rig, {order: 40})
--- a/tests/test_cell_weakenings.py
+++ b/tests/test_cell_weakenings.py
@@ -1,4 +1,4 @@
-"""Each rule of the leader is needed: without it the checks of the random trouble fail."""
+"""Each rule of the leader is needed: without it the checks under random faults fail."""
 
 from random import Random
 
@@ -19,14 +19,14 @@
 
 
 def innermost(error: BaseException) -> BaseException:
-    """Return the first failure inside of groups."""
+    """Return the first exception inside nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
 
 
 def fails(seed: int) -> bool:
-    """Whether a check of the random trouble fails."""
+    """Whether a check under random faults fails."""
     try:
         simulate_isolated(random_trouble, seed=seed)
     except Exception as error:
@@ -51,7 +51,7 @@
 
 
 async def leader_cut_off_with_an_executor(cluster: Cluster, world: World, rng: Random) -> None:
-    """Leave a leader alone with one executor, while the others lead and can't reach that one."""
+    """Cut a leader off with one executor, which the leaders that follow can't reach."""
     world.run_lasts_s = (18.0, 20.0)
     world.shows_progress = True
     world.fail_share = 0.0
