--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -30,7 +30,7 @@
 from galenastall.state.resources import Resources
 
 OTHER = "fedcba9876543210"
-MOST_CRASHES_BY_ONE = 5
+MAX_CRASHES_BY_ONE = 5
 """A task may be started twice more after three crashes."""
 
 
@@ -202,7 +202,7 @@
                 world.crashing.add(TaskKey(f"{number:016x}", 0, 0, 0))
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
             await random_trouble(cluster, world, rng)
-            assert max(map(len, world.crashes_of.values())) <= MOST_CRASHES_BY_ONE
+            assert max(map(len, world.crashes_of.values())) <= MAX_CRASHES_BY_ONE
 
         await play(scenario, seed=seed, executors=6)
 
--- a/tests/test_cell_crash_blame.py
+++ b/tests/test_cell_crash_blame.py
@@ -31,7 +31,7 @@
 THIRD = "1111111111111111"
 A, B, C = (TaskKey(JOB, 0, 0, number) for number in range(3))
 STEP = StepKey(JOB, 0, 0)
-MOST_STARTS = 5
+MAX_STARTS = 5
 """The platform allows three crashes, and two more starts after them."""
 
 
@@ -113,7 +113,7 @@
     def test_each_kind_of_evidence_ends_a_task_in_time(self, weight: int) -> None:
         """Not after two crashes, which may be chance, and within the allowed number of starts."""
         assert 2 * weight < MAX_WEIGHT
-        assert MOST_STARTS * weight >= MAX_WEIGHT
+        assert MAX_STARTS * weight >= MAX_WEIGHT
 
 
 class TestChance:
--- a/tests/test_cell_crashing_tasks.py
+++ b/tests/test_cell_crashing_tasks.py
@@ -25,10 +25,10 @@
 from galenastall.state.resources import Resources
 
 BAD = "bad0bad0bad0bad0"
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 """A task may be given up after two; a third may be needed to tell it apart from runs that started
 with it."""
-MOST_STARTS = 5
+MAX_STARTS = 5
 """Three crashes and two more starts are allowed."""
 
 
@@ -82,7 +82,7 @@
             assert await cluster.submit(bad_job(world, step))
             assert await cluster.wait_ended(BAD, 25.0) is JobPhase.FAILED
             await trio.sleep(20.0)
-            assert crashes(world) <= MOST_CRASHES
+            assert crashes(world) <= MAX_CRASHES
             assert await phases_of_others(cluster) == {JobPhase.COMPLETED}
 
         await play(scenario, seed=11, executors=8)
@@ -125,7 +125,7 @@
             await cluster.wait_for_leader()
             assert await cluster.submit(bad_job(world))
             assert await cluster.wait_ended(BAD, 90.0) is JobPhase.FAILED
-            assert crashes(world) <= MOST_STARTS
+            assert crashes(world) <= MAX_STARTS
 
         await play(scenario, seed=14, executors=8)
 
@@ -143,7 +143,7 @@
             assert await cluster.submit(bad_job(world))
             cluster.nursery.start_soon(self._kill_after_crashes, cluster, world, after_s, False)
             assert await cluster.wait_ended(BAD, 120.0) is JobPhase.FAILED
-            assert crashes(world) <= MOST_STARTS
+            assert crashes(world) <= MAX_STARTS
 
         await play(scenario, seed=15, executors=8)
 
@@ -154,7 +154,7 @@
             assert await cluster.submit(bad_job(world))
             cluster.nursery.start_soon(self._kill_after_crashes, cluster, world, 0.2, True)
             assert await cluster.wait_ended(BAD, 150.0) is JobPhase.FAILED
-            assert crashes(world) <= MOST_STARTS
+            assert crashes(world) <= MAX_STARTS
 
         await play(scenario, seed=16, executors=8)
 
