--- a/src/galenastall/coordination/ownership/ownership_holdings.py
+++ b/src/galenastall/coordination/ownership/ownership_holdings.py
@@ -1,18 +1,18 @@
-"""What this member owns: the log's word, less what it heard claimed and what it is giving away."""
+"""What this member owns: by the log, less what it knows to be claimed or is handing over."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from math import inf
 from typing import Final
 
-from galenastall.coordination.ownership.ownership_legs import Roster
+from galenastall.coordination.ownership.ownership_confirmations import Roster
 from galenastall.coordination.ownership.ownership_messages import Activated, ContestedClaim, Lost
 from galenastall.state.ids import Epoch, Offset, OwnableId
 from galenastall.state.ownership_fold import OwnershipFold
 from galenastall.state.ownership_records import Member, Members
 
 ROSTERS_KEPT: Final = 64
-"""Rosters whose sets are kept ready; a member's own tenures name one or two at a time."""
+"""Rosters whose sets are cached; a member's own tenures name one or two at a time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -24,44 +24,44 @@
 
 
 class Holdings:
-    """Ownables held, claims heard of, and ownables suspended while they are handed over."""
+    """Ownables held, claims reported by peers, and ownables suspended during their handover."""
 
     def __init__(self, *, me: Member, fold: OwnershipFold) -> None:
         """Hold nothing."""
         self._me = me
         self._fold = fold
         self.holding_by_ownable: dict[OwnableId, Holding] = {}
-        self._heard_epoch_by_ownable: dict[OwnableId, Epoch] = {}
-        self._heard_by_epoch: dict[Epoch, ContestedClaim] = {}
+        self._reported_epoch_by_ownable: dict[OwnableId, Epoch] = {}
+        self._reported_by_epoch: dict[Epoch, ContestedClaim] = {}
         self._suspended_until_generation: dict[OwnableId, float] = {}
         self._roster_by_members: dict[Members, Roster] = {}
 
     def refresh(self, ownables: Iterable[OwnableId]) -> Iterator[Activated | Lost]:
-        """Bring these ownables up to date and yield what changed."""
+        """Update these ownables and yield what changed."""
         for ownable in ownables:
             yield from self._refresh(ownable)
 
-    def hear(self, claim: ContestedClaim) -> None:
-        """Remember a claim that this member may not have read; refresh its ownables after."""
+    def note_claim(self, claim: ContestedClaim) -> None:
+        """Record a claim that this member may not have read; refresh its ownables afterwards."""
         if claim.epoch < self._fold.next_offset and self._fold.is_complete:
             return
-        self._heard_by_epoch[claim.epoch] = claim
+        self._reported_by_epoch[claim.epoch] = claim
         for ownable in claim.ownables:
-            heard = self._heard_epoch_by_ownable.get(ownable, Epoch(-1))
-            self._heard_epoch_by_ownable[ownable] = max(heard, claim.epoch)
+            reported = self._reported_epoch_by_ownable.get(ownable, Epoch(-1))
+            self._reported_epoch_by_ownable[ownable] = max(reported, claim.epoch)
 
     def forget_read(self) -> None:
-        """Forget claims that the fold has read by now: it knows them."""
-        if not self._heard_by_epoch or not self._fold.is_complete:
+        """Drop the reported claims that the fold has read by now."""
+        if not self._reported_by_epoch or not self._fold.is_complete:
             return
         read_to = self._fold.next_offset
-        self._heard_by_epoch = {e: c for e, c in self._heard_by_epoch.items() if e >= read_to}
-        heard = self._heard_epoch_by_ownable
-        self._heard_epoch_by_ownable = {o: e for o, e in heard.items() if e >= read_to}
+        self._reported_by_epoch = {e: c for e, c in self._reported_by_epoch.items() if e >= read_to}
+        reported = self._reported_epoch_by_ownable
+        self._reported_epoch_by_ownable = {o: e for o, e in reported.items() if e >= read_to}
 
     def claims_from(self, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
-        """Yield the claims by others that a member which read up to `offset` may not know."""
-        for epoch, claim in self._heard_by_epoch.items():
+        """Yield the claims by others that a member that has read up to `offset` may not know."""
+        for epoch, claim in self._reported_by_epoch.items():
             if epoch >= offset:
                 yield claim
         if self._fold.max_claim_epoch < offset:
@@ -78,7 +78,7 @@
         self._suspended_until_generation.update(dict.fromkeys(ownables, inf))
 
     def bind_suspension(self, ownables: Iterable[OwnableId], generation: int) -> None:
-        """Let the suspension end once the member's record of `generation` or above is read."""
+        """End the suspension once the member's record of `generation` or above is read."""
         self._suspended_until_generation.update(dict.fromkeys(ownables, generation))
 
     def resume(self, generation: int) -> tuple[OwnableId, ...]:
@@ -87,7 +87,7 @@
         return self._resume(tuple(o for o, bound in bounds if bound <= generation))
 
     def resume_undone(self, generation: int) -> tuple[OwnableId, ...]:
-        """End suspensions for a record that is not in the log; those for others stay."""
+        """End suspensions for a record that is not in the log; those for other records stay."""
         bounds = self._suspended_until_generation.items()
         return self._resume(tuple(o for o, bound in bounds if bound == generation))
 
@@ -127,7 +127,7 @@
             return None
         if ownable in self._suspended_until_generation:
             return None
-        if self._heard_epoch_by_ownable.get(ownable, -1) > tenure.epoch:
+        if self._reported_epoch_by_ownable.get(ownable, -1) > tenure.epoch:
             return None
         return Holding(epoch=tenure.epoch, roster=self._roster(tenure.members))
 
--- a/tests/test_job_shard.py
+++ b/tests/test_job_shard.py
@@ -1,8 +1,8 @@
-"""A job shard's core alone: doubts that ends don't settle, and needs that grow by overruns."""
+"""Core of a job shard: unconfirmed tasks that ends don't settle, and needs raised by overruns."""
 
 import pytest
 
-from galenastall.coordination.jobs.assignees import AssigneeBook
+from galenastall.coordination.jobs.assignees import AssigneeTable
 from galenastall.coordination.jobs.job_shard import JobShard
 from galenastall.coordination.placement.placement_commands import CapacitySummary, Hole
 from galenastall.coordination.placement.task_reports import ReportKind, TaskReport, first_attempt
@@ -43,12 +43,12 @@
     return TaskReport(task_id=TASK, attempt=attempt, kind=kind, worker_id=A, need_mb=need_mb)
 
 
-def given(shard: JobShard, now: float) -> list[TaskId]:
+def assigned_tasks(shard: JobShard, now: float) -> list[TaskId]:
     decision = shard.decide(now, summaries={A: make_summary()}, limit=10)
     return [task.task_id for batch in decision.assigns for task in batch.tasks]
 
 
-class TestDoubts:
+class TestUnconfirmedTasks:
     @pytest.mark.parametrize(
         "kind", [ReportKind.STOPPED, ReportKind.LOST, ReportKind.FAILED, ReportKind.RETURNED]
     )
@@ -58,68 +58,68 @@
         shard = make_shard()
         assert shard.on_reports(B, [report(kind)], 1.0)
         assert shard.needs_census
-        assert given(shard, 500.0) == []
-        shard.resolve_doubts(501.0)
-        assert given(shard, 501.0) == [TASK]
+        assert assigned_tasks(shard, 500.0) == []
+        shard.resolve_unconfirmed(501.0)
+        assert assigned_tasks(shard, 501.0) == [TASK]
 
     def test_a_task_that_is_done_is_closed_without_a_census(self) -> None:
         shard = make_shard()
         shard.on_reports(B, [report(ReportKind.DONE)], 1.0)
-        shard.resolve_doubts(2.0)
-        assert given(shard, 2.0) == []
+        shard.resolve_unconfirmed(2.0)
+        assert assigned_tasks(shard, 2.0) == []
 
 
 class TestLosses:
-    def test_a_task_lost_with_each_worker_is_given_out_less_and_less_often(self) -> None:
-        """A task that takes its worker down took another one every half second, without end.
+    def test_a_task_lost_with_each_worker_is_assigned_with_growing_delays(self) -> None:
+        """A task that crashes its workers must not take down another one every half second.
 
-        Only attempts that failed lengthened the pause, and a worker that is gone reports none.
+        Only attempts that failed lengthened the retry delay, and a lost worker reports no failure.
         """
         assert waits_after_losses([5.0] * 8) == [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0]
 
-    def test_a_loss_after_a_long_run_begins_anew(self) -> None:
+    def test_a_loss_after_a_long_run_resets_the_delay(self) -> None:
         assert waits_after_losses([5.0, 5.0, 500.0, 5.0]) == [1.0, 2.0, 1.0, 2.0]
 
 
 def waits_after_losses(ran_s: list[float]) -> list[float]:
-    """Return how long a task waits after each loss of its worker, having run for so long."""
+    """Return the retry delays after losses of the task's worker that follow these run times."""
     shard = make_shard(is_fresh=True)
     now = 0.0
     waits_s: list[float] = []
-    attempt = give(shard, now)
+    attempt = assign_attempt(shard, now)
     for each_s in ran_s:
         assert attempt is not None
         now += each_s
         lost = TaskReport(task_id=TASK, attempt=attempt, kind=ReportKind.LOST, worker_id=A)
         shard.on_reports(A, [lost], now)
-        lost_at, attempt = now, give(shard, now)
+        lost_at, attempt = now, assign_attempt(shard, now)
         while attempt is None and now < lost_at + 100.0:
             now += 0.5
-            attempt = give(shard, now)
+            attempt = assign_attempt(shard, now)
         waits_s.append(now - lost_at)
     return waits_s
 
 
-def give(shard: JobShard, now: float) -> int | None:
-    """Return the attempt under which the task is given out now, if it is."""
+def assign_attempt(shard: JobShard, now: float) -> int | None:
+    """Return the attempt under which the task is assigned now; None if it is not."""
     decision = shard.decide(now, summaries={A: make_summary()}, limit=10)
     attempts = [task.attempt for batch in decision.assigns for task in batch.tasks]
     return attempts[0] if attempts else None
 
 
 class TestNeedOfOverruns:
-    def test_what_overran_is_given_out_with_what_it_needs(self) -> None:
+    def test_an_overrunning_task_is_assigned_again_with_its_observed_need(self) -> None:
         shard = make_shard(is_fresh=True)
-        assert given(shard, 0.0) == [TASK]
+        assert assigned_tasks(shard, 0.0) == [TASK]
         ended = report(ReportKind.STOPPED, epoch=2, need_mb=3000)
-        [told] = unpack_reports(pack_reports([ended]))
-        shard.on_reports(A, [told], 1.0)
+        [decoded] = unpack_reports(pack_reports([ended]))
+        shard.on_reports(A, [decoded], 1.0)
         [batch] = shard.decide(100.0, summaries={A: make_summary()}, limit=10).assigns
         assert [task.resources.memory_mb for task in batch.tasks] == [3000]
 
     def test_a_gang_is_planned_by_whole_workers(self) -> None:
-        book = AssigneeBook()
-        book.update({A: make_summary(), B: make_summary()})
+        table = AssigneeTable()
+        table.update({A: make_summary(), B: make_summary()})
         need = Resources(cores_milli=1000, memory_mb=3000)
-        assert book.plan_gang(need=need, tasks=4, now=0.0) == {A: 3, B: 1}
-        assert book.plan_gang(need=need, tasks=7, now=0.0) is None
+        assert table.plan_gang(need=need, tasks=4, now=0.0) == {A: 3, B: 1}
+        assert table.plan_gang(need=need, tasks=7, now=0.0) is None
