--- a/src/galenastall/coordination/cell/approved_room.py
+++ b/src/galenastall/coordination/cell/approved_capacity.py
@@ -1,4 +1,4 @@
-"""How much of a step the executors hold that may run it; for reports, not for decisions."""
+"""How many tasks of a step its approved executors can hold; for reports, not for decisions."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -6,37 +6,37 @@
 from galenastall.coordination.cell.advice import StepAdvice
 from galenastall.coordination.cell.executors import ClosedReason, Executor
 from galenastall.coordination.cell.fitting import may_host
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.state.cell.jobs import Step
 from galenastall.state.resources import Resources
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ApprovedRoom:
-    """Executors that may run a step, and how many of its tasks they hold."""
+class ApprovedCapacity:
+    """Executors that may run a step, and how many of its tasks they can hold."""
 
     executors: int
     open: int
     places_free: int
-    """On the open ones now, what is kept for others included."""
+    """On the open executors now, including what is reserved for others."""
     places_kept: int
-    """In what the last decision kept on the open ones."""
+    """In what the last decision reserved on the open executors."""
     places_open: int
-    """On the open ones if they were empty."""
+    """On the open executors if they were empty."""
     places: int
     """On all of them if they were empty."""
 
 
-def room_of(
+def capacity_for(
     step: Step,
     service: str,
     advice: StepAdvice | None,
     *,
     executors_by_id: Mapping[str, Executor],
     closed_by_id: Mapping[str, ClosedReason],
-    plan: RoomPlan,
-) -> ApprovedRoom:
-    """Return the room for a step; without an advisor all executors of its service may run it."""
+    plan: ReservationPlan,
+) -> ApprovedCapacity:
+    """Return the capacity for a step; without an advisor its whole service is approved."""
     executors = opened = free = kept = empty_open = empty = 0
     for executor in _candidates(advice, executors_by_id):
         if not may_host(executor, step, service):
@@ -50,7 +50,7 @@
         empty_open += held
         free += _places(step, executor.free)
         kept += _places(step, plan.kept_on(executor))
-    return ApprovedRoom(
+    return ApprovedCapacity(
         executors=executors,
         open=opened,
         places_free=free,
--- a/src/galenastall/coordination/cell/load_report.py
+++ b/src/galenastall/coordination/cell/load_report.py
@@ -1,16 +1,16 @@
-"""How full the cell is and what waits, in one line a second."""
+"""Logs the utilization of the cell and its wait queues, one line per second."""
 
 from collections import Counter
 from collections.abc import Mapping
 
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.executors import ClosedReason
-from galenastall.coordination.cell.room_plan import RoomPlan
+from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.state.cell.phases import TaskPhase
 
 
 def closed_by_id(state: CellState) -> dict[str, ClosedReason]:
-    """Return the executors that take no new work now, also unlisted ones, and why."""
+    """Return the executors that accept no new work now, including unlisted ones, and why."""
     return {
         executor_id: closed
         for executor_id, executor in state.executors_by_id.items()
@@ -20,13 +20,13 @@
 
 def report_load(
     state: CellState,
-    plan: RoomPlan,
+    plan: ReservationPlan,
     closed: Mapping[str, ClosedReason],
     *,
     advice_calls: int,
     not_looked_at: int,
 ) -> None:
-    """Note the load for the log, with the room that the last decision kept."""
+    """Log the load, with the capacity that the last decision reserved."""
     executors = [executor for executor in state.executors_by_id.values() if executor.is_listed]
     open_now = [executor for executor in executors if executor.executor_id not in closed]
     state.note(
@@ -35,7 +35,7 @@
             "executors": str(len(executors)),
             "open": str(len(open_now)),
             **{f"closed_{why}": str(n) for why, n in sorted(Counter(closed.values()).items())},
-            "kept_on": str(plan.kept_count),
+            "kept_on": str(plan.reserved_count),
             "kept_cores_milli": str(plan.kept_cores_milli),
             "cores_milli": str(sum(e.info.capacity.cores_milli for e in executors)),
             "free_cores_milli": str(sum(e.free.cores_milli for e in executors)),
@@ -50,7 +50,7 @@
 
 
 def _waiting_by_queue(state: CellState) -> dict[str, str]:
-    """Return the number of waiting tasks of each queue that has some."""
+    """Return the number of waiting tasks of each queue that has any."""
     counts: Counter[str] = Counter()
     for key in state.waiting_steps:
         job = state.jobs_by_id.get(key.job)
--- a/src/galenastall/coordination/cell/orders.py
+++ b/src/galenastall/coordination/cell/orders.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook
+from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
 from galenastall.coordination.cell.executor_health import ExecutorHealth
@@ -38,7 +38,7 @@
     """Applies the outcomes of orders to the leader's tables."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceBook, health: ExecutorHealth
+        self, *, state: CellState, ends: RunEnds, advice: AdviceTable, health: ExecutorHealth
     ) -> None:
         """Work on these tables; `health` is notified of accepted and refused starts."""
         self._state = state
@@ -80,7 +80,7 @@
         if unresponsive is None or Mechanism.PATH_DOUBTS in self._state.without:
             return
         unresponsive.start_unanswered_at = now
-        self._state.want_look(unresponsive)
+        self._state.request_listing(unresponsive)
         data_centre = unresponsive.info.data_centre
         if (
             now - self._path_checked_at_by_data_centre.get(data_centre, float("-inf"))
@@ -97,7 +97,7 @@
             )
             if is_same_data_centre and is_in_use and not has_answered:
                 executor.start_unanswered_at = now
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
 
     def _on_unknown(self, task: TaskRun) -> bool:
         task.state = StartState.UNSURE
@@ -120,7 +120,7 @@
         task.confirmed_seq = self._state.next_seq()
         executor = self._state.executors_by_id.get(task.executor_id)
         if executor is not None:
-            self._state.want_look(executor)
+            self._state.request_listing(executor)
 
     def _on_refused(
         self, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
@@ -153,7 +153,7 @@
         """Apply the answer to a stop: the run is listed as ended from now on, or never starts."""
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None:
-            self._state.want_look(executor)
+            self._state.request_listing(executor)
         task = self._state.find_ordered(order)
         if task is not None:
             task.stop_seq = self._state.next_seq()
--- a/src/galenastall/coordination/cell/placer.py
+++ b/src/galenastall/coordination/cell/placer.py
@@ -1,9 +1,9 @@
-"""Choose executors for waiting steps: the most pressing first, gangs whole or not at all."""
+"""Chooses executors for waiting steps in priority order; gangs start completely or not at all."""
 
 from itertools import takewhile
 from typing import Final
 
-from galenastall.coordination.cell.advice import AdviceBook
+from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.advice_planner import AdvicePlanner
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder
@@ -12,98 +12,104 @@
 from galenastall.coordination.cell.forecast import Forecast
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.probation import Probation
-from galenastall.coordination.cell.room_plan import PlannedStart, RoomPlan, could_hold
+from galenastall.coordination.cell.reservation_plan import PlannedStart, ReservationPlan, could_hold
+from galenastall.coordination.cell.rotation import GangRotation, OverdueRotation, StepRotation
 from galenastall.coordination.cell.task_runs import TaskRun
-from galenastall.coordination.cell.turns import GangTurns, OverdueTurns, StepTurns
+from galenastall.coordination.cell.wait_observations import WaitObservations
+from galenastall.coordination.cell.wait_queue import WaitingStep, WaitQueue
 from galenastall.coordination.cell.wait_reasons import WaitReason, why_not_gang, why_not_singles
-from galenastall.coordination.cell.wait_sight import WaitSight
-from galenastall.coordination.cell.waiting_line import WaitingLine, WaitingStep
 from galenastall.state.cell.jobs import StepKey
 from galenastall.state.resources import NOTHING, Resources
 
 TICKETED_SOON_S: Final = 1.5
-"""A start as near as this, in seconds, is planned where tickets are."""
+"""A gang start at most this far ahead, in seconds, is planned on executors with tickets."""
 
 OpenExecutors = dict[str, Executor]
-"""Executors that take new work, by id."""
-LookedAt = tuple[WaitingStep, OpenExecutors]
+"""Executors that accept new work, by id."""
+PlaceableStep = tuple[WaitingStep, OpenExecutors]
 """A waiting step with the executors that may host it."""
 
 
 class Placer:
-    """Gives waiting tasks runs on executors with room, and asks for advice where it is needed."""
+    """Assigns waiting tasks to executors with free capacity, and requests advice where needed."""
 
-    def __init__(self, *, state: CellState, advice: AdviceBook) -> None:
-        """Work on these tables."""
+    def __init__(self, *, state: CellState, advice: AdviceTable) -> None:
+        """Operate on these tables."""
         self._state = state
-        self._line = WaitingLine(state=state, advice=advice)
+        self._queue = WaitQueue(state=state, advice=advice)
         self._forecast = Forecast(state=state)
         self._planner = AdvicePlanner(state=state, advice=advice, forecast=self._forecast)
-        self.plan = RoomPlan(forecast=self._forecast, without=state.without)
-        """Room that the last decision kept."""
+        self.plan = ReservationPlan(forecast=self._forecast, without=state.without)
+        """Capacity that the last decision reserved."""
         self._probation = Probation(state=state)
-        self.sight = WaitSight()
-        """Why the last decision did not start what waits."""
-        self._step_turns = StepTurns()
-        self._gang_turns = GangTurns()
+        self.observations = WaitObservations()
+        """Reasons why the last decision did not start waiting steps."""
+        self._step_rotation = StepRotation()
+        self._gang_rotation = GangRotation()
         self._answered: set[StepKey] = set()
-        """Steps for which advice came since the last decision."""
+        """Steps for which advice arrived since the last decision."""
         self._overdue: StepKey | None = None
-        """The step that this decision brings forward."""
-        self._overdue_turns = OverdueTurns()
+        """The overdue step that this decision promotes."""
+        self._overdue_rotation = OverdueRotation()
 
     def note_answer(self, step: StepKey) -> None:
-        """Have the next decision look at a step: with many ahead tickets don't last for a turn."""
+        """Consider a step next time: in a long queue its tickets expire before its rotation."""
         self._answered.add(step)
 
     def decide(self, *, now: float, wall: float) -> None:
-        """Place what fits; starts and questions to the advisor go into the tables."""
+        """Place what fits; start orders and advice requests are added to the tables."""
         open_executors = self._open_executors(now) if self._state.waiting_steps else []
         self._probation.begin(open_executors)
         self.plan.begin(now=now, fleet_size=len(open_executors))
         self.plan.close(self._probation.reserved_ids)
-        self.sight.begin(is_any_open=bool(open_executors))
+        self.observations.begin(is_any_open=bool(open_executors))
         if not open_executors:
             return
-        self._gang_turns.begin(self._state.waiting_steps)
+        self._gang_rotation.begin(self._state.waiting_steps)
         self._state.workspaces.begin_decision()
-        for waiting, usable in self._looked_at(_Usable(open_executors), now, wall):
+        for waiting, usable in self._steps_to_place(_UsableExecutors(open_executors), now, wall):
             self._place(waiting, usable)
         self._forecast.forget()
 
-    def _looked_at(self, usable: "_Usable", now: float, wall: float) -> list[LookedAt]:
-        """Return the steps to look at, in their order, with the executors that may host each."""
-        line = self._bring_forward(self._hosted(usable, now, wall), usable, now)
-        chosen = self._step_turns.choose([waiting.step.key for waiting, _ in line])
-        chosen |= self._gang_turns.in_turn | self._answered
+    def _steps_to_place(
+        self, usable: "_UsableExecutors", now: float, wall: float
+    ) -> list[PlaceableStep]:
+        """Return the steps to consider, in order, with the executors that may host each."""
+        queue = self._promote_overdue(self._placeable_steps(usable, now, wall), usable, now)
+        chosen = self._step_rotation.choose([waiting.step.key for waiting, _ in queue])
+        chosen |= self._gang_rotation.in_turn | self._answered
         self._answered.clear()
-        return [(waiting, hosting) for waiting, hosting in line if waiting.step.key in chosen]
-
-    def _hosted(self, usable: "_Usable", now: float, wall: float) -> list[LookedAt]:
-        """Return what waits, in its order; a step that no open executor may host takes no place."""
-        line: list[LookedAt] = []
-        for waiting in self._line.in_order(now=now, wall=wall):
+        return [(waiting, hosting) for waiting, hosting in queue if waiting.step.key in chosen]
+
+    def _placeable_steps(
+        self, usable: "_UsableExecutors", now: float, wall: float
+    ) -> list[PlaceableStep]:
+        """Return the waiting steps in order, without those that no open executor may host."""
+        queue: list[PlaceableStep] = []
+        for waiting in self._queue.in_order(now=now, wall=wall):
             hosting = usable.by(waiting)
             if hosting:
-                line.append((waiting, hosting))
+                queue.append((waiting, hosting))
             else:
-                self.sight.note(waiting.step.key, WaitReason.NONE_OPEN)
-        return line
+                self.observations.note(waiting.step.key, WaitReason.NONE_OPEN)
+        return queue
 
-    def _bring_forward(self, line: list[LookedAt], usable: "_Usable", now: float) -> list[LookedAt]:
-        """Put one overdue step before all that is not urgent, unless the last look was in vain."""
+    def _promote_overdue(
+        self, queue: list[PlaceableStep], usable: "_UsableExecutors", now: float
+    ) -> list[PlaceableStep]:
+        """Move one overdue step ahead of all non-urgent ones, unless its last plan had no start."""
         overdue_keys = [
             waiting.step.key
-            for waiting, _ in line
+            for waiting, _ in queue
             if waiting.is_worthless
             and waiting.is_overdue(usable.total(waiting))
-            and not self._gang_turns.is_fruitless(waiting.step.key)
+            and not self._gang_rotation.had_no_start(waiting.step.key)
         ]
-        self._overdue = self._overdue_turns.choose(overdue_keys, now=now)
-        overdue = next((pair for pair in line if pair[0].step.key == self._overdue), None)
+        self._overdue = self._overdue_rotation.choose(overdue_keys, now=now)
+        overdue = next((pair for pair in queue if pair[0].step.key == self._overdue), None)
         if overdue is None:
-            return line
-        others = [pair for pair in line if pair is not overdue]
+            return queue
+        others = [pair for pair in queue if pair is not overdue]
         ahead = list(takewhile(lambda pair: pair[0].is_urgent and not pair[0].is_worthless, others))
         return [*ahead, overdue, *others[len(ahead) :]]
 
@@ -126,9 +132,9 @@
         tasks = [task for task in waits if task.not_before <= waiting.now]
         is_gang = waiting.step.step.is_gang
         if is_gang and len(waits) < waiting.step.step.count:
-            self.sight.note(waiting.step.key, WaitReason.LAST_RUN_ENDING)
+            self.observations.note(waiting.step.key, WaitReason.LAST_RUN_ENDING)
         elif not tasks or (is_gang and len(tasks) < len(waits)):
-            self.sight.note(waiting.step.key, WaitReason.REFUSED)
+            self.observations.note(waiting.step.key, WaitReason.REFUSED)
         elif tasks := self._within_quota(waiting, tasks):
             if is_gang:
                 self._place_gang(waiting, tasks, usable)
@@ -136,19 +142,19 @@
                 self._place_singly(waiting, tasks, usable)
 
     def _within_quota(self, waiting: WaitingStep, tasks: list[TaskRun]) -> list[TaskRun]:
-        """Return the tasks that the workspace may start now, and note why others may not."""
+        """Return the tasks that the workspace may start now, and note why others may not start."""
         workspaces, step = self._state.workspaces, waiting.step.step
         name = waiting.job.job.workspace
         allowed = workspaces.startable(name, step, len(tasks))
         if allowed == len(tasks):
             return tasks
-        if not workspaces.is_told:
-            self.sight.note(waiting.step.key, WaitReason.QUOTA_UNKNOWN)
+        if not workspaces.is_configured:
+            self.observations.note(waiting.step.key, WaitReason.QUOTA_UNKNOWN)
             return []
         if not workspaces.may_ever_start(name, step):
-            self.sight.note(waiting.step.key, WaitReason.OVER_QUOTA)
+            self.observations.note(waiting.step.key, WaitReason.OVER_QUOTA)
             return []
-        self.sight.note(waiting.step.key, WaitReason.QUOTA_USED)
+        self.observations.note(waiting.step.key, WaitReason.QUOTA_USED)
         if step.is_gang and waiting.job.is_within_rate and not waiting.is_worthless:
             workspaces.hold_for_gang(name)
         return tasks[:allowed]
@@ -165,16 +171,18 @@
         if not left:
             return
         advice = waiting.advice
-        if advice is not None and not advice.is_asking(waiting.now):
-            self._planner.ask_for_singles(waiting, advice, list(usable.values()), left)
-        if others_left and self._may_keep(waiting):
-            self.plan.keep_singles(waiting.step.step, others_left, _approved(usable, waiting))
+        if advice is not None and not advice.is_request_pending(waiting.now):
+            self._planner.request_for_singles(waiting, advice, list(usable.values()), left)
+        if others_left and self._may_reserve(waiting):
+            self.plan.reserve_for_singles(
+                waiting.step.step, others_left, _approved(usable, waiting)
+            )
         if suspects_left and not others_left:
-            self.sight.note(waiting.step.key, WaitReason.ON_PROBATION)
+            self.observations.note(waiting.step.key, WaitReason.ON_PROBATION)
             return
-        can_ask = self._planner.can_ask(waiting)
-        reason = why_not_singles(waiting, usable, self.plan, can_ask=can_ask)
-        self.sight.note(waiting.step.key, reason)
+        can_request = self._planner.can_request(waiting)
+        reason = why_not_singles(waiting, usable, self.plan, can_request=can_request)
+        self.observations.note(waiting.step.key, reason)
 
     def _place_gang(
         self, waiting: WaitingStep, tasks: list[TaskRun], usable: OpenExecutors
@@ -183,52 +191,52 @@
             return
         planned = self._plan_gang(waiting, usable)
         advice = waiting.advice
-        if advice is not None and not advice.is_asking(waiting.now):
-            self._planner.ask_for_gang(waiting, advice, list(usable.values()), planned)
-        can_ask = self._planner.can_ask(waiting)
-        may_plan = not self._gang_turns.is_left_out(waiting.step.key)
+        if advice is not None and not advice.is_request_pending(waiting.now):
+            self._planner.request_for_gang(waiting, advice, list(usable.values()), planned)
+        can_request = self._planner.can_request(waiting)
+        may_plan = not self._gang_rotation.is_deferred(waiting.step.key)
         reason = why_not_gang(
-            waiting, usable, self.plan, planned, may_plan=may_plan, can_ask=can_ask
+            waiting, usable, self.plan, planned, may_plan=may_plan, can_request=can_request
         )
-        self.sight.note(waiting.step.key, reason)
+        self.observations.note(waiting.step.key, reason)
 
     def _plan_gang(self, waiting: WaitingStep, usable: OpenExecutors) -> PlannedStart | None:
-        """Return where a gang could start soonest, and keep that room if it is its turn."""
+        """Return the earliest start of a gang, and reserve its capacity if the gang may reserve."""
         key, step = waiting.step.key, waiting.step.step
         approved = _approved(usable, waiting)
         if not could_hold(step, step.count, approved):
-            # Told from capacities alone, 40 us with 60 executors: it takes nobody's place.
-            self._gang_turns.note_hopeless(key)
+            # Checked on capacities alone, 40 us with 60 executors: it counts against no limit.
+            self._gang_rotation.note_infeasible(key)
             return None
-        if not self._gang_turns.may_look(key):
+        if not self._gang_rotation.may_plan(key):
             return None
         planned = self._plan_on(waiting, approved)
-        is_first = self._gang_turns.note(key, is_found=planned is not None)
-        if planned is not None and is_first and self._may_keep(waiting):
-            self.plan.keep_gang(planned, step)
+        is_first = self._gang_rotation.note(key, is_found=planned is not None)
+        if planned is not None and is_first and self._may_reserve(waiting):
+            self.plan.reserve_for_gang(planned, step)
         return planned
 
     def _plan_on(self, waiting: WaitingStep, approved: list[Executor]) -> PlannedStart | None:
-        """Return the soonest start, where tickets are good or on their way if that is soon enough.
+        """Return the earliest start, on executors with valid or pending tickets if it is soon.
 
-        Otherwise the room planned changes with each run that ends elsewhere, and the tickets that
-        come are for other executors than those that have the room by then.
+        Otherwise the planned executors would change with each run that ends elsewhere, and tickets
+        would arrive for other executors than those that have the capacity by then.
         """
         step, advice, now = waiting.step.step, waiting.advice, waiting.now
         if advice is not None:
             soon = [e for e in approved if advice.has_ticket_soon(e.executor_id, now)]
-            planned = self.plan.earliest(
+            planned = self.plan.earliest_start(
                 step, step.count, soon, not_before=now, within_s=TICKETED_SOON_S
             )
             if planned is not None:
                 return planned
-        return self.plan.earliest(step, step.count, approved, not_before=now)
+        return self.plan.earliest_start(step, step.count, approved, not_before=now)
 
-    def _may_keep(self, waiting: WaitingStep) -> bool:
+    def _may_reserve(self, waiting: WaitingStep) -> bool:
         if Mechanism.RESERVATIONS in self._state.without:
             return False
-        is_owed = waiting.job.is_within_rate and not waiting.is_worthless
-        return is_owed or waiting.step.key == self._overdue
+        is_entitled = waiting.job.is_within_rate and not waiting.is_worthless
+        return is_entitled or waiting.step.key == self._overdue
 
     def _is_on_probation(self, task: TaskRun) -> bool:
         return task.is_suspect and Mechanism.PROBATION not in self._state.without
@@ -236,7 +244,7 @@
     def _start_on_probation(
         self, waiting: WaitingStep, suspects: list[TaskRun], usable: list[Executor]
     ) -> int:
-        """Start tasks that have to begin apart from others, and return how many are left."""
+        """Start tasks that must run in isolation at first, and return how many are left."""
         if not suspects:
             return 0
         usable_by_id = {executor.executor_id: executor for executor in usable}
@@ -307,8 +315,8 @@
         )
 
 
-class _Usable:
-    """Open executors by what a step requires of them, listed once a decision."""
+class _UsableExecutors:
+    """Open executors grouped by a step's requirements, computed once a decision."""
 
     def __init__(self, executors: list[Executor]) -> None:
         self._executors = executors
@@ -326,7 +334,7 @@
         return usable
 
     def total(self, waiting: WaitingStep) -> Resources:
-        """Return what the executors that may host a step have together."""
+        """Return the total capacity of the executors that may host a step."""
         requirement = (waiting.queue.service, waiting.step.step.label)
         total = self._total_by_requirement.get(requirement)
         if total is None:
@@ -344,7 +352,7 @@
 
 
 def _approved(usable: OpenExecutors, waiting: WaitingStep) -> list[Executor]:
-    """Return the executors that may run a step, with a ticket that is good or a renewed one."""
+    """Return the executors approved for a step, whether or not their tickets are still valid."""
     advice = waiting.advice
     if advice is None:
         return list(usable.values())
--- a/src/galenastall/coordination/cell/probation.py
+++ b/src/galenastall/coordination/cell/probation.py
@@ -16,7 +16,7 @@
 from galenastall.coordination.cell.fitting import may_add
 from galenastall.coordination.cell.job_runs import StepRun
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
-from galenastall.coordination.cell.waiting_line import URGENT_PRIORITY
+from galenastall.coordination.cell.wait_queue import URGENT_PRIORITY
 from galenastall.state.cell.jobs import TaskKey
 from galenastall.state.cell.phases import TaskPhase
 
@@ -66,7 +66,7 @@
             ):
                 del self._reservations_by_task[key]
             elif self._is_listing_due(executor):
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
         self._poll_suspect_members()
 
     def _poll_suspect_members(self) -> None:
@@ -78,7 +78,7 @@
                 continue
             executor = self._state.executors_by_id.get(task.executor_id)
             if executor is not None and self._is_listing_due(executor):
-                self._state.want_look(executor)
+                self._state.request_listing(executor)
 
     def choose(
         self, step: StepRun, task: TaskRun, usable: Mapping[str, Executor]
--- a/src/galenastall/node/requests/key_owner.py
+++ b/src/galenastall/node/requests/key_owner.py
@@ -1,4 +1,4 @@
-"""Owner of shards of idempotency keys: makes intents durable before their requests leave."""
+"""Owner of idempotency key shards: makes intents durable before their requests are sent."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -12,8 +12,8 @@
     KeyAnswer,
     KeyShard,
     KeyVerdict,
+    intersects_every_majority,
     is_majority,
-    meets_every_majority,
     shard_of,
 )
 from galenastall.node.requests.permit_settings import RequestSettings
@@ -46,21 +46,21 @@
 
 HOLD_CALL_S: Final = 0.5
 READ_TRIES: Final = 4
-"""Rounds of reading back before intents held in an outage are given up as lost."""
+"""Rounds of reading from holders before intents held in a log outage count as lost."""
 RETRY_S: Final = 1.0
-REARM_ROUNDS: Final = 10
-"""Every so many rounds the holders are asked anew, since a restarted process holds for nobody."""
+HOLDER_REFRESH_ROUNDS: Final = 10
+"""Rounds after which the holders are queried again, since a restarted process is no holder."""
 CARRY_CHUNK: Final = 200
-"""Keys in one carried record."""
+"""Keys in one `KeysCarried` record, which writes entries to the log again."""
 
 
 @dataclass(kw_only=True, slots=True)
 class OwnedShard:
-    """One shard that this entry host serves."""
+    """A shard that this entry host serves."""
 
     shard: KeyShard
     holder_sets: tuple[frozenset[HostId], ...]
-    """More than half of each must hold an intent; two while a change of holders is in doubt."""
+    """More than half of each must hold an intent; two while a change of holders is unconfirmed."""
     needs_flush: bool = False
     rounds: int = 0
 
@@ -81,7 +81,7 @@
         settings: Callable[[], RequestSettings],
         events: EventSink,
     ) -> None:
-        """`fold` follows the data centre's stream; `held` is what this process holds for others."""
+        """`fold` follows the data centre's stream; `held` stores intents for other owners."""
         self._stream = stream
         self._fold = fold
         self._held = held
@@ -100,7 +100,7 @@
         ownership.on_lost(self._on_lost)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Open shards as they are activated and write what the log lacks, until cancelled."""
+        """Open activated shards and write entries missing in the log, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for name, epoch in self._to_open:
@@ -109,38 +109,47 @@
             while True:
                 await trio.sleep(RETRY_S)
                 for owned in list(self._owned_by_name.values()):
-                    await self._keep_up(owned)
+                    await self._maintain(owned)
 
     @property
     def serving(self) -> frozenset[str]:
-        """Names of the shards served."""
+        """Names of the served shards."""
         return frozenset(self._owned_by_name)
 
-    async def reserve(self, *, runner: HostId, wanted: KeyReserve) -> Result[KeyAnswer, StepError]:
-        """Return the verdict; a GO only once the intent is durable."""
-        owned = self._owned_by_name.get(shard_of(wanted.key))
+    async def reserve(
+        self, *, runner: HostId, reservation: KeyReserve
+    ) -> Result[KeyAnswer, StepError]:
+        """Return the verdict; GO is returned only once the intent is durable."""
+        owned = self._owned_by_name.get(shard_of(reservation.key))
         if owned is None or not self._may_act(owned.shard):
-            return Failure(_error(Reason.NOT_OWNER, f"key shard {shard_of(wanted.key)}"))
+            return Failure(_error(Reason.NOT_OWNER, f"key shard {shard_of(reservation.key)}"))
         answer = owned.shard.check(
-            key=wanted.key, digest=wanted.digest, made_at=wanted.made_at, wall=self._clock.wall()
+            key=reservation.key,
+            digest=reservation.digest,
+            made_at=reservation.made_at,
+            wall=self._clock.wall(),
         )
         if answer.verdict is not KeyVerdict.GO:
             return Success(answer)
         intent = owned.shard.begin(
-            key=wanted.key,
-            digest=wanted.digest,
-            made_at=wanted.made_at,
-            request_id=wanted.request_id,
+            key=reservation.key,
+            digest=reservation.digest,
+            made_at=reservation.made_at,
+            request_id=reservation.request_id,
             runner=runner,
-            ends_at=wanted.ends_at,
+            ends_at=reservation.ends_at,
         )
         if await self._make_durable(owned, intent):
             return Success(answer)
         await self.end(_not_run(intent))
-        return Failure(_error(Reason.UNAVAILABLE, "the intent is neither in the log nor held"))
+        return Failure(
+            _error(
+                Reason.UNAVAILABLE, "the intent is neither in the log nor at a majority of holders"
+            )
+        )
 
     async def end(self, ended: KeyEnded) -> bool:
-        """Take in a request's end; False if its shard is not served here."""
+        """Record a request's end; return False if its shard is not served here."""
         owned = self._owned_by_name.get(ended.shard)
         if owned is None:
             return False
@@ -170,17 +179,17 @@
         return await self._hold(owned, (entry_of(intent),))
 
     async def _hold(self, owned: OwnedShard, entries: tuple[KeyEntry, ...]) -> bool:
-        """Have the entries held; return whether more than half of the holders do."""
+        """Store the entries at the holders; return whether more than half of them confirmed."""
         message = KeyHold(shard=owned.shard.name, epoch=owned.shard.epoch, entries=entries)
         holding: set[HostId] = set()
 
-        async def ask(holder: HostId) -> None:
+        async def store_at(holder: HostId) -> None:
             if await self._is_held(holder, message):
                 holding.add(holder)
 
         async with trio.open_nursery() as nursery:
             for holder in frozenset().union(*owned.holder_sets):
-                nursery.start_soon(ask, holder)
+                nursery.start_soon(store_at, holder)
         return all(
             is_majority(count=len(holders & holding), of=len(holders))
             for holders in owned.holder_sets
@@ -214,7 +223,7 @@
             self._owned_by_name.pop(name, None)
 
     async def _open(self, name: str, epoch: Epoch) -> None:
-        """Fence earlier owners in the log and at the holders, read back, then serve."""
+        """Fence earlier owners in the log and at the holders, read held entries, then serve."""
         opened = KeyShardOpened(shard=name, epoch=epoch, opened_at=self._clock.wall())
         if not await self._append_until_done(name, epoch, opened):
             return
@@ -241,7 +250,7 @@
         self._events.record("keys.serving", subjects=(_ownable(name),), cause=cause)
 
     async def _append_until_done(self, name: str, epoch: Epoch, record: Any) -> bool:
-        """Append while this entry host owns the shard; False once it does not."""
+        """Retry the append while this entry host owns the shard; return False once it does not."""
         while self._epochs_by_name.get(name) == epoch:
             appended = await self._appender.append(stream=self._stream, record=record)
             if isinstance(appended, Success):
@@ -252,13 +261,13 @@
     async def _read_back(
         self, name: str, epoch: Epoch, serving: KeyShardReady | None
     ) -> tuple[list[KeyEntry], frozenset[HostId], bool]:
-        """Return what is held, who holds from now on, and whether nothing can be missing."""
+        """Return the held entries, the new holders, and whether the entries are complete."""
         last_holders = frozenset(serving.holders) if serving else frozenset()
-        asked = last_holders | self._ownership.roster()
+        targets = last_holders | self._ownership.roster()
         request = KeyRead(shard=name, epoch=epoch, serving=serving.epoch if serving else None)
         reads_by_host: dict[HostId, KeyReadAnswer] = {}
 
-        async def ask(host: HostId) -> None:
+        async def read_from(host: HostId) -> None:
             read = await self._read_one(host, request)
             if read is not None:
                 reads_by_host[host] = read
@@ -266,8 +275,8 @@
         complete = False
         for tried in range(READ_TRIES):
             async with trio.open_nursery() as nursery:
-                for host in asked - reads_by_host.keys():
-                    nursery.start_soon(ask, host)
+                for host in targets - reads_by_host.keys():
+                    nursery.start_soon(read_from, host)
             answered = [
                 h for h in last_holders if h in reads_by_host and reads_by_host[h].was_holder
             ]
@@ -285,7 +294,7 @@
     def _is_complete(self, serving: KeyShardReady | None, answered: int) -> bool:
         if serving is None:
             return self._fold.first_offset in (None, 0)
-        return meets_every_majority(count=answered, of=len(serving.holders))
+        return intersects_every_majority(count=answered, of=len(serving.holders))
 
     async def _read_one(self, host: HostId, request: KeyRead) -> KeyReadAnswer | None:
         if host == self._me:
@@ -301,8 +310,8 @@
         read_back: KeyReadAnswer = answer.unwrap()
         return read_back
 
-    async def _keep_up(self, owned: OwnedShard) -> None:
-        """Write what was held once the log is back, then follow changes of the roster."""
+    async def _maintain(self, owned: OwnedShard) -> None:
+        """Write held entries once the log is back, then follow changes of the roster."""
         if not self._appender.is_log_up or not self._may_act(owned.shard):
             return
         if owned.needs_flush and not await self._flush(owned):
@@ -310,19 +319,19 @@
         roster = self._ownership.roster()
         owned.rounds += 1
         is_current = len(owned.holder_sets) == 1 and owned.holder_sets[0] == roster
-        if is_current and owned.rounds % REARM_ROUNDS:
+        if is_current and owned.rounds % HOLDER_REFRESH_ROUNDS:
             return
         await self._change_holders(owned, roster)
 
     async def _flush(self, owned: OwnedShard) -> bool:
         owned.needs_flush = False
-        if await self.carry(owned.shard, owned.shard.unlogged()):
+        if await self.carry_forward(owned.shard, owned.shard.unlogged()):
             return True
         owned.needs_flush = True
         return False
 
-    async def carry(self, shard: KeyShard, entries: Iterable[KeyEntry]) -> bool:
-        """Write entries once more in chunks; False as soon as one is not known to be written."""
+    async def carry_forward(self, shard: KeyShard, entries: Iterable[KeyEntry]) -> bool:
+        """Append entries again in chunks; return False as soon as an append is not confirmed."""
         pending = tuple(entries)
         for first in range(0, len(pending), CARRY_CHUNK):
             chunk = pending[first : first + CARRY_CHUNK]
@@ -349,7 +358,7 @@
             owned.holder_sets = (new,)
 
     async def announce(self, shard: KeyShard, holders: frozenset[HostId]) -> bool:
-        """Record who holds from now on; False if that is not known to be in the log."""
+        """Record the new holders; return False if the append is not confirmed."""
         state = self._fold.shard(shard.name)
         record = KeyShardReady(
             shard=shard.name,
@@ -362,7 +371,7 @@
         return isinstance(appended, Success)
 
     async def reopen(self, owned: OwnedShard) -> bool:
-        """Record the opening once more under the same epoch, before the log trims it."""
+        """Append the opening again under the same epoch, before the log trims it."""
         opened = KeyShardOpened(
             shard=owned.shard.name, epoch=owned.shard.epoch, opened_at=self._clock.wall()
         )
@@ -373,7 +382,7 @@
         return len(owned.holder_sets) == 1 and await self.announce(owned.shard, holders)
 
     def owned(self) -> tuple[OwnedShard, ...]:
-        """Return the shards served."""
+        """Return the served shards."""
         return tuple(self._owned_by_name.values())
 
 
--- a/src/galenastall/node/requests/request_attempt.py
+++ b/src/galenastall/node/requests/request_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one request: sends it under a permit and says exactly how it ended."""
+"""One attempt at one request: sends it under a permit and determines its exact outcome."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack
@@ -29,7 +29,7 @@
 from galenastall.state.outcomes import Outcome
 
 SERVER_FAULT = 500
-"""Lowest HTTP status that is the upstream's own fault."""
+"""Lowest HTTP status that indicates a fault of the upstream."""
 
 NOT_RUN_REASONS = {
     Reason.UNREACHABLE: RequestReason.UNREACHABLE,
@@ -37,7 +37,7 @@
     Reason.CONFLICT: RequestReason.REFUSED_BY_UPSTREAM,
     Reason.OVERLOADED: RequestReason.REFUSED_BY_UPSTREAM,
 }
-"""What proves that a call did not run; after anything else it may have run."""
+"""Errors that prove that a call did not run; after any other error it may have run."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -54,7 +54,7 @@
 
 
 class OutgoingBody:
-    """The request body of one attempt; knows whether a streamed one was begun."""
+    """The request body of one attempt; tracks whether a streamed body was begun."""
 
     def __init__(self, body: Body) -> None:
         self._body = body
@@ -62,7 +62,7 @@
 
     @property
     def is_replayable(self) -> bool:
-        """Whether a further attempt can send it whole."""
+        """Whether a further attempt can send the complete body."""
         return isinstance(self._body, bytes) or not self.is_begun
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -77,7 +77,7 @@
 
 
 class Attempts:
-    """Makes attempts; each gives its permit back exactly once."""
+    """Makes attempts; each releases its permit exactly once."""
 
     def __init__(
         self,
@@ -87,20 +87,20 @@
         permits: PermitService,
         settings: Callable[[], RequestSettings],
         counters: RequestCounters,
-        note_time: Callable[[str, float], None],
+        on_run_time: Callable[[str, float], None],
     ) -> None:
-        """`note_time` takes the operation and run time of each request that is done."""
+        """`on_run_time` is called with the operation and run time of each successful request."""
         self._clock = clock
         self._upstreams = upstreams
         self._permits = permits
         self._settings = settings
         self._counters = counters
-        self._note_time = note_time
+        self._on_run_time = on_run_time
 
     async def make(
         self, *, call: RequestCall, permit: Permit, attempt_id: AttemptId
     ) -> AttemptResult:
-        """Send the request now; the caller has checked that the permit may begin."""
+        """Send the request now; the caller has checked `may_begin` of the permit."""
         now = self._clock.now()
         ends_at = min(call.deadline, self._permits.ends_at(permit))
         upstream_call = UpstreamCall(
@@ -112,7 +112,7 @@
             operation=call.operation,
             content_length=len(call.body) if isinstance(call.body, bytes) else call.content_length,
         )
-        run = _Run(self, call.operation, permit, now)
+        use = _PermitUse(self, call.operation, permit, now)
         body = OutgoingBody(call.body)
         try:
             async with AsyncExitStack() as stack:
@@ -121,57 +121,61 @@
                         address=permit.address, call=upstream_call, body=body.chunks()
                     )
                 )
-                return await self._judge(sent, upstream_call, body, run, stack)
+                return await self._classify(sent, upstream_call, body, use, stack)
         finally:
-            run.give_up()
+            use.end_abandoned()
 
-    async def _judge(
+    async def _classify(
         self,
         sent: Result[UpstreamAnswer, StepError],
         call: UpstreamCall,
         body: OutgoingBody,
-        run: "_Run",
+        use: "_PermitUse",
         stack: AsyncExitStack,
     ) -> AttemptResult:
         if isinstance(sent, Failure):
-            return self._not_answered(sent.failure(), body, run)
+            return self._not_answered(sent.failure(), body, use)
         answer = sent.unwrap()
         if answer.attempt_id != call.attempt_id:
             self._counters.foreign_answers += 1
-            run.end(Outcome.UNKNOWN, is_fault=True)
-            return _unknown(RequestReason.FOREIGN_ANSWER, body, f"names {answer.attempt_id!r}")
+            use.end(Outcome.UNKNOWN, is_fault=True)
+            return _unknown(
+                RequestReason.FOREIGN_ANSWER, body, f"response names attempt {answer.attempt_id!r}"
+            )
         if answer.outcome is Outcome.UNKNOWN:
-            run.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
             return _unknown(RequestReason.NO_ANSWER, body, f"status {answer.status}")
         if answer.outcome is Outcome.NOT_RUN:
-            run.end(Outcome.NOT_RUN, leaving=answer.leaving)
+            use.end(Outcome.NOT_RUN, leaving=answer.leaving)
             return AttemptResult(
                 outcome=Outcome.NOT_RUN,
                 reason=RequestReason.REFUSED_BY_UPSTREAM,
                 body_replayable=body.is_replayable,
             )
-        return await self._read(answer, body, run, stack)
+        return await self._read(answer, body, use, stack)
 
-    def _not_answered(self, error: StepError, body: OutgoingBody, run: "_Run") -> AttemptResult:
+    def _not_answered(
+        self, error: StepError, body: OutgoingBody, use: "_PermitUse"
+    ) -> AttemptResult:
         reason = NOT_RUN_REASONS.get(error.reason)
         if reason is not None:
-            run.end(Outcome.NOT_RUN, is_fault=error.reason is Reason.UNREACHABLE)
+            use.end(Outcome.NOT_RUN, is_fault=error.reason is Reason.UNREACHABLE)
             return AttemptResult(
                 outcome=Outcome.NOT_RUN,
                 reason=reason,
                 detail=str(error),
                 body_replayable=body.is_replayable,
             )
-        run.end(Outcome.UNKNOWN, is_fault=True)
+        use.end(Outcome.UNKNOWN, is_fault=True)
         cut = error.reason is Reason.CUT
         self._counters.cut_answers += cut
         reason = RequestReason.ANSWER_CUT if cut else RequestReason.NO_ANSWER
         return _unknown(reason, body, str(error))
 
     async def _read(
-        self, answer: UpstreamAnswer, body: OutgoingBody, run: "_Run", stack: AsyncExitStack
+        self, answer: UpstreamAnswer, body: OutgoingBody, use: "_PermitUse", stack: AsyncExitStack
     ) -> AttemptResult:
-        """Read a small answer whole; hand a large one on as a stream."""
+        """Read a small response completely; return a large one as a stream."""
         limit = self._settings().whole_answer_bytes
         chunks: list[bytes] = []
         size = 0
@@ -180,51 +184,51 @@
                 chunks.append(chunk)
                 size += len(chunk)
                 if size > limit:
-                    return self._stream(answer, chunks, run, stack)
+                    return self._stream(answer, chunks, use, stack)
         except UpstreamCutError as error:
             self._counters.cut_answers += 1
-            run.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, is_fault=True, leaving=answer.leaving)
             return _unknown(RequestReason.ANSWER_CUT, body, str(error))
-        run.end_answered(answer)
+        use.end_answered(answer)
         whole = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         return _answered(answer, whole)
 
     def _stream(
-        self, answer: UpstreamAnswer, first: list[bytes], run: "_Run", stack: AsyncExitStack
+        self, answer: UpstreamAnswer, first: list[bytes], use: "_PermitUse", stack: AsyncExitStack
     ) -> AttemptResult:
-        def ended(whole: bool) -> None:
-            if whole:
-                run.end_answered(answer)
+        def on_end(complete: bool) -> None:
+            if complete:
+                use.end_answered(answer)
                 return
             self._counters.broken_streams += 1
-            run.end(Outcome.UNKNOWN, leaving=answer.leaving)
+            use.end(Outcome.UNKNOWN, leaving=answer.leaving)
 
-        run.is_handed_on = True
-        stream = AnswerStream(first=first, rest=answer.body, call=stack.pop_all(), ended=ended)
+        use.is_streaming = True
+        stream = AnswerStream(first=first, rest=answer.body, call=stack.pop_all(), on_end=on_end)
         return _answered(answer, stream)
 
-    def give_back(self, returned: PermitReturn) -> None:
-        """Give a permit back."""
-        self._permits.give_back(returned)
+    def release(self, returned: PermitReturn) -> None:
+        """Release a permit."""
+        self._permits.release(returned)
 
     def now(self) -> float:
-        """Return the runtime time."""
+        """Return the monotonic time."""
         return self._clock.now()
 
-    def ran(self, operation: str, seconds: float) -> None:
-        """Note the run time of a request that is done."""
-        self._note_time(operation, seconds)
+    def note_run_time(self, operation: str, seconds: float) -> None:
+        """Report the run time of a successful request."""
+        self._on_run_time(operation, seconds)
 
     @property
     def overrun_s(self) -> float:
-        """Time for which an upstream may go on with a request given up, in seconds."""
+        """Time for which an upstream may continue with an abandoned request, in seconds."""
         return self._settings().overrun_s
 
 
-class _Run:
-    """One permit in use; ends once, whichever way comes first."""
+class _PermitUse:
+    """One permit in use; only the first of its end calls takes effect."""
 
-    __slots__ = ("_attempts", "_is_over", "_operation", "_permit", "_started_at", "is_handed_on")
+    __slots__ = ("_attempts", "_is_over", "_operation", "_permit", "_started_at", "is_streaming")
 
     def __init__(
         self, attempts: Attempts, operation: str, permit: Permit, started_at: float
@@ -234,22 +238,22 @@
         self._permit = permit
         self._started_at = started_at
         self._is_over = False
-        self.is_handed_on = False
+        self.is_streaming = False
 
     def end_answered(self, answer: UpstreamAnswer) -> None:
-        """End with a whole answer."""
+        """End the use with a complete response."""
         done = answer.outcome is Outcome.DONE
         if done:
-            self._attempts.ran(self._operation, self._attempts.now() - self._started_at)
+            self._attempts.note_run_time(self._operation, self._attempts.now() - self._started_at)
         fault = not done and answer.status >= SERVER_FAULT
         self.end(answer.outcome, is_fault=fault, leaving=answer.leaving)
 
     def end(self, outcome: Outcome, *, is_fault: bool = False, leaving: bool = False) -> None:
-        """Give the permit back with what the attempt saw."""
+        """Release the permit and report the result of the attempt."""
         if self._is_over:
             return
         self._is_over = True
-        self._attempts.give_back(
+        self._attempts.release(
             PermitReturn(
                 permit_id=self._permit.permit_id,
                 upstream=self._permit.upstream,
@@ -261,9 +265,9 @@
             )
         )
 
-    def give_up(self) -> None:
-        """End an attempt that was left by an exception; it may have run."""
-        if not self.is_handed_on:
+    def end_abandoned(self) -> None:
+        """End the use after an exception, as the attempt may have run; streams end themselves."""
+        if not self.is_streaming:
             self.end(Outcome.UNKNOWN)
 
 
