--- a/src/galenastall/coordination/cell/cell_state.py
+++ b/src/galenastall/coordination/cell/cell_state.py
@@ -11,7 +11,7 @@
     ThrottleOrder,
 )
 from galenastall.coordination.cell.executor_table import ExecutorTable
-from galenastall.coordination.cell.executors import Closed, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Executor
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
 from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms
 from galenastall.coordination.cell.stop_rules import StopRule
@@ -92,7 +92,7 @@
             return None
         return job, step, step.tasks[key.number]
 
-    def why_closed(self, executor: Executor) -> Closed | None:
+    def why_closed(self, executor: Executor) -> ClosedReason | None:
         """Return why an executor accepts no new work now; None if it does."""
         timings = self.timings
         return executor.why_closed(
@@ -101,7 +101,7 @@
 
     def request_listing(self, executor: Executor) -> None:
         """Request a listing from an executor now."""
-        executor.wants_look = True
+        executor.needs_listing = True
         self.wanted_listings.add(executor.executor_id)
 
     def keep_polled(self, executor: Executor, *, until: float) -> None:
@@ -152,7 +152,7 @@
     ) -> None:
         """Reserve capacity for a new run of a task and count the run in the ledger."""
         task.assign(run=run, executor_id=executor.executor_id, now=now)
-        executor.take(step.step.need)
+        executor.reserve(step.step.need)
         executor.runs_by_task[task.key] = run
         self.count_run(task, step)
         self.dirty_jobs.add(task.key.job)
@@ -166,7 +166,7 @@
         """Release the capacity of a task's ended run; return its executor if known."""
         executor = self.executors_by_id.get(task.executor_id)
         if executor is not None and executor.runs_by_task.pop(task.key, None) is not None:
-            executor.give_back(step.step.need)
+            executor.release(step.step.need)
         self.workspaces.remove(task.key)
         self.dirty_jobs.add(task.key.job)
         return executor
--- a/src/galenastall/node/cell/executor_session.py
+++ b/src/galenastall/node/cell/executor_session.py
@@ -84,7 +84,7 @@
         """Wait until a poll may be sent; return whether it had to wait."""
         if self._executor.needs_polling(trio.current_time()):
             return False
-        slot_at = self._context.idle_polls.next_turn(trio.current_time())
+        slot_at = self._context.idle_polls.next_slot(trio.current_time())
         if slot_at <= trio.current_time():
             return False
         self._is_waiting_for_slot = True
@@ -112,7 +112,7 @@
 
     async def _wait_until_durable(self) -> None:
         with trio.move_on_after(DURABLE_WAIT_S):
-            while self._executor.durable < self._executor.noted:
+            while self._executor.durable_position < self._executor.applied_position:
                 await self._context.committed.wait()
 
     async def poll_now(self) -> None:
@@ -130,7 +130,7 @@
 
     async def _poll(self, wait_s: float) -> bool:
         context, executor = self._context, self._executor
-        executor.wants_look = False
+        executor.needs_listing = False
         asked_seq = context.core.next_seq()
         token = context.token_of(executor.executor_id)
         answer = await context.executors.renew(
@@ -157,7 +157,7 @@
         is_confirmed = executor.lost_at is None and executor.has_answered(
             now=trio.current_time(), reach_s=ACKNOWLEDGES_WITHIN_S
         )
-        return executor.durable if is_confirmed else 0
+        return executor.durable_position if is_confirmed else 0
 
     def _deadline_ms(self) -> int | None:
         """Return the lease deadline to send now; None for an executor that does not answer.
@@ -167,7 +167,7 @@
         that follows an unanswered one sends no deadline.
         """
         executor = self._executor
-        if executor.lost_at is not None or executor.is_doubted or executor.has_restarted:
+        if executor.lost_at is not None or executor.has_unacked_start or executor.has_restarted:
             return None
         confirmed_at = self._context.confirmed_at
         return executor.clock.deadline_ms(confirmed_at=confirmed_at, now=trio.current_time())
@@ -229,7 +229,9 @@
         An order that is retried needlessly may be carried out late, by a later incarnation.
         """
         await trio.sleep(RETRY_S)
-        while self._executor.is_doubted and self._context.core.is_needed(order):  # noqa: ASYNC110
+        while self._executor.has_unacked_start and self._context.core.is_needed(  # noqa: ASYNC110
+            order
+        ):
             await trio.sleep(RETRY_S)
 
     async def _send_start(self, order: StartOrder) -> StartOutcome:
@@ -251,7 +253,7 @@
             error = answer.failure()
             context.note("run.start_failed", order.task.job, cause=str(error))
             if error.may_have_taken_effect:
-                executor.clock.doubt(sent_at)
+                executor.clock.assume_lease_granted(sent_at)
                 return StartOutcome.UNKNOWN
             return StartOutcome.UNHEALTHY
         verdict = answer.unwrap().verdict
--- a/tests/test_cell_review.py
+++ b/tests/test_cell_review.py
@@ -213,7 +213,7 @@
         for _ in range(round(seconds / LISTED_EVERY_S)):
             self.now += LISTED_EVERY_S
             for order in self.fillers:
-                pace = self.core.executors_by_id[order.executor_id].filler_percent / 100
+                pace = self.core.executors_by_id[order.executor_id].filler_rate_percent / 100
                 self.percents[order] = self.percents.get(order, 0.0) + 10 * pace * LISTED_EVERY_S
             for info in self.infos:
                 self.listing(info.executor_id, self._running(info.executor_id))
@@ -243,7 +243,7 @@
         for _ in range(16):
             harness.run_for(LISTED_EVERY_S)
             stops += harness.stops()
-        assert harness.core.executors_by_id[harness.host].filler_percent == 0
+        assert harness.core.executors_by_id[harness.host].filler_rate_percent == 0
         assert paused(harness) == set()
         assert stops == []
 
@@ -257,7 +257,7 @@
         for _ in range(12):
             harness.run_for(LISTED_EVERY_S)
             stops += harness.stops()
-        assert 0 < harness.core.executors_by_id[harness.host].filler_percent <= 25
+        assert 0 < harness.core.executors_by_id[harness.host].filler_rate_percent <= 25
         assert paused(harness) == set()
         assert stops == []
 
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -13,7 +13,7 @@
 from galenastall.cli.app import app
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.commands import AdviceRequest, Note, StartOrder
-from galenastall.coordination.cell.executors import Closed, Cordon, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Cordon, Executor
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.explain_reasons import format_reasons, reasons_by_queue
 from galenastall.coordination.cell.explain_restarts import format_restarts
@@ -28,7 +28,7 @@
     MAX_PLANNED_GANGS,
     STEPS_PER_DECISION,
 )
-from galenastall.coordination.cell.standstill import STILL_S
+from galenastall.coordination.cell.stalls import STALL_TIMEOUT_S
 from galenastall.coordination.cell.stop_rules import JobStops, StopRule
 from galenastall.coordination.cell.wait_reasons import SOON_S, WaitReason, why_not_gang
 from galenastall.coordination.cell.waiting_report import (
@@ -388,7 +388,7 @@
         harness = WaitReportHarness(executors=1)
         return harness.core.executors_by_id["e000"]
 
-    def why(self, executor: Executor, now: float = 100.0) -> Closed | None:
+    def why(self, executor: Executor, now: float = 100.0) -> ClosedReason | None:
         why = executor.why_closed(now=now, reach_s=1.5, delisted_grace_s=2.0)
         assert executor.is_open(now=now, reach_s=1.5, delisted_grace_s=2.0) is (why is None)
         return why
@@ -397,9 +397,10 @@
         assert self.why(self.executor()) is None
 
     @pytest.mark.parametrize(
-        ("field", "closed"), [("is_draining", Closed.DRAINING), ("is_usable", Closed.UNUSABLE)]
+        ("field", "closed"),
+        [("is_draining", ClosedReason.DRAINING), ("is_usable", ClosedReason.UNUSABLE)],
     )
-    def test_closed_by_the_executor_list(self, field: str, closed: Closed) -> None:
+    def test_closed_by_the_executor_list(self, field: str, closed: ClosedReason) -> None:
         executor = self.executor()
         value = not getattr(executor.info, field)
         executor.set_info(replace(executor.info, **{field: value}))  # type: ignore[arg-type]
@@ -408,15 +409,15 @@
     @pytest.mark.parametrize(
         ("field", "value", "closed"),
         [
-            ("cordons", {Cordon.POOL}, Closed.CORDONED),
-            ("strangers", frozenset({(TaskKey(JOB, 0, 0, 0), 1)}), Closed.STRANGERS),
-            ("paused_until", 101.0, Closed.PAUSED),
-            ("doubted_at", 100.0, Closed.DOUBTED),
-            ("answered_at", 98.0, Closed.NOT_ANSWERED),
-            ("answered_at", None, Closed.NOT_ANSWERED),
+            ("cordons", {Cordon.POOL}, ClosedReason.CORDONED),
+            ("unknown_runs", frozenset({(TaskKey(JOB, 0, 0, 0), 1)}), ClosedReason.UNKNOWN_RUNS),
+            ("paused_until", 101.0, ClosedReason.PAUSED),
+            ("start_unanswered_at", 100.0, ClosedReason.UNANSWERED_START),
+            ("answered_at", 98.0, ClosedReason.NOT_ANSWERED),
+            ("answered_at", None, ClosedReason.NOT_ANSWERED),
         ],
     )
-    def test_closed_by_the_leader(self, field: str, value: object, closed: Closed) -> None:
+    def test_closed_by_the_leader(self, field: str, value: object, closed: ClosedReason) -> None:
         executor = self.executor()
         setattr(executor, field, value)
         assert self.why(executor) is closed
@@ -427,12 +428,12 @@
         executor.delisted_at = 99.0
         assert self.why(executor) is None
         executor.delisted_at = 97.0
-        assert self.why(executor) is Closed.DELISTED
+        assert self.why(executor) is ClosedReason.DELISTED
 
     def test_an_executor_that_never_answered(self) -> None:
         clock = LeaseClock(timings=WaitReportHarness().core.timings, unknown_until=0.0)
         executor = Executor(info=make_info("e1"), clock=clock, now=100.0)
-        assert self.why(executor) is Closed.NOT_ANSWERED
+        assert self.why(executor) is ClosedReason.NOT_ANSWERED
 
     def test_the_load_report_counts_them_by_reason(self) -> None:
         harness = WaitReportHarness(executors=4)
@@ -459,7 +460,7 @@
         harness.submit(make_job(make_step(2, cores=FULL, is_gang=True, estimate_s=9.0)))
         harness.confirm_starts(harness.step())
         harness.answer_listings(40)
-        for _ in range(int(STILL_S) + 1):
+        for _ in range(int(STALL_TIMEOUT_S) + 1):
             harness.now += 1.0
             harness.answer_listings(40)
             harness.decide()
@@ -476,7 +477,7 @@
     def test_a_gang_run_counts_once(self) -> None:
         harness, notes = self.stalled()
         assert len(notes) == 2
-        assert harness.core.stopped_by_rule == {StopRule.STANDS_STILL: 1}
+        assert harness.core.stopped_by_rule == {StopRule.STALLED: 1}
 
     def test_stops_appear_in_the_line_of_the_job(self) -> None:
         harness, _ = self.stalled()
@@ -517,7 +518,7 @@
 
     def __init__(self) -> None:
         self.waiting_by_reason = {WaitReason.ROOM_KEPT: 3}
-        self.stopped_by_rule = {StopRule.STANDS_STILL: 2}
+        self.stopped_by_rule = {StopRule.STALLED: 2}
 
 
 class _Host:
@@ -539,7 +540,7 @@
 
     PAGE = Path(__file__).parents[1] / "docs" / "guide" / "observability.md"
 
-    @pytest.mark.parametrize("kind", [WaitReason, Closed, StopRule])
+    @pytest.mark.parametrize("kind", [WaitReason, ClosedReason, StopRule])
     def test_all_reasons_and_rules_are_named(self, kind: type[StrEnum]) -> None:
         page = self.PAGE.read_text()
         assert [name.value for name in kind if f"`{name.value}`" not in page] == []
