--- a/src/galenastall/bench/cell_load/arrivals.py
+++ b/src/galenastall/bench/cell_load/arrivals.py
@@ -5,16 +5,16 @@
 from random import Random
 from typing import Final
 
-from galenastall.bench.cell_load.workload import QueueLoad, Spread, Workload
+from galenastall.bench.cell_load.workload import LogNormal, QueueLoad, Workload
 from galenastall.coordination.cell.objectives import longest_chain_s
 from galenastall.state.cell.jobs import AdvisorTiming, CellJob, Queue, Step
 from galenastall.state.cell.workspaces import NO_WORKSPACE
 from galenastall.state.resources import Resources
 
 SERVICE: Final = "service"
-WORTH_AT_LEAST: Final = 0.3
-WORTH_BY_WORK: Final = 0.7
-MOST_WORTH: Final = 4.0
+MIN_WORTH: Final = 0.3
+WORTH_PER_WORK: Final = 0.7
+MAX_WORTH: Final = 4.0
 """A job is worth 0.3 + 0.7 x its work against the mean of its queue, at most four times it."""
 
 
@@ -35,12 +35,12 @@
     """Whether it is above what its workspace hands in as usual."""
 
     @property
-    def is_owed(self) -> bool:
+    def is_entitled(self) -> bool:
         """Whether it can be done, and is within what its workspace is owed."""
         return not self.crashes and not self.is_extra
 
 
-def draw(spread: Spread, rng: Random) -> float:
+def draw(spread: LogNormal, rng: Random) -> float:
     """Return a value of a log-normal distribution."""
     if spread.spread <= 0.0:
         return min(spread.mean, spread.most)
@@ -87,12 +87,12 @@
         replace(each, crashes=rng.random() < workload.queues[each.job.queue.name].crash_share)
         for each in arrivals
     ]
-    owned = _give_owners(workload, marked, seed=seed)
+    owned = _assign_workspaces(workload, marked, seed=seed)
     owned += _draw_extra(workload, len(owned), seed=seed)
     return sorted(owned, key=lambda arrival: arrival.at_s)
 
 
-def _give_owners(workload: Workload, arrivals: list[Arrival], *, seed: int) -> list[Arrival]:
+def _assign_workspaces(workload: Workload, arrivals: list[Arrival], *, seed: int) -> list[Arrival]:
     """Give jobs to workspaces by their shares; those that no share covers stay without one."""
     rng = Random(f"{seed}/owners")
     names = [*workload.workspaces, NO_WORKSPACE]
@@ -100,10 +100,10 @@
     weights = [*shares, max(1.0 - sum(shares), 0.0)]
     if not workload.workspaces:
         return arrivals
-    return [_owned_by(rng.choices(names, weights)[0], arrival) for arrival in arrivals]
+    return [_with_workspace(rng.choices(names, weights)[0], arrival) for arrival in arrivals]
 
 
-def _owned_by(workspace: str, arrival: Arrival) -> Arrival:
+def _with_workspace(workspace: str, arrival: Arrival) -> Arrival:
     return replace(arrival, job=replace(arrival.job, workspace=workspace))
 
 
@@ -117,7 +117,7 @@
             at_s = rng.expovariate(rate) if rate > 0 else workload.length_s
             while at_s < workload.length_s:
                 arrival = _draw_job(name, load, at_s, first + len(arrivals), rng)
-                arrivals.append(replace(_owned_by(workspace, arrival), is_extra=True))
+                arrivals.append(replace(_with_workspace(workspace, arrival), is_extra=True))
                 at_s += rng.expovariate(rate)
     return arrivals
 
@@ -131,7 +131,7 @@
         usual_s = draw(load.run_s, rng)
         times = tuple(usual_s * rng.uniform(0.85, 1.15) for _ in range(count))
         run_s.append(times)
-        off = math.exp(rng.gauss(0.0, load.estimate_off))
+        error_factor = math.exp(rng.gauss(0.0, load.estimate_off))
         steps.append(
             Step(
                 count=count,
@@ -139,7 +139,7 @@
                     cores_milli=round(draw(load.cores_milli, rng)),
                     memory_mb=round(draw(load.memory_mb, rng)),
                 ),
-                estimate_s=usual_s * off,
+                estimate_s=usual_s * error_factor,
                 after=(index - 1,) if index else (),
                 is_gang=count > 1 and rng.random() < load.gang_share,
             )
@@ -150,7 +150,7 @@
         job=job,
         run_s_by_step=tuple(run_s),
         objective_s=_objective_s(queue, steps, run_s),
-        worth=load.worth * _share_of_worth(load, steps, run_s),
+        worth=load.worth * _worth_factor(load, steps, run_s),
     )
 
 
@@ -160,7 +160,7 @@
     return queue.stretch * (work_s + advice_s) + queue.target_s
 
 
-def _share_of_worth(load: QueueLoad, steps: list[Step], run_s: list[tuple[float, ...]]) -> float:
+def _worth_factor(load: QueueLoad, steps: list[Step], run_s: list[tuple[float, ...]]) -> float:
     usual = load.steps.mean * load.width.mean * load.cores_milli.mean * load.run_s.mean
     work = sum(step.need.cores_milli * sum(times) for step, times in zip(steps, run_s, strict=True))
-    return min(WORTH_AT_LEAST + WORTH_BY_WORK * work / usual, MOST_WORTH)
+    return min(MIN_WORTH + WORTH_PER_WORK * work / usual, MAX_WORTH)
--- a/src/galenastall/bench/cell_load/surroundings.py
+++ b/src/galenastall/bench/cell_load/emulation.py
@@ -34,21 +34,21 @@
 READ_S: Final = 0.005
 POLL_S: Final = 0.05
 """Between two looks of a long poll at what has ended."""
-SWEEP_EVERY_S: Final = 0.005
-AWAY_S: Final = 1.3
+SWEEP_INTERVAL_S: Final = 0.005
+HOST_RESTART_S: Final = 1.3
 """How long a host is away that a task has crashed."""
-BACK_EVERY_S: Final = 0.05
+RESTART_POLL_S: Final = 0.05
 SPEEDS: Final = (0.8, 1.0, 1.25)
 """Executors differ by these factors."""
 
 
-def chance(*parts: object) -> float:
+def hash_to_unit_interval(*parts: object) -> float:
     """Return a number from 0 to 1 that is the same for the same parts, whatever the policy."""
     digest = hashlib.blake2b(repr(parts).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
 
 
-class LabWorld(ExecutorSimulation):
+class EmulatedFleet(ExecutorSimulation):
     """Executors that run what arrives for as long as was drawn."""
 
     def __init__(self, *, workload: Workload, arrivals: Iterable[Arrival], seed: int) -> None:
@@ -64,7 +64,7 @@
         self.crashing_tasks = {
             TaskKey(job_id, 0, 0, 0) for job_id, a in self.arrivals_by_id.items() if a.crashes
         }
-        self.crashed_by_tasks = 0
+        self.task_crashes = 0
         """Executors that tasks have crashed."""
         self._back_at_by_number: dict[int, float] = {}
         self._factors_by_number: dict[int, float] = {}
@@ -80,7 +80,7 @@
         The leader learns of an end from its executor's own listing, which is brought up to date.
         """
         now = trio.current_time()
-        if now >= self._swept_at + SWEEP_EVERY_S:
+        if now >= self._swept_at + SWEEP_INTERVAL_S:
             self._swept_at = now
             super().sweep()
 
@@ -127,14 +127,14 @@
 
     def on_crashed_by_task(self, executor: Executor) -> None:
         """Have the executor's host come back after a while."""
-        self.crashed_by_tasks += 1
+        self.task_crashes += 1
         number = int(executor.info.host.removeprefix("host-"))
-        self._back_at_by_number[number] = trio.current_time() + AWAY_S
+        self._back_at_by_number[number] = trio.current_time() + HOST_RESTART_S
 
-    async def bring_back(self) -> None:
+    async def restart_crashed_executors(self) -> None:
         """Start executors again that tasks have crashed, until cancelled."""
         while True:
-            await trio.sleep(BACK_EVERY_S)
+            await trio.sleep(RESTART_POLL_S)
             now = trio.current_time()
             for number, back_at in list(self._back_at_by_number.items()):
                 if back_at <= now:
@@ -142,7 +142,7 @@
 
     def speed_of(self, executor: ExecutorInfo) -> float:
         """Return how fast a host is."""
-        return SPEEDS[int(chance(self.seed, "speed", executor.host) * len(SPEEDS))]
+        return SPEEDS[int(hash_to_unit_interval(self.seed, "speed", executor.host) * len(SPEEDS))]
 
     def workspace_of(self, task: TaskKey) -> str:
         """Return the workspace that owns a task."""
@@ -163,7 +163,7 @@
         """Return how long a run lasts, and whether it fails."""
         speed = self.speed_of(self.infos_by_id[order.executor_id])
         load = self.workload.queues[self.arrivals_by_id[order.task.job].job.queue.name]
-        fails = chance(self.seed, "fails", order.task, order.run) < load.fail_share
+        fails = hash_to_unit_interval(self.seed, "fails", order.task, order.run) < load.fail_share
         return self._run_s(order.task) / speed, fails
 
     def draw_gang_s(self, members: Iterable[Run]) -> float:
@@ -176,19 +176,19 @@
         if advice is None:
             return True
         host = self.infos_by_id[executor_id].host
-        return chance(self.seed, "advice", step, host) < advice.approved_share
+        return hash_to_unit_interval(self.seed, "advice", step, host) < advice.approved_share
 
 
-class LabPorts:
+class EmulatedPorts:
     """The ports of a leader onto a lab's world."""
 
-    def __init__(self, *, world: LabWorld) -> None:
+    def __init__(self, *, fleet: EmulatedFleet) -> None:
         """Serve from `world`."""
-        self._world = world
+        self._fleet = fleet
         self._values: dict[str, bytes] = {}
         self._epoch = 0
         self._sequence = -1
-        self.is_store_away = False
+        self.is_store_unavailable = False
         self.advice_calls = 0
 
     @property
@@ -215,7 +215,7 @@
     ) -> Result[None, StepError]:
         """Write once for each sequence number."""
         await trio.sleep(APPEND_S)
-        if self.is_store_away:
+        if self.is_store_unavailable:
             return Failure(StepError(step="lab.append", peer="store", reason=Reason.UNAVAILABLE))
         if token < self._epoch:
             return Failure(StepError(step="lab.append", peer="store", reason=Reason.CONFLICT))
@@ -234,8 +234,8 @@
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
         """Return the executors that are up."""
         await trio.sleep(READ_S)
-        executors = self._world.executors
-        infos = self._world.infos_by_id.values()
+        executors = self._fleet.executors
+        infos = self._fleet.infos_by_id.values()
         return Success(tuple(i for i in infos if executors[i.executor_id].is_up))
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
@@ -260,7 +260,7 @@
         """Start a run."""
         executor = await self._reach(order.executor_id, timeout_s)
         if executor is None:
-            return _silent(order.executor_id)
+            return _timed_out(order.executor_id)
         verdict = executor.start(order, deadline_ms, token)
         return Success(OrderAnswer(verdict=verdict, clock_ms=int(executor.clock_ms())))
 
@@ -270,7 +270,7 @@
         """Stop a run."""
         executor = await self._reach(order.executor_id, timeout_s)
         if executor is None:
-            return _silent(order.executor_id)
+            return _timed_out(order.executor_id)
         verdict = executor.stop(order, token)
         return Success(OrderAnswer(verdict=verdict, clock_ms=int(executor.clock_ms())))
 
@@ -295,7 +295,7 @@
         """Renew, and list once a run has ended or the wait is over."""
         executor = await self._reach(executor_id, timeout_s)
         if executor is None:
-            return _silent(executor_id)
+            return _timed_out(executor_id)
         executor.sweep()
         verdict = executor.hold(deadline_ms, noted, token)
         if verdict is not StartVerdict.STARTED:
@@ -306,13 +306,13 @@
                 await executor.changed.wait()
             executor.sweep()
         if not executor.is_up:
-            return _silent(executor_id)
-        there_id, listing = executor.info.executor_id, executor.listing()
-        return Success(ListingAnswer(verdict=verdict, executor_id=there_id, listing=listing))
+            return _timed_out(executor_id)
+        answering_id, listing = executor.info.executor_id, executor.listing()
+        return Success(ListingAnswer(verdict=verdict, executor_id=answering_id, listing=listing))
 
     async def _reach(self, executor_id: str, timeout_s: float) -> Executor | None:
         await trio.sleep(ORDER_S)
-        executor = self._world.newest_by_name[executor_name(executor_id)]
+        executor = self._fleet.newest_by_name[executor_name(executor_id)]
         executor.sweep()
         if executor.is_up:
             return executor
@@ -323,7 +323,7 @@
         self, *, step: StepKey, executor_ids: tuple[str, ...], timeout_s: float
     ) -> Result[AdviceAnswer, StepError]:
         """Answer a call for advice after the time that it takes."""
-        arrival = self._world.arrivals_by_id[step.job]
+        arrival = self._fleet.arrivals_by_id[step.job]
         timing = arrival.job.queue.advisor
         assert timing is not None, "only steps of advised queues are asked about"
         self.advice_calls += 1
@@ -331,7 +331,7 @@
         approved = tuple(
             Approval(executor_id=executor_id, ticket="ticket")
             for executor_id in executor_ids
-            if self._world.is_approved(step, executor_id)
+            if self._fleet.is_approved(step, executor_id)
         )
         return Success(AdviceAnswer(approved=approved, validity_s=timing.validity_s))
 
@@ -359,7 +359,7 @@
 class AdvisorLink:
     """A peer link on which each host only asks the advisor, and keeps what it says."""
 
-    def __init__(self, *, ports: LabPorts, nursery: trio.Nursery) -> None:
+    def __init__(self, *, ports: EmulatedPorts, nursery: trio.Nursery) -> None:
         """Ask through `ports`; calls go on in `nursery` when the leader that asked is lost."""
         self._ports = ports
         self._nursery = nursery
@@ -385,11 +385,11 @@
         """Ask the advisor through a host, or the host for what the advisor told it."""
         answers: list[Any] = []
         answered = trio.Event()
-        self._nursery.start_soon(self._ask, peer, message, answers, answered)
+        self._nursery.start_soon(self._call_host, peer, message, answers, answered)
         await answered.wait()
         return Failure(answers[0]) if isinstance(answers[0], StepError) else Success(answers[0])
 
-    async def _ask(
+    async def _call_host(
         self, peer: HostId, message: object, answers: list[Any], answered: trio.Event
     ) -> None:
         link = self._links_by_host.get(peer)
@@ -401,5 +401,5 @@
         answered.set()
 
 
-def _silent(peer: str) -> Failure[StepError]:
+def _timed_out(peer: str) -> Failure[StepError]:
     return Failure(StepError(step="lab.call", peer=peer, reason=Reason.TIMEOUT))
--- a/src/galenastall/bench/cell_load/figures.py
+++ b/src/galenastall/bench/cell_load/figures.py
@@ -8,16 +8,16 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from galenastall.bench.cell_load.play import JobFate, Play
+from galenastall.bench.cell_load.simulation import JobOutcome, SimulationResult
 from galenastall.bench.cell_load.workload import Workload
 from galenastall.state.cell.phases import JobPhase
 from galenastall.state.cell.workspaces import NO_WORKSPACE
 
-LONGEST_MS: Final = 600_000
-DIGITS: Final = 3
+MAX_RECORDED_MS: Final = 600_000
+SIGNIFICANT_DIGITS: Final = 3
 NORMAL_95: Final = 1.96
 """Half-width of a 95% interval in standard errors."""
-LARGE_TENTH: Final = 0.9
+TOP_DECILE: Final = 0.9
 """The largest tenth of a queue's jobs by work is reported by itself."""
 
 
@@ -68,79 +68,86 @@
     """Worth earned over worth owed, over all seeds."""
 
 
-def summarize(plays: list[Play], *, workload: Workload, without: list[str]) -> Figures:
+def summarize(
+    results: list[SimulationResult], *, workload: Workload, without: list[str]
+) -> Figures:
     """Return the report of some seeds."""
-    fates_by_queue: defaultdict[str, list[JobFate]] = defaultdict(list)
-    for play in plays:
-        for fate in play.fates:
-            fates_by_queue[fate.arrival.job.queue.name].append(fate)
-    jobs = sum(len(fates) for fates in fates_by_queue.values())
-    refusals = [f.answered_s for p in plays for f in p.fates if f.is_refused and f.answered_s]
+    outcomes_by_queue: defaultdict[str, list[JobOutcome]] = defaultdict(list)
+    for result in results:
+        for outcome in result.outcomes:
+            outcomes_by_queue[outcome.arrival.job.queue.name].append(outcome)
+    jobs = sum(len(outcomes) for outcomes in outcomes_by_queue.values())
+    refusals = [f.answered_s for p in results for f in p.outcomes if f.is_refused and f.answered_s]
     return Figures(
         workload=workload.name,
         without=without,
-        worth_by_seed={str(play.seed): _worth(play) for play in plays},
+        worth_by_seed={str(result.seed): _worth_ratio_of_run(result) for result in results},
         idle_usable_by_seed={
-            str(play.seed): fmean(s.idle_usable / max(s.capacity, 1) for s in play.samples)
-            for play in plays
+            str(result.seed): fmean(s.idle_usable / max(s.capacity, 1) for s in result.samples)
+            for result in results
         },
         in_use_by_seed={
-            str(play.seed): fmean(s.in_use / max(s.capacity, 1) for s in play.samples)
-            for play in plays
+            str(result.seed): fmean(s.in_use / max(s.capacity, 1) for s in result.samples)
+            for result in results
         },
         by_queue={
-            name: _of_queue([fate for fate in fates if fate.arrival.is_owed])
-            for name, fates in sorted(fates_by_queue.items())
+            name: _summarize_queue([outcome for outcome in outcomes if outcome.arrival.is_entitled])
+            for name, outcomes in sorted(outcomes_by_queue.items())
         },
         refusal=_quantiles(refusals),
-        decision=_quantiles([s for play in plays for s in play.decision_s]),
-        advice_calls_a_job=sum(play.advice_calls for play in plays) / max(jobs, 1),
-        starts_a_s=fmean(play.starts / workload.length_s for play in plays),
-        violations=[text for play in plays for text in play.violations],
-        crashes=sum(play.crashes for play in plays),
+        decision=_quantiles([s for result in results for s in result.decision_s]),
+        advice_calls_a_job=sum(result.advice_calls for result in results) / max(jobs, 1),
+        starts_a_s=fmean(result.starts / workload.length_s for result in results),
+        violations=[text for result in results for text in result.violations],
+        crashes=sum(result.crashes for result in results),
         failed_jobs=sum(
-            1 for p in plays for f in p.fates if f.arrival.is_owed and f.phase is JobPhase.FAILED
+            1
+            for p in results
+            for f in p.outcomes
+            if f.arrival.is_entitled and f.phase is JobPhase.FAILED
         ),
-        worth_by_workspace=_worth_by_workspace(plays),
+        worth_by_workspace=_worth_by_workspace(results),
     )
 
 
-def _worth_by_workspace(plays: list[Play]) -> dict[str, float]:
-    fates_by_workspace: defaultdict[str, list[JobFate]] = defaultdict(list)
-    for play in plays:
-        for fate in play.fates:
-            if fate.arrival.job.workspace != NO_WORKSPACE and fate.arrival.is_owed:
-                fates_by_workspace[fate.arrival.job.workspace].append(fate)
-    return {name: _worth_of(fates) for name, fates in sorted(fates_by_workspace.items())}
+def _worth_by_workspace(results: list[SimulationResult]) -> dict[str, float]:
+    outcomes_by_workspace: defaultdict[str, list[JobOutcome]] = defaultdict(list)
+    for result in results:
+        for outcome in result.outcomes:
+            if outcome.arrival.job.workspace != NO_WORKSPACE and outcome.arrival.is_entitled:
+                outcomes_by_workspace[outcome.arrival.job.workspace].append(outcome)
+    return {
+        name: _worth_ratio(outcomes) for name, outcomes in sorted(outcomes_by_workspace.items())
+    }
 
 
-def _worth(play: Play) -> float:
-    return _worth_of([fate for fate in play.fates if fate.arrival.is_owed])
+def _worth_ratio_of_run(result: SimulationResult) -> float:
+    return _worth_ratio([outcome for outcome in result.outcomes if outcome.arrival.is_entitled])
 
 
-def _worth_of(fates: list[JobFate]) -> float:
+def _worth_ratio(outcomes: list[JobOutcome]) -> float:
     """Return the worth earned over the worth owed of some jobs."""
-    owed = sum(fate.arrival.worth for fate in fates)
-    return sum(fate.arrival.worth * fate.earned_share for fate in fates) / owed
+    total = sum(outcome.arrival.worth for outcome in outcomes)
+    return sum(outcome.arrival.worth * outcome.earned_share for outcome in outcomes) / total
 
 
-def _of_queue(fates: list[JobFate]) -> QueueFigures:
-    count = len(fates)
-    by_size = sorted(fates, key=lambda fate: fate.arrival.worth)
-    largest = by_size[int(count * LARGE_TENTH) :]
+def _summarize_queue(outcomes: list[JobOutcome]) -> QueueFigures:
+    count = len(outcomes)
+    by_size = sorted(outcomes, key=lambda outcome: outcome.arrival.worth)
+    largest = by_size[int(count * TOP_DECILE) :]
     return QueueFigures(
         jobs=count,
-        in_time=sum(1 for f in fates if f.earned_share == 1.0) / count,
-        late=sum(1 for f in fates if 0.0 < f.earned_share < 1.0) / count,
-        refused=sum(1 for f in fates if f.is_refused) / count,
-        lost=sum(1 for f in fates if f.is_accepted and f.phase is None) / count,
+        in_time=sum(1 for f in outcomes if f.earned_share == 1.0) / count,
+        late=sum(1 for f in outcomes if 0.0 < f.earned_share < 1.0) / count,
+        refused=sum(1 for f in outcomes if f.is_refused) / count,
+        lost=sum(1 for f in outcomes if f.is_accepted and f.phase is None) / count,
         largest_in_time=sum(1 for f in largest if f.earned_share == 1.0) / max(len(largest), 1),
-        first_start=_quantiles([f.started_s for f in fates if f.started_s is not None]),
+        first_start=_quantiles([f.started_s for f in outcomes if f.started_s is not None]),
     )
 
 
 def _quantiles(seconds: list[float]) -> Quantiles:
-    histogram = HdrHistogram(1, LONGEST_MS * 1000, DIGITS)
+    histogram = HdrHistogram(1, MAX_RECORDED_MS * 1000, SIGNIFICANT_DIGITS)
     for each in seconds:
         histogram.record_value(max(1, int(each * 1e6)))
     p50, p95, p99 = (histogram.get_value_at_percentile(p) / 1e6 for p in (50, 95, 99))
--- a/src/galenastall/bench/cell_load/idle.py
+++ b/src/galenastall/bench/cell_load/idle.py
@@ -1,22 +1,22 @@
 """How much of the fleet lies idle though a waiting step could use it."""
 
-from galenastall.bench.cell_load.surroundings import LabWorld
+from galenastall.bench.cell_load.emulation import EmulatedFleet
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.state.cell.jobs import Step, StepKey
 from galenastall.state.cell.phases import TaskPhase
 from galenastall.state.resources import Resources
 
 
-def usable_idle_cores(core: CellScheduler, world: LabWorld) -> int:
+def usable_idle_cores(core: CellScheduler, fleet: EmulatedFleet) -> int:
     """Return the milli-cores that waiting steps could take up now, where they are approved.
 
     What the executors really have free counts, not the leader's ledger: room that is kept for a
     step that can't start yet is idle too.
     """
-    free_by_id = _free(world)
+    free_by_id = _free_by_executor(fleet)
     taken = 0
-    for key, step, count in _waiting(core):
-        approved = [i for i in free_by_id if world.is_approved(key, i)]
+    for key, step, count in _waiting_steps(core):
+        approved = [i for i in free_by_id if fleet.is_approved(key, i)]
         slots = {i: step.need.count_in(free_by_id[i], count) for i in approved}
         if step.is_gang and sum(slots.values()) < count:
             continue
@@ -29,9 +29,9 @@
     return taken
 
 
-def _free(world: LabWorld) -> dict[str, Resources]:
+def _free_by_executor(fleet: EmulatedFleet) -> dict[str, Resources]:
     free = {}
-    for executor_id, executor in world.executors.items():
+    for executor_id, executor in fleet.executors.items():
         if executor.is_up:
             left = executor.info.capacity
             for run in executor.runs.values():
@@ -40,7 +40,7 @@
     return free
 
 
-def _waiting(core: CellScheduler) -> list[tuple[StepKey, Step, int]]:
+def _waiting_steps(core: CellScheduler) -> list[tuple[StepKey, Step, int]]:
     found = []
     for job in core.jobs_by_id.values():
         if job.has_ended or not job.is_durable:
--- a/src/galenastall/bench/cell_load/run.py
+++ b/src/galenastall/bench/cell_load/run.py
@@ -9,39 +9,39 @@
 import msgspec
 
 from galenastall.bench.cell_load.figures import Figures, summarize
-from galenastall.bench.cell_load.play import Play, play
+from galenastall.bench.cell_load.simulation import SimulationResult, simulate
 from galenastall.bench.cell_load.workload import Workload
 from galenastall.coordination.cell.mechanisms import Mechanism
 
-MOST_SEEDS: Final = 1_000
-MOST_JOBS: Final = 4
+MAX_SEEDS: Final = 1_000
+MAX_JOBS: Final = 4
 """Processes at once: half of a small machine's cores."""
 
 
 def run_seeds(
     workload: Workload, *, seeds: int, jobs: int = 1, without: Iterable[Mechanism] = ()
-) -> tuple[Figures, list[Play]]:
+) -> tuple[Figures, list[SimulationResult]]:
     """Play seeds 0 to `seeds` - 1 and return the report with the plays.
 
     Raises ValueError for a number of seeds or jobs that is not allowed.
     """
-    if not 1 <= seeds <= MOST_SEEDS:
-        raise ValueError(f"seeds: expected 1 to {MOST_SEEDS}, got {seeds}")
-    if not 1 <= jobs <= MOST_JOBS:
-        raise ValueError(f"jobs: expected 1 to {MOST_JOBS}, got {jobs}")
-    off = sorted(without)
-    one = partial(_play_seed, workload, off)
+    if not 1 <= seeds <= MAX_SEEDS:
+        raise ValueError(f"seeds: expected 1 to {MAX_SEEDS}, got {seeds}")
+    if not 1 <= jobs <= MAX_JOBS:
+        raise ValueError(f"jobs: expected 1 to {MAX_JOBS}, got {jobs}")
+    disabled = sorted(without)
+    one = partial(_simulate_seed, workload, disabled)
     if jobs == 1:
-        plays = [one(seed) for seed in range(seeds)]
+        results = [one(seed) for seed in range(seeds)]
     else:
         with ProcessPoolExecutor(jobs) as pool:
-            plays = list(pool.map(one, range(seeds)))
-    names = [each.value for each in off]
-    return summarize(plays, workload=workload, without=names), plays
+            results = list(pool.map(one, range(seeds)))
+    names = [each.value for each in disabled]
+    return summarize(results, workload=workload, without=names), results
 
 
-def _play_seed(workload: Workload, without: list[Mechanism], seed: int) -> Play:
-    return play(workload, seed=seed, without=without)
+def _simulate_seed(workload: Workload, without: list[Mechanism], seed: int) -> SimulationResult:
+    return simulate(workload, seed=seed, without=without)
 
 
 def save_figures(figures: Figures, path: Path) -> None:
--- a/src/galenastall/bench/cell_load/workload.py
+++ b/src/galenastall/bench/cell_load/workload.py
@@ -9,9 +9,9 @@
 from galenastall.state.cell.workspaces import Workspace
 from galenastall.state.resources import Resources
 
-SHARE_SLACK: Final = 1e-9
+SHARE_TOLERANCE: Final = 1e-9
 """Rounding of a sum of shares."""
-MOST_EXECUTORS: Final = 4_000
+MAX_EXECUTORS: Final = 4_000
 """The largest fleet to design for has 2,800."""
 
 
@@ -19,7 +19,7 @@
     """A workload file that can't be played, with the field and its value."""
 
 
-class Spread(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class LogNormal(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """A log-normal distribution."""
 
     mean: float
@@ -44,13 +44,13 @@
     priority: int
     stretch: float
     target_s: float
-    steps: Spread
+    steps: LogNormal
     """Steps of a job, each after the one before."""
-    width: Spread
+    width: LogNormal
     """Tasks of a step."""
-    cores_milli: Spread
-    memory_mb: Spread
-    run_s: Spread
+    cores_milli: LogNormal
+    memory_mb: LogNormal
+    run_s: LogNormal
     worth: float = 1.0
     """What a job of usual size earns in time; a fifth when late."""
     max_attempts: int = 3
@@ -174,8 +174,8 @@
 
     def problem(self) -> str:
         """Return what is wrong, naming field and value; empty if nothing is."""
-        if not 1 <= self.executors <= MOST_EXECUTORS:
-            return f"executors: expected 1 to {MOST_EXECUTORS}, got {self.executors}"
+        if not 1 <= self.executors <= MAX_EXECUTORS:
+            return f"executors: expected 1 to {MAX_EXECUTORS}, got {self.executors}"
         if not self.queues:
             return "queues: expected at least one, got none"
         if self.entry_hosts < 1:
@@ -200,7 +200,7 @@
             if problem:
                 return f"workspaces.{name}.{problem}"
         shares = sum(workspace.share for workspace in self.workspaces.values())
-        if shares > 1.0 + SHARE_SLACK:
+        if shares > 1.0 + SHARE_TOLERANCE:
             return f"workspaces: expected shares of 1 together at most, got {shares}"
         return ""
 
--- a/tests/cell/alone.py
+++ b/tests/cell/alone.py
@@ -5,7 +5,7 @@
 
 from cell.cluster import Cluster
 from cell.scenarios import Scenario, run_scenario
-from galenastall.bench.cell_load.play import fix_order_of_tasks
+from galenastall.bench.cell_load.simulation import make_trio_deterministic
 
 
 def simulate_isolated(
@@ -23,5 +23,5 @@
             scenario, seed=seed, hosts=hosts, executors=executors, keeps_ids=keeps_ids
         )
 
-    fix_order_of_tasks()
+    make_trio_deterministic()
     return trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/test_cell_kept_advice.py
+++ b/tests/test_cell_kept_advice.py
@@ -16,7 +16,7 @@
 
 from cell.advised import ADVISED, FULL, TIMING, AdvisedHarness
 from cell.rig import JOB, make_job, make_step
-from galenastall.bench.cell_load.play import Play, play
+from galenastall.bench.cell_load.simulation import SimulationResult, simulate
 from galenastall.bench.cell_load.workload import Workload, load_workload
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.mechanisms import Mechanism
@@ -219,16 +219,16 @@
         path.write_text(GANGS)
         return load_workload(path)
 
-    def starts_s(self, played: Play) -> float:
-        return sum(fate.started_s or 60.0 for fate in played.fates)
+    def starts_s(self, played: SimulationResult) -> float:
+        return sum(fate.started_s or 60.0 for fate in played.outcomes)
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_inherited_advice_gives_earlier_starts_and_fewer_calls(
         self, tmp_path: Path, seed: int
     ) -> None:
         workload = self.make(tmp_path)
-        kept = play(workload, seed=seed)
-        lost = play(workload, seed=seed, without=[Mechanism.KEPT_ADVICE])
+        kept = simulate(workload, seed=seed)
+        lost = simulate(workload, seed=seed, without=[Mechanism.KEPT_ADVICE])
         assert kept.violations == []
         assert self.starts_s(kept) < self.starts_s(lost)
         assert kept.advice_calls < lost.advice_calls
--- a/tests/test_cell_load.py
+++ b/tests/test_cell_load.py
@@ -8,10 +8,10 @@
 from typer.testing import CliRunner
 
 from galenastall.bench.cell_load.arrivals import draw_arrivals
+from galenastall.bench.cell_load.emulation import hash_to_unit_interval
 from galenastall.bench.cell_load.figures import differences, to_table
-from galenastall.bench.cell_load.play import JobFate, play
 from galenastall.bench.cell_load.run import load_figures, run_seeds, save_figures
-from galenastall.bench.cell_load.surroundings import chance
+from galenastall.bench.cell_load.simulation import JobOutcome, simulate
 from galenastall.bench.cell_load.workload import Burst, Workload, WorkloadError, load_workload
 from galenastall.cli.app import app
 from galenastall.coordination.cell.mechanisms import Mechanism
@@ -53,21 +53,21 @@
 """
 
 
-OWNERS = (
+WORKSPACES = (
     "workspaces: {{a: {{share: {0}, weight: 5, rate_factor: {1}, limit_cores_milli: {2}}},"
     " b: {{share: 0.5, weight: 5}}}}"
 )
 CHANGE = "capacity_changes: [{{at_s: 1, for_s: 1, share: {}, factor: {}}}]"
 
 
-def small(path: Path, text: str = SMALL) -> Workload:
+def make_workload(path: Path, text: str = SMALL) -> Workload:
     file = path / "small.yaml"
     file.write_text(text)
     return load_workload(file)
 
 
 class TestWorkloads:
-    def test_all_files_can_be_played(self) -> None:
+    def test_all_example_workloads_load(self) -> None:
         names = [load_workload(path).name for path in sorted(WORKLOADS.glob("*.yaml"))]
         assert names == sorted(path.stem for path in WORKLOADS.glob("*.yaml"))
 
@@ -84,10 +84,16 @@
             (("approved_share: 0.7", "approved_share: 7"), "approved_share: expected 0 to 1"),
             (("length_s: 3", "bursts: [{at_s: 1, for_s: 1, factor: 2, queue: x}]"), "no queue 'x'"),
             (("gang_share: 1.0", "crash_share: 2"), "crash_share: expected 0 to 1, got 2"),
-            (("length_s: 3", OWNERS.format(2, 1, 0)), "workspaces.a.share: expected 0 to 1"),
-            (("length_s: 3", OWNERS.format(0.6, 1, 0)), "expected shares of 1 together at most"),
-            (("length_s: 3", OWNERS.format(0.5, 0.5, 0)), "a.rate_factor: expected 1 or more"),
-            (("length_s: 3", OWNERS.format(0.5, 1, -1)), "a.limit_cores_milli: expected 0 or more"),
+            (("length_s: 3", WORKSPACES.format(2, 1, 0)), "workspaces.a.share: expected 0 to 1"),
+            (
+                ("length_s: 3", WORKSPACES.format(0.6, 1, 0)),
+                "expected shares of 1 together at most",
+            ),
+            (("length_s: 3", WORKSPACES.format(0.5, 0.5, 0)), "a.rate_factor: expected 1 or more"),
+            (
+                ("length_s: 3", WORKSPACES.format(0.5, 1, -1)),
+                "a.limit_cores_milli: expected 0 or more",
+            ),
             (("length_s: 3", CHANGE.format(2, 1)), "capacity_changes.share: expected 0 to 1"),
             (("length_s: 3", CHANGE.format(1, -1)), "capacity_changes.factor: expected 0 or more"),
         ],
@@ -96,15 +102,15 @@
         self, tmp_path: Path, change: tuple[str, str], message: str
     ) -> None:
         with pytest.raises(WorkloadError, match=message):
-            small(tmp_path, SMALL.replace(*change))
+            make_workload(tmp_path, SMALL.replace(*change))
 
     def test_arrivals_are_the_same_for_one_seed(self, tmp_path: Path) -> None:
-        workload = small(tmp_path)
+        workload = make_workload(tmp_path)
         assert draw_arrivals(workload, seed=3) == draw_arrivals(workload, seed=3)
         assert draw_arrivals(workload, seed=3) != draw_arrivals(workload, seed=4)
 
     def test_a_burst_brings_more_jobs(self, tmp_path: Path) -> None:
-        workload = small(tmp_path)
+        workload = make_workload(tmp_path)
         burst = msgspec.structs.replace(workload, bursts=[Burst(at_s=0, for_s=3, factor=5)])
         assert len(draw_arrivals(burst, seed=1)) > 3 * len(draw_arrivals(workload, seed=1))
 
@@ -114,76 +120,80 @@
     def path(self, tmp_path: Path) -> Path:
         return tmp_path
 
-    def test_owners_change_nothing_else(self, path: Path) -> None:
-        plain = draw_arrivals(small(path), seed=1)
-        owned = draw_arrivals(small(path, SMALL + OWNERS.format(0.5, 1, 0)), seed=1)
+    def test_assigning_workspaces_changes_nothing_else(self, path: Path) -> None:
+        plain = draw_arrivals(make_workload(path), seed=1)
+        owned = draw_arrivals(make_workload(path, SMALL + WORKSPACES.format(0.5, 1, 0)), seed=1)
         assert {arrival.job.workspace for arrival in owned} == {"a", "b"}
         assert [replace(a, job=replace(a.job, workspace="")) for a in owned] == plain
 
-    def test_what_a_workspace_adds_to_its_usual_is_not_owed(self, path: Path) -> None:
-        plain = draw_arrivals(small(path, SMALL + OWNERS.format(0.5, 1, 0)), seed=1)
-        hot = draw_arrivals(small(path, SMALL + OWNERS.format(0.5, 10, 0)), seed=1)
-        assert [arrival for arrival in hot if arrival.is_owed] == plain
-        extra = [arrival for arrival in hot if not arrival.is_owed]
+    def test_jobs_above_the_usual_rate_are_not_entitled(self, path: Path) -> None:
+        plain = draw_arrivals(make_workload(path, SMALL + WORKSPACES.format(0.5, 1, 0)), seed=1)
+        hot = draw_arrivals(make_workload(path, SMALL + WORKSPACES.format(0.5, 10, 0)), seed=1)
+        assert [arrival for arrival in hot if arrival.is_entitled] == plain
+        extra = [arrival for arrival in hot if not arrival.is_entitled]
         assert {arrival.job.workspace for arrival in extra} == {"a"}
         assert len(extra) > 2 * len(plain)
 
-    def test_a_limit_holds(self, path: Path) -> None:
-        played = play(small(path, SMALL + OWNERS.format(0.5, 3, 20_000)), seed=1)
-        assert played.violations == []
-        assert played.starts > 0
+    def test_a_workspace_limit_is_enforced(self, path: Path) -> None:
+        result = simulate(make_workload(path, SMALL + WORKSPACES.format(0.5, 3, 20_000)), seed=1)
+        assert result.violations == []
+        assert result.starts > 0
 
-    def test_one_that_fills_the_cell_takes_nothing_from_the_other(self, path: Path) -> None:
+    def test_a_workspace_that_floods_the_cell_does_not_affect_another(self, path: Path) -> None:
         shares = []
         for factor in (1, 60):
-            text = SMALL + OWNERS.format(0.5, factor, 0)
-            figures, _ = run_seeds(small(path, text), seeds=2)
+            text = SMALL + WORKSPACES.format(0.5, factor, 0)
+            figures, _ = run_seeds(make_workload(path, text), seeds=2)
             shares.append(figures.worth_by_workspace["b"])
         assert shares[1] >= shares[0] - 0.05
 
 
-class TestPlay:
-    def test_the_same_seed_plays_the_same(self, tmp_path: Path) -> None:
-        workload = small(tmp_path)
-        first, again = (play(workload, seed=2) for _ in range(2))
-        assert [f.done_s for f in first.fates] == [f.done_s for f in again.fates]
+class TestSimulation:
+    def test_the_same_seed_gives_the_same_result(self, tmp_path: Path) -> None:
+        workload = make_workload(tmp_path)
+        first, again = (simulate(workload, seed=2) for _ in range(2))
+        assert [f.done_s for f in first.outcomes] == [f.done_s for f in again.outcomes]
         assert first.violations == []
-        assert all(fate.phase is JobPhase.COMPLETED for fate in first.fates)
+        assert all(outcome.phase is JobPhase.COMPLETED for outcome in first.outcomes)
 
     def test_a_loss_of_all_hosts_and_of_the_store_loses_no_job(self, tmp_path: Path) -> None:
         text = SMALL + "leader_losses: [{at_s: 1, for_s: 0.7}]\n"
         text += (
             "store_outages: [{at_s: 2, for_s: 1}]\ncrashes: [{at_s: 1.5, for_s: 1, share: 0.3}]\n"
         )
-        played = play(small(tmp_path, text.replace("settle_s: 4", "settle_s: 25")), seed=1)
-        assert played.violations == []
-        accepted = [fate for fate in played.fates if fate.is_accepted]
+        result = simulate(
+            make_workload(tmp_path, text.replace("settle_s: 4", "settle_s: 25")), seed=1
+        )
+        assert result.violations == []
+        accepted = [outcome for outcome in result.outcomes if outcome.is_accepted]
         assert accepted
-        assert all(fate.phase is JobPhase.COMPLETED for fate in accepted)
+        assert all(outcome.phase is JobPhase.COMPLETED for outcome in accepted)
 
-    def test_tasks_that_crash_executors_cost_nobody_else_a_job(self, tmp_path: Path) -> None:
+    def test_tasks_that_crash_executors_fail_no_other_job(self, tmp_path: Path) -> None:
         text = SMALL + "capacity_changes: [{at_s: 1, for_s: 1, share: 0.5, factor: 0.5}]\n"
         text = text.replace("    priority: 0\n", "    priority: 0\n    crash_share: 0.2\n")
-        played = play(small(tmp_path, text.replace("settle_s: 4", "settle_s: 25")), seed=1)
-        assert played.violations == []
-        phases = {(fate.arrival.crashes, fate.phase) for fate in played.fates}
+        result = simulate(
+            make_workload(tmp_path, text.replace("settle_s: 4", "settle_s: 25")), seed=1
+        )
+        assert result.violations == []
+        phases = {(outcome.arrival.crashes, outcome.phase) for outcome in result.outcomes}
         assert phases == {(False, JobPhase.COMPLETED), (True, JobPhase.FAILED)}
-        bad = sum(1 for fate in played.fates if fate.arrival.crashes)
-        assert 2 * bad <= played.crashes <= 4 * bad
+        bad = sum(1 for outcome in result.outcomes if outcome.arrival.crashes)
+        assert 2 * bad <= result.crashes <= 4 * bad
 
-    def test_credit_follows_the_time_of_the_end(self, tmp_path: Path) -> None:
-        arrival = draw_arrivals(small(tmp_path), seed=1)[0]
-        fate = JobFate(arrival=replace(arrival, objective_s=2.0), phase=JobPhase.COMPLETED)
+    def test_earned_share_follows_the_completion_time(self, tmp_path: Path) -> None:
+        arrival = draw_arrivals(make_workload(tmp_path), seed=1)[0]
+        outcome = JobOutcome(arrival=replace(arrival, objective_s=2.0), phase=JobPhase.COMPLETED)
         shares = []
         for done_s in (1.9, 2.1, 6.1):
-            fate.done_s = done_s
-            shares.append(fate.earned_share)
+            outcome.done_s = done_s
+            shares.append(outcome.earned_share)
         assert shares == [1.0, 0.2, 0.0]
 
 
 class TestReports:
-    def test_a_report_is_kept_and_compared(self, tmp_path: Path) -> None:
-        figures, _ = run_seeds(small(tmp_path), seeds=2)
+    def test_a_report_is_saved_and_compared(self, tmp_path: Path) -> None:
+        figures, _ = run_seeds(make_workload(tmp_path), seeds=2)
         save_figures(figures, tmp_path / "report.json")
         again = load_figures(tmp_path / "report.json")
         assert again == figures
@@ -191,18 +201,18 @@
         assert "gangs" in to_table(figures)
 
     def test_a_mechanism_can_be_switched_off(self, tmp_path: Path) -> None:
-        figures, _ = run_seeds(small(tmp_path), seeds=1, without=[Mechanism.RESERVATIONS])
+        figures, _ = run_seeds(make_workload(tmp_path), seeds=1, without=[Mechanism.RESERVATIONS])
         assert figures.without == ["reservations"]
 
     @pytest.mark.parametrize(("seeds", "jobs"), [(0, 1), (1, 0), (1, 9)])
     def test_numbers_out_of_range_are_refused(self, tmp_path: Path, seeds: int, jobs: int) -> None:
         with pytest.raises(ValueError, match="expected 1 to"):
-            run_seeds(small(tmp_path), seeds=seeds, jobs=jobs)
+            run_seeds(make_workload(tmp_path), seeds=seeds, jobs=jobs)
 
 
 class TestCommand:
     def test_it_prints_the_table_and_writes_report_and_plot(self, tmp_path: Path) -> None:
-        small(tmp_path)
+        make_workload(tmp_path)
         report, picture = tmp_path / "report.json", tmp_path / "plot.svg"
         arguments = ["bench", "cell-load", str(tmp_path / "small.yaml"), "--seeds", "1"]
         arguments += ["--report", str(report), "--plot", str(picture)]
@@ -251,21 +261,23 @@
     """
 
     @pytest.mark.parametrize("seed", [0, 1, 2])
-    def test_no_gang_keeps_another_out(self, tmp_path: Path, seed: int) -> None:
-        played = play(small(tmp_path, GANGS), seed=seed)
-        assert played.violations == []
-        busy = [sample for sample in played.samples if 4.0 <= sample.at_s <= 14.0]
+    def test_no_gang_blocks_another(self, tmp_path: Path, seed: int) -> None:
+        result = simulate(make_workload(tmp_path, GANGS), seed=seed)
+        assert result.violations == []
+        busy = [sample for sample in result.samples if 4.0 <= sample.at_s <= 14.0]
         idle = sum(sample.idle_usable / sample.capacity for sample in busy) / len(busy)
         assert idle < 0.11
-        credit = sum(fate.earned_share for fate in played.fates) / len(played.fates)
+        credit = sum(outcome.earned_share for outcome in result.outcomes) / len(result.outcomes)
         assert credit > 0.72
 
     @pytest.mark.parametrize("seed", [0, 1, 2])
     def test_every_gang_that_fits_somewhere_ends(self, tmp_path: Path, seed: int) -> None:
-        workload = small(tmp_path, GANGS)
-        played = play(workload, seed=seed)
-        left = [fate for fate in played.fates if fate.is_accepted and fate.phase is None]
-        assert [fate for fate in left if fits_where_approved(workload, fate, seed)] == []
+        workload = make_workload(tmp_path, GANGS)
+        result = simulate(workload, seed=seed)
+        left = [
+            outcome for outcome in result.outcomes if outcome.is_accepted and outcome.phase is None
+        ]
+        assert [outcome for outcome in left if fits_where_approved(workload, outcome, seed)] == []
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_executors_that_restart_under_their_names_lose_nothing(
@@ -273,21 +285,27 @@
     ) -> None:
         crashes = "crashes: [{at_s: 1, for_s: 0.3}, {at_s: 2, for_s: 0.3, share: 0.6}]"
         text = f"{SMALL}restarts_keep_names: true\n{crashes}\n"
-        workload = small(tmp_path, text.replace("approved_share: 0.7", "approved_share: 1.0"))
-        played = play(workload, seed=seed)
-        assert played.violations == []
-        assert [fate for fate in played.fates if fate.is_accepted and fate.phase is None] == []
+        workload = make_workload(
+            tmp_path, text.replace("approved_share: 0.7", "approved_share: 1.0")
+        )
+        result = simulate(workload, seed=seed)
+        assert result.violations == []
+        assert [
+            outcome for outcome in result.outcomes if outcome.is_accepted and outcome.phase is None
+        ] == []
 
 
-def fits_where_approved(workload: Workload, fate: JobFate, seed: int) -> bool:
+def fits_where_approved(workload: Workload, outcome: JobOutcome, seed: int) -> bool:
     """Return whether the executors that the advisor approves of could hold a gang at all."""
-    job = fate.arrival.job
+    job = outcome.arrival.job
     step = job.steps[0]
     key = StepKey(job.job_id, 0, 0)
     advice = workload.queues["gangs"].advice
     assert advice is not None
     hosts = [f"host-{number}" for number in range(workload.executors)]
-    approved = [h for h in hosts if chance(seed, "advice", key, h) < advice.approved_share]
+    approved = [
+        h for h in hosts if hash_to_unit_interval(seed, "advice", key, h) < advice.approved_share
+    ]
     empty = Resources(
         cores_milli=workload.executor_cores_milli, memory_mb=workload.executor_memory_mb
     )
