--- a/src/galenastall/bench/cell_load/__init__.py
+++ b/src/galenastall/bench/cell_load/__init__.py
@@ -1,1 +1,1 @@
-"""A leader of a cell under load, in virtual time: the real decisions, emulated surroundings."""
+"""Simulates a cell leader under load in virtual time: real decisions, emulated environment."""
--- a/src/galenastall/bench/cell_load/arrivals.py
+++ b/src/galenastall/bench/cell_load/arrivals.py
@@ -1,4 +1,4 @@
-"""Draws the jobs of a workload, with the run times that only the executors know."""
+"""Draws the jobs of a workload, with actual run times that the scheduler does not see."""
 
 import math
 from dataclasses import dataclass, replace
@@ -15,33 +15,33 @@
 MIN_WORTH: Final = 0.3
 WORTH_PER_WORK: Final = 0.7
 MAX_WORTH: Final = 4.0
-"""A job is worth 0.3 + 0.7 x its work against the mean of its queue, at most four times it."""
+"""Factor on the worth of a queue: 0.3 + 0.7 x a job's work over the queue's mean, at most 4."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Arrival:
-    """A job that comes at a time."""
+    """A job and the time at which it is submitted."""
 
     at_s: float
     job: CellJob
     run_s_by_step: tuple[tuple[float, ...], ...]
-    """Real run time of each task on an executor of usual speed."""
+    """Actual run time of each task on an executor of speed 1.0."""
     objective_s: float
-    """Time from its coming within which it should be done, by its real run times."""
+    """Time from submission within which it should complete, derived from its actual run times."""
     worth: float
     crashes: bool = False
     """Whether its first task crashes each executor that starts it."""
     is_extra: bool = False
-    """Whether it is above what its workspace hands in as usual."""
+    """Whether it exceeds the usual submission rate of its workspace."""
 
     @property
     def is_entitled(self) -> bool:
-        """Whether it can be done, and is within what its workspace is owed."""
+        """Whether it can complete and is within what its workspace is entitled to."""
         return not self.crashes and not self.is_extra
 
 
 def draw(spread: LogNormal, rng: Random) -> float:
-    """Return a value of a log-normal distribution."""
+    """Draw a value from a log-normal distribution, capped at `most`."""
     if spread.spread <= 0.0:
         return min(spread.mean, spread.most)
     sigma_squared = math.log(1.0 + spread.spread**2)
@@ -50,7 +50,7 @@
 
 
 def queue_of(name: str, load: QueueLoad) -> Queue:
-    """Return the policy of a queue."""
+    """Return the scheduling policy of a queue."""
     advice = load.advice
     timing = None
     if advice is not None:
@@ -71,7 +71,7 @@
 
 
 def draw_arrivals(workload: Workload, *, seed: int) -> list[Arrival]:
-    """Return all jobs in the order of their coming; the same for one seed."""
+    """Return all jobs in order of submission; deterministic for a given seed."""
     rng = Random(seed)
     arrivals: list[Arrival] = []
     for name, load in workload.queues.items():
@@ -82,7 +82,7 @@
             if at_s >= workload.length_s:
                 break
             arrivals.append(_draw_job(name, load, at_s, len(arrivals), rng))
-    # Drawn last, so that the jobs are the same with and without.
+    # Drawn last, so that the jobs are otherwise the same with and without crashing tasks.
     marked = [
         replace(each, crashes=rng.random() < workload.queues[each.job.queue.name].crash_share)
         for each in arrivals
@@ -93,7 +93,7 @@
 
 
 def _assign_workspaces(workload: Workload, arrivals: list[Arrival], *, seed: int) -> list[Arrival]:
-    """Give jobs to workspaces by their shares; those that no share covers stay without one."""
+    """Assign jobs to workspaces by share; jobs not covered by any share get none."""
     rng = Random(f"{seed}/owners")
     names = [*workload.workspaces, NO_WORKSPACE]
     shares = [workspace.share for workspace in workload.workspaces.values()]
@@ -108,7 +108,7 @@
 
 
 def _draw_extra(workload: Workload, first: int, *, seed: int) -> list[Arrival]:
-    """Return what workspaces hand in above their usual."""
+    """Return the jobs that workspaces submit above their usual rate."""
     rng = Random(f"{seed}/extra")
     arrivals: list[Arrival] = []
     for workspace, owner in workload.workspaces.items():
--- a/src/galenastall/bench/cell_load/emulation.py
+++ b/src/galenastall/bench/cell_load/emulation.py
@@ -1,4 +1,4 @@
-"""What a leader speaks to in the lab: store, list of executors, executors and advisor."""
+"""Emulates what a leader talks to: the store, the executor list, the executors and the advisor."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -26,33 +26,33 @@
 from galenastall.state.resources import Resources
 
 ORDER_S: Final = 0.003
-"""Time of a call to an executor and back."""
+"""Round-trip time of a call to an executor."""
 APPEND_S: Final = 0.007
-"""Time of an append, as measured on the platform."""
+"""Latency of an append, as measured on the platform."""
 APPEND_BYTES: Final = 1_500_000
-"""Most that an append may write, as on the platform."""
+"""Size limit of an append, as on the platform."""
 READ_S: Final = 0.005
 POLL_S: Final = 0.05
-"""Between two looks of a long poll at what has ended."""
+"""Interval at which a long poll checks for ended runs."""
 SWEEP_INTERVAL_S: Final = 0.005
 HOST_RESTART_S: Final = 1.3
-"""How long a host is away that a task has crashed."""
+"""Time until an executor crashed by a task starts again on its host."""
 RESTART_POLL_S: Final = 0.05
 SPEEDS: Final = (0.8, 1.0, 1.25)
-"""Executors differ by these factors."""
+"""Speed factors of executors."""
 
 
 def hash_to_unit_interval(*parts: object) -> float:
-    """Return a number from 0 to 1 that is the same for the same parts, whatever the policy."""
+    """Hash the parts to a number from 0 to 1, so that draws do not depend on the policy."""
     digest = hashlib.blake2b(repr(parts).encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2.0**64
 
 
 class EmulatedFleet(ExecutorSimulation):
-    """Executors that run what arrives for as long as was drawn."""
+    """Executors that run the arriving tasks for the drawn run times."""
 
     def __init__(self, *, workload: Workload, arrivals: Iterable[Arrival], seed: int) -> None:
-        """Start the fleet of a workload."""
+        """Start the executors of a workload."""
         super().__init__()
         self.shows_progress = True
         self.workload = workload
@@ -60,12 +60,12 @@
         self.arrivals_by_id: Mapping[str, Arrival] = {a.job.job_id: a for a in arrivals}
         self.infos_by_id: dict[str, ExecutorInfo] = {}
         self.newest_by_name: dict[str, Executor] = {}
-        """The last incarnation of each executor: calls name no other."""
+        """Latest incarnation of each executor; calls reach only this one."""
         self.crashing_tasks = {
             TaskKey(job_id, 0, 0, 0) for job_id, a in self.arrivals_by_id.items() if a.crashes
         }
         self.task_crashes = 0
-        """Executors that tasks have crashed."""
+        """Number of executors crashed by tasks."""
         self._back_at_by_number: dict[int, float] = {}
         self._factors_by_number: dict[int, float] = {}
         self._started = 0
@@ -75,9 +75,10 @@
             self.start_executor(number)
 
     def sweep(self) -> None:
-        """Bring all runs up to now; with 176 executors not more often than ends can matter.
+        """Update all runs to the current time, at most once per SWEEP_INTERVAL_S.
 
-        The leader learns of an end from its executor's own listing, which is brought up to date.
+        With 176 executors a more frequent sweep is of no use: the leader learns of an end from the
+        listing of its executor, which is swept on its own before each answer.
         """
         now = trio.current_time()
         if now >= self._swept_at + SWEEP_INTERVAL_S:
@@ -85,7 +86,7 @@
             super().sweep()
 
     def start_executor(self, number: int) -> None:
-        """Start an executor on a host, again if there was one."""
+        """Start an executor on a host, or restart it after a crash."""
         self._back_at_by_number.pop(number, None)
         info = ExecutorInfo(
             executor_id=self._next_id(number),
@@ -102,7 +103,7 @@
         self.newest_by_name[executor_name(info.executor_id)] = executor
 
     def _next_id(self, number: int) -> str:
-        """Return the id of an executor that starts on a host now."""
+        """Return the id for an executor that starts on a host now."""
         if self.workload.restarts_keep_names:
             return make_executor_id(f"executor-{number}", int(trio.current_time() * 1000))
         self._started += 1
@@ -116,7 +117,7 @@
         )
 
     def resize(self, numbers: Iterable[int], factor: float) -> None:
-        """Give some hosts a share of their usual capacity."""
+        """Scale the capacity of some hosts by a factor of their usual capacity."""
         numbers_by_host = {f"host-{number}": number for number in numbers}
         self._factors_by_number |= dict.fromkeys(numbers_by_host.values(), factor)
         for executor_id, executor in self.executors.items():
@@ -126,13 +127,13 @@
                 self.infos_by_id[executor_id] = executor.info
 
     def on_crashed_by_task(self, executor: Executor) -> None:
-        """Have the executor's host come back after a while."""
+        """Schedule the restart of the executor on its host."""
         self.task_crashes += 1
         number = int(executor.info.host.removeprefix("host-"))
         self._back_at_by_number[number] = trio.current_time() + HOST_RESTART_S
 
     async def restart_crashed_executors(self) -> None:
-        """Start executors again that tasks have crashed, until cancelled."""
+        """Restart executors that tasks have crashed, until cancelled."""
         while True:
             await trio.sleep(RESTART_POLL_S)
             now = trio.current_time()
@@ -141,7 +142,7 @@
                     self.start_executor(number)
 
     def speed_of(self, executor: ExecutorInfo) -> float:
-        """Return how fast a host is."""
+        """Return the speed factor of an executor's host."""
         return SPEEDS[int(hash_to_unit_interval(self.seed, "speed", executor.host) * len(SPEEDS))]
 
     def workspace_of(self, task: TaskKey) -> str:
@@ -153,25 +154,25 @@
         return self.arrivals_by_id[task.job].job.steps[task.step]
 
     def attempts_of(self, task: TaskKey) -> int:
-        """Return after how many failed runs a task must not start again."""
+        """Return the number of failed runs after which a task must not start again."""
         return self.arrivals_by_id[task.job].job.queue.max_attempts
 
     def _run_s(self, task: TaskKey) -> float:
         return self.arrivals_by_id[task.job].run_s_by_step[task.step][task.number]
 
     def draw_run(self, order: StartOrder) -> tuple[float, bool]:
-        """Return how long a run lasts, and whether it fails."""
+        """Return the duration of a run and whether it fails."""
         speed = self.speed_of(self.infos_by_id[order.executor_id])
         load = self.workload.queues[self.arrivals_by_id[order.task.job].job.queue.name]
         fails = hash_to_unit_interval(self.seed, "fails", order.task, order.run) < load.fail_share
         return self._run_s(order.task) / speed, fails
 
     def draw_gang_s(self, members: Iterable[Run]) -> float:
-        """Return how long a gang's run lasts: as its slowest member."""
+        """Return the duration of a gang's run: that of its longest member at the lowest speed."""
         return max(self._run_s(member.task) for member in members) / min(SPEEDS)
 
     def is_approved(self, step: StepKey, executor_id: str) -> bool:
-        """Whether the advisor lets a host run a step."""
+        """Return whether the advisor approves the executor's host for a step."""
         advice = self.workload.queues[self.arrivals_by_id[step.job].job.queue.name].advice
         if advice is None:
             return True
@@ -180,10 +181,10 @@
 
 
 class EmulatedPorts:
-    """The ports of a leader onto a lab's world."""
+    """The leader's ports, served by an emulated store, advisor and fleet."""
 
     def __init__(self, *, fleet: EmulatedFleet) -> None:
-        """Serve from `world`."""
+        """Connect the ports to `fleet`."""
         self._fleet = fleet
         self._values: dict[str, bytes] = {}
         self._epoch = 0
@@ -193,19 +194,19 @@
 
     @property
     def append_bytes(self) -> int:
-        """Return the limit of one append."""
+        """Return the size limit of one append in bytes."""
         return APPEND_BYTES
 
     async def claim(self, *, host_id: str, address: str, log_end: int) -> Result[int, StepError]:
-        """Not used: the lab names the leader."""
+        """Not used: the simulation appoints the leader."""
         raise NotImplementedError
 
     async def poll(self) -> Result[StoreView, StepError]:
-        """Not used: the lab names the leader."""
+        """Not used: the simulation appoints the leader."""
         raise NotImplementedError
 
     async def fence(self, *, token: int) -> Result[None, StepError]:
-        """Refuse older tokens from now on."""
+        """Reject older tokens from now on."""
         await trio.sleep(APPEND_S)
         self._epoch, self._sequence = max(self._epoch, token), -1
         return Success(None)
@@ -213,7 +214,7 @@
     async def append(
         self, *, token: int, sequence: int, values_by_key: dict[str, bytes], timeout_s: float
     ) -> Result[None, StepError]:
-        """Write once for each sequence number."""
+        """Write the values unless this sequence number was already written."""
         await trio.sleep(APPEND_S)
         if self.is_store_unavailable:
             return Failure(StepError(step="lab.append", peer="store", reason=Reason.UNAVAILABLE))
@@ -239,19 +240,19 @@
         return Success(tuple(i for i in infos if executors[i.executor_id].is_up))
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        """Return no waves."""
+        """Return no maintenance waves."""
         return ()
 
     async def list_hosts(self) -> Result[tuple[PoolHost, ...], StepError]:
-        """Return no hosts: no wave or pool asks for them."""
+        """Return no hosts: there are no maintenance waves or pools that need them."""
         return Success(())
 
     async def order(self, *_: Any, **__: Any) -> Any:
-        """Not used: no wave or pool asks for it."""
+        """Not used: there are no maintenance waves or pools that need it."""
         raise NotImplementedError
 
     async def report_wave(self, *_: Any, **__: Any) -> Any:
-        """Not used: there are no waves."""
+        """Not used: there are no maintenance waves."""
         raise NotImplementedError
 
     async def start(
@@ -277,7 +278,7 @@
     async def throttle(
         self, *, address: str, order: ThrottleOrder, token: int, timeout_s: float
     ) -> Result[OrderAnswer, StepError]:
-        """Confirm a pace; the lab's workloads have no fillers."""
+        """Confirm a throttling rate without effect: the workloads have no filler tasks."""
         await trio.sleep(ORDER_S)
         return Success(OrderAnswer(verdict=StartVerdict.STARTED, clock_ms=None))
 
@@ -292,7 +293,7 @@
         token: int,
         timeout_s: float,
     ) -> Result[ListingAnswer, StepError]:
-        """Renew, and list once a run has ended or the wait is over."""
+        """Renew the deadline, and return the listing once a run has ended or the wait is over."""
         executor = await self._reach(executor_id, timeout_s)
         if executor is None:
             return _timed_out(executor_id)
@@ -322,10 +323,10 @@
     async def advise(
         self, *, step: StepKey, executor_ids: tuple[str, ...], timeout_s: float
     ) -> Result[AdviceAnswer, StepError]:
-        """Answer a call for advice after the time that it takes."""
+        """Answer an advice request after the latency that the queue defines."""
         arrival = self._fleet.arrivals_by_id[step.job]
         timing = arrival.job.queue.advisor
-        assert timing is not None, "only steps of advised queues are asked about"
+        assert timing is not None, "advice requested for a step of a queue without advisor"
         self.advice_calls += 1
         await trio.sleep(timing.base_s + timing.per_executor_s * len(executor_ids))
         approved = tuple(
@@ -337,14 +338,14 @@
 
 
 class _HostLink:
-    """The side of a host that is asked: its handlers by the type of message."""
+    """Receiving end of an entry host: dispatches each message to its handler by type."""
 
     def __init__(self, *, host_id: HostId) -> None:
         self.host_id = host_id
         self._handlers_by_type: dict[type[Any], PeerHandler] = {}
 
     def set_peers(self, addresses_by_id: dict[HostId, str]) -> None:
-        """Take no addresses: a host that is asked calls nobody."""
+        """Do nothing: this end makes no calls, so it needs no addresses."""
 
     def handle(self, message_type: type[Any], handler: PeerHandler) -> None:
         self._handlers_by_type[message_type] = handler
@@ -353,36 +354,36 @@
         return Success(await self._handlers_by_type[type(message)](peer, message))
 
     def send(self, *, peer: HostId, message: object) -> None:
-        """Send nothing: a host that is asked only answers."""
+        """Do nothing: this end only answers calls."""
 
 
 class AdvisorLink:
-    """A peer link on which each host only asks the advisor, and keeps what it says."""
+    """A peer link to entry hosts that only proxy the advisor and cache its answers."""
 
     def __init__(self, *, ports: EmulatedPorts, nursery: trio.Nursery) -> None:
-        """Ask through `ports`; calls go on in `nursery` when the leader that asked is lost."""
+        """Call the advisor through `ports`; calls outlive a lost leader in `nursery`."""
         self._ports = ports
         self._nursery = nursery
         self._links_by_host: dict[HostId, _HostLink] = {}
 
     @property
     def host_id(self) -> HostId:
-        """The leader."""
+        """Return the id of the leader."""
         return HostId("entry-0")
 
     def set_peers(self, addresses_by_id: dict[HostId, str]) -> None:
-        """All hosts are known."""
+        """Do nothing: entry hosts are reached without addresses."""
 
     def handle(self, message_type: type[Any], handler: Any) -> None:
-        """Nobody calls the leader over this link."""
+        """Do nothing: nobody calls the leader over this link."""
 
     def send(self, *, peer: HostId, message: object) -> None:
-        """Nothing is sent one way."""
+        """Do nothing: no one-way messages are used."""
 
     async def call(
         self, *, peer: HostId, message: object, timeout_s: float
     ) -> Result[Any, StepError]:
-        """Ask the advisor through a host, or the host for what the advisor told it."""
+        """Request advice through a host, or the advice that the host has cached."""
         answers: list[Any] = []
         answered = trio.Event()
         self._nursery.start_soon(self._call_host, peer, message, answers, answered)
--- a/src/galenastall/bench/cell_load/figures.py
+++ b/src/galenastall/bench/cell_load/figures.py
@@ -1,4 +1,4 @@
-"""Figures of many plays: worth, waits, idle cores, advice, and differences between two reports."""
+"""Metrics over many simulation runs (worth, waits, idle cores, advice) and report comparison."""
 
 from collections import defaultdict
 from math import sqrt
@@ -18,11 +18,11 @@
 NORMAL_95: Final = 1.96
 """Half-width of a 95% interval in standard errors."""
 TOP_DECILE: Final = 0.9
-"""The largest tenth of a queue's jobs by work is reported by itself."""
+"""The largest tenth of a queue's jobs by work is reported separately."""
 
 
 class Quantiles(msgspec.Struct, frozen=True, kw_only=True):
-    """In seconds."""
+    """Quantiles in seconds."""
 
     p50: float
     p95: float
@@ -30,29 +30,29 @@
 
 
 class QueueFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of a queue's jobs that can be done, over all seeds."""
+    """Outcomes of a queue's entitled jobs (see `Arrival.is_entitled`), over all seeds."""
 
     jobs: int
     in_time: float
     """Share of the jobs done within their objective."""
     late: float
-    """Share done within three times of it."""
+    """Share done after the objective, but within three times of it."""
     refused: float
     lost: float
-    """Share that were accepted and never shown as ended."""
+    """Share accepted but never reported as ended."""
     largest_in_time: float
     first_start: Quantiles
 
 
 class Figures(msgspec.Struct, frozen=True, kw_only=True):
-    """A report: figures of each seed, so that two reports compare in pairs."""
+    """A report; keeps figures per seed, so that two reports can be compared seed by seed."""
 
     workload: str
     without: list[str]
     worth_by_seed: dict[str, float]
-    """Worth earned over worth owed."""
+    """Worth earned divided by the total worth of the entitled jobs."""
     idle_usable_by_seed: dict[str, float]
-    """Mean share of the cores that lay idle though a waiting step could use them."""
+    """Mean share of the cores that were idle although a waiting step could have used them."""
     in_use_by_seed: dict[str, float]
     by_queue: dict[str, QueueFigures]
     refusal: Quantiles
@@ -61,17 +61,17 @@
     starts_a_s: float
     violations: list[str]
     crashes: int = 0
-    """Executors that tasks have crashed."""
+    """Number of executors crashed by tasks."""
     failed_jobs: int = 0
-    """Jobs shown as failed without a task that crashes executors."""
+    """Entitled jobs reported as failed; jobs whose task crashes executors are not among them."""
     worth_by_workspace: dict[str, float] = {}
-    """Worth earned over worth owed, over all seeds."""
+    """The same ratio for each workspace, over all seeds."""
 
 
 def summarize(
     results: list[SimulationResult], *, workload: Workload, without: list[str]
 ) -> Figures:
-    """Return the report of some seeds."""
+    """Return the report over the results of several seeds."""
     outcomes_by_queue: defaultdict[str, list[JobOutcome]] = defaultdict(list)
     for result in results:
         for outcome in result.outcomes:
@@ -126,7 +126,7 @@
 
 
 def _worth_ratio(outcomes: list[JobOutcome]) -> float:
-    """Return the worth earned over the worth owed of some jobs."""
+    """Return the worth earned divided by the total worth of the given jobs."""
     total = sum(outcome.arrival.worth for outcome in outcomes)
     return sum(outcome.arrival.worth * outcome.earned_share for outcome in outcomes) / total
 
@@ -167,7 +167,7 @@
 
 
 def differences(before: Figures, after: Figures) -> list[Difference]:
-    """Return how the second report differs from the first, seed by seed."""
+    """Return the paired differences of the second report from the first."""
     return [
         _difference(name, old, new)
         for name, old, new in (
@@ -190,7 +190,7 @@
 
 
 def to_table(figures: Figures) -> str:
-    """Return a report as lines of text."""
+    """Format a report as text."""
     worth = list(figures.worth_by_seed.values())
     off = f" without {', '.join(figures.without)}" if figures.without else ""
     lines = [
@@ -198,7 +198,7 @@
         f"worth {fmean(worth):.3f} ({min(worth):.3f} to {max(worth):.3f}); cores in use"
         f" {fmean(figures.in_use_by_seed.values()):.3f}, idle though usable"
         f" {fmean(figures.idle_usable_by_seed.values()):.3f}; {figures.starts_a_s:.0f} starts/s,"
-        f" {figures.advice_calls_a_job:.2f} calls for advice a job",
+        f" {figures.advice_calls_a_job:.2f} advice calls per job",
         f"decision p50 {figures.decision.p50 * 1000:.1f} ms, p99 {figures.decision.p99 * 1000:.1f}"
         f" ms; refusal p99 {figures.refusal.p99 * 1000:.0f} ms;"
         f" {len(figures.violations)} violations",
--- a/src/galenastall/bench/cell_load/idle.py
+++ b/src/galenastall/bench/cell_load/idle.py
@@ -1,4 +1,4 @@
-"""How much of the fleet lies idle though a waiting step could use it."""
+"""Measures the idle cores that a waiting step could use."""
 
 from galenastall.bench.cell_load.emulation import EmulatedFleet
 from galenastall.coordination.cell.scheduler import CellScheduler
@@ -8,10 +8,10 @@
 
 
 def usable_idle_cores(core: CellScheduler, fleet: EmulatedFleet) -> int:
-    """Return the milli-cores that waiting steps could take up now, where they are approved.
+    """Return the idle milli-cores that waiting steps could use now on executors approved for them.
 
-    What the executors really have free counts, not the leader's ledger: room that is kept for a
-    step that can't start yet is idle too.
+    Uses the actual free capacity of the executors, not the leader's ledger: capacity reserved for a
+    step that can't start yet counts as idle too.
     """
     free_by_id = _free_by_executor(fleet)
     taken = 0
--- a/src/galenastall/bench/cell_load/plot.py
+++ b/src/galenastall/bench/cell_load/plot.py
@@ -1,4 +1,4 @@
-"""A picture of one play: cores in use, idle though usable, and jobs that wait."""
+"""Plots one simulation run: cores in use, usable idle cores and jobs not started."""
 
 from pathlib import Path
 from typing import Final
@@ -10,7 +10,7 @@
 
 
 def write_plot(result: SimulationResult, path: Path) -> None:
-    """Draw a play into a .png or .svg file; needs the extra `plots`."""
+    """Plot a simulation run to a .png or .svg file; needs the extra `plots`."""
     from matplotlib.figure import Figure  # noqa: PLC0415 - optional dependency
 
     figure = Figure(figsize=(WIDTH_IN, HEIGHT_IN))
--- a/src/galenastall/bench/cell_load/run.py
+++ b/src/galenastall/bench/cell_load/run.py
@@ -1,4 +1,4 @@
-"""Plays many seeds of a workload at once and keeps the report."""
+"""Simulates many seeds of a workload in parallel; saves and loads reports."""
 
 from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor
@@ -15,15 +15,15 @@
 
 MAX_SEEDS: Final = 1_000
 MAX_JOBS: Final = 4
-"""Processes at once: half of a small machine's cores."""
+"""Most parallel processes: half the cores of a small machine."""
 
 
 def run_seeds(
     workload: Workload, *, seeds: int, jobs: int = 1, without: Iterable[Mechanism] = ()
 ) -> tuple[Figures, list[SimulationResult]]:
-    """Play seeds 0 to `seeds` - 1 and return the report with the plays.
+    """Simulate seeds 0 to `seeds` - 1 and return the report and the result of each seed.
 
-    Raises ValueError for a number of seeds or jobs that is not allowed.
+    Raises ValueError if `seeds` or `jobs` is out of range.
     """
     if not 1 <= seeds <= MAX_SEEDS:
         raise ValueError(f"seeds: expected 1 to {MAX_SEEDS}, got {seeds}")
@@ -50,7 +50,7 @@
 
 
 def load_figures(path: Path) -> Figures:
-    """Read a report; raises ValueError that names the file if it is none."""
+    """Read a report; raises ValueError naming the file if it is missing or invalid."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Figures)
     except (OSError, msgspec.MsgspecError) as error:
--- a/src/galenastall/bench/cell_load/simulation.py
+++ b/src/galenastall/bench/cell_load/simulation.py
@@ -1,4 +1,4 @@
-"""Plays one seed of a workload: terms of a leader, callers, troubles and samples."""
+"""Simulates one seed of a workload: leader terms, callers, injected faults and sampling."""
 
 import time
 from collections.abc import Iterable
@@ -26,33 +26,33 @@
 from galenastall.transport.logs import Recorder
 
 SUBMIT_TIMEOUT_S: Final = 3.0
-"""How long a caller waits for an answer, in all of its tries."""
+"""Time-out of a submission over all of its attempts."""
 SUBMIT_ATTEMPTS: Final = 4
 SAMPLE_INTERVAL_S: Final = 0.1
 LATE_FACTOR: Final = 3.0
 LATE_SHARE: Final = 0.2
-"""A job that is done within three times its objective earns a fifth."""
+"""A job that completes late, within three times its objective, earns a fifth of its worth."""
 WALL_AT_START: Final = 1_000.0
 RING_EVENTS: Final = 100
 
 
 @dataclass(kw_only=True)
 class JobOutcome:
-    """What became of one job."""
+    """The outcome of one job."""
 
     arrival: Arrival
     is_refused: bool = False
     answered_s: float | None = None
-    """Until the last answer of its submission."""
+    """Time from submission to the end of the last attempt to submit it."""
     is_accepted: bool = False
     started_s: float | None = None
-    """From its coming to its first assignment."""
+    """Time from submission to the first sample that shows an assignment."""
     done_s: float | None = None
     phase: JobPhase | None = None
 
     @property
     def earned_share(self) -> float:
-        """Return 1 in time, a fifth when late, nothing otherwise."""
+        """Return 1 if done in time, a fifth if late, 0 otherwise."""
         if self.done_s is None or self.phase is not JobPhase.COMPLETED:
             return 0.0
         if self.done_s <= self.arrival.objective_s:
@@ -63,7 +63,7 @@
 
 @dataclass(kw_only=True)
 class Sample:
-    """The fleet at one moment; cores in thousandths."""
+    """State of the fleet at one time; core counts in milli-cores."""
 
     at_s: float
     in_use: int
@@ -75,24 +75,24 @@
 
 @dataclass(kw_only=True)
 class SimulationResult:
-    """Outcome of one seed."""
+    """Results of simulating one seed."""
 
     seed: int
     outcomes: list[JobOutcome]
     samples: list[Sample] = field(default_factory=list)
     decision_s: list[float] = field(default_factory=list)
-    """Processor time of each decision."""
+    """CPU time of each scheduling decision."""
     violations: list[str] = field(default_factory=list)
     advice_calls: int = 0
     starts: int = 0
     crashes: int = 0
-    """Executors that tasks have crashed."""
+    """Number of executors crashed by tasks."""
 
 
 def simulate(
     workload: Workload, *, seed: int, without: Iterable[Mechanism] = ()
 ) -> SimulationResult:
-    """Play a seed in virtual time; the same arrivals and run times for the same seed."""
+    """Simulate a seed in virtual time; a seed always gives the same arrivals and run times."""
     make_trio_deterministic()
     simulation = _Simulation(workload=workload, seed=seed, without=frozenset(without))
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -100,14 +100,14 @@
 
 
 def make_trio_deterministic() -> None:
-    """Have trio take its tasks in the same order in each run from here on."""
+    """Make trio schedule its tasks in the same order in each run from now on."""
     scheduler: Any = trio._core._run
     scheduler._ALLOW_DETERMINISTIC_SCHEDULING = True
     scheduler._r.seed(0)
 
 
 async def _skip_config_refresh() -> None:
-    """Find no newer configuration: it stays the same in a play."""
+    """Do nothing: the configuration does not change during a simulation."""
 
 
 class _Simulation:
@@ -154,7 +154,7 @@
         return self._result
 
     async def _lead(self, nursery: trio.Nursery) -> None:
-        """Lead, with a new term after each loss of all entry hosts, or of the leader alone."""
+        """Run leader terms: a new one after each loss of all entry hosts or of the leader alone."""
         begin_s = 0.0
         link = AdvisorLink(ports=self._ports, nursery=nursery)
         losses = set(self._workload.leader_losses)
@@ -219,7 +219,7 @@
         term.core.decide = timed  # type: ignore[method-assign]
 
     async def _submit(self, outcome: JobOutcome) -> None:
-        """Hand a job in as a caller does, with some tries within its patience."""
+        """Submit a job as a caller does, retrying up to the attempt limit and the time-out."""
         await trio.sleep_until(self._started_at + outcome.arrival.at_s)
         until = trio.current_time() + SUBMIT_TIMEOUT_S
         job = replace(outcome.arrival.job, submitted_at=self._clock.wall())
--- a/src/galenastall/bench/cell_load/workload.py
+++ b/src/galenastall/bench/cell_load/workload.py
@@ -1,4 +1,4 @@
-"""Workload files: queues, rates, shapes of jobs, and what goes wrong when."""
+"""Workload files: queues, rates, job shapes and scheduled faults."""
 
 from pathlib import Path
 from typing import Final
@@ -10,17 +10,17 @@
 from galenastall.state.resources import Resources
 
 SHARE_TOLERANCE: Final = 1e-9
-"""Rounding of a sum of shares."""
+"""Tolerance for rounding errors in a sum of shares."""
 MAX_EXECUTORS: Final = 4_000
-"""The largest fleet to design for has 2,800."""
+"""The largest fleet in the design target has 2,800 executors."""
 
 
 class WorkloadError(ValueError):
-    """A workload file that can't be played, with the field and its value."""
+    """An unusable workload file; the message names the field and its value."""
 
 
 class LogNormal(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A log-normal distribution."""
+    """A log-normal distribution with an upper bound."""
 
     mean: float
     spread: float = 0.0
@@ -29,7 +29,7 @@
 
 
 class Advice(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What a call for advice costs, in seconds, and how many executors are approved."""
+    """Latency and validity of an advice call in seconds, and the share of executors approved."""
 
     base_s: float
     per_executor_s: float
@@ -38,33 +38,33 @@
 
 
 class QueueLoad(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Jobs of one queue."""
+    """Load and policy of one queue."""
 
     jobs_per_s: float
     priority: int
     stretch: float
     target_s: float
     steps: LogNormal
-    """Steps of a job, each after the one before."""
+    """Number of steps of a job; each depends on the previous one."""
     width: LogNormal
-    """Tasks of a step."""
+    """Number of tasks of a step."""
     cores_milli: LogNormal
     memory_mb: LogNormal
     run_s: LogNormal
     worth: float = 1.0
-    """What a job of usual size earns in time; a fifth when late."""
+    """What a job of usual size earns when done in time; a fifth of it when late."""
     max_attempts: int = 3
     estimate_off: float = 0.5
-    """Spread of declared over real run time."""
+    """Standard deviation of the logarithm of declared over actual run time."""
     gang_share: float = 0.0
     fail_share: float = 0.0
     crash_share: float = 0.0
-    """Share of the jobs whose first task crashes each executor that starts it; they earn nothing
-    and are owed nothing."""
+    """Share of the jobs whose first task crashes each executor that starts it; they count
+    neither as worth earned nor in the total."""
     advice: Advice | None = None
 
     def problem(self) -> str:
-        """Return what is wrong, naming field and value; empty if nothing is."""
+        """Return what is invalid, naming field and value; empty if all is valid."""
         if self.jobs_per_s < 0:
             return f"jobs_per_s: expected 0 or more, got {self.jobs_per_s}"
         for name in ("steps", "width", "cores_milli", "memory_mb", "run_s"):
@@ -85,7 +85,7 @@
 
 
 class Burst(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """More jobs of a queue, or of all, for a while."""
+    """A temporary increase of the arrival rate of one queue, or of all if `queue` is empty."""
 
     at_s: float
     for_s: float
@@ -94,44 +94,44 @@
 
 
 class Span(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """From when and for how long something is away."""
+    """Start and duration of an outage."""
 
     at_s: float
     for_s: float
     share: float = 1.0
-    """Share of the executors that it hits."""
+    """Share of the executors affected."""
 
 
 class CapacityChange(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """From when and for how long some executors have more or less room."""
+    """A temporary change of the capacity of some executors."""
 
     at_s: float
     for_s: float
     share: float
-    """Share of the executors that it hits."""
+    """Share of the executors affected."""
     factor: float
-    """Their capacity in this time, as a share of the usual one."""
+    """Their capacity during the change, relative to the usual one."""
 
 
 class WorkspaceLoad(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One workspace: how much of the jobs is its own, and what it may have."""
+    """Load of one workspace, with its weight and limits."""
 
     share: float
-    """Share of all jobs that it hands in as usual."""
+    """Share of all jobs that it usually submits."""
     weight: float
-    """Jobs a second that it is owed."""
+    """Jobs per second that it is entitled to."""
     limit_cores_milli: int = 0
     limit_memory_mb: int = 0
     rate_factor: float = 1.0
-    """How many times its usual it hands in; what is above that is not owed."""
+    """Its submission rate relative to the usual; jobs above the usual rate are not entitled."""
 
     def to_workspace(self, name: str) -> Workspace:
-        """Return the product's type."""
+        """Return the workspace as the scheduler's own type."""
         limit = Resources(cores_milli=self.limit_cores_milli, memory_mb=self.limit_memory_mb)
         return Workspace(name=name, weight=self.weight, limit=limit)
 
     def problem(self) -> str:
-        """Return what is wrong, naming field and value; empty if nothing is."""
+        """Return what is invalid, naming field and value; empty if all is valid."""
         if not 0.0 <= self.share <= 1.0:
             return f"share: expected 0 to 1, got {self.share}"
         if self.rate_factor < 1.0:
@@ -144,7 +144,7 @@
 
 
 class Workload(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One load on one fleet."""
+    """A load on a fleet, with scheduled faults."""
 
     name: str
     shows: str
@@ -154,26 +154,26 @@
     executor_memory_mb: int = 131_072
     rack_size: int = 8
     entry_hosts: int = 6
-    """Hosts through which the advisor can be asked, one call a time each."""
+    """Hosts through which the advisor can be called, one call at a time each."""
     length_s: float = 40.0
     settle_s: float = 25.0
-    """Time for what was accepted to end, after the last arrival."""
+    """Time after the arrivals end for accepted jobs to complete."""
     bursts: list[Burst] = []
     store_outages: list[Span] = []
     leader_losses: list[Span] = []
-    """All entry hosts are gone; one leads again after that time."""
+    """Losses of all entry hosts; one leads again after the span."""
     leader_changes: list[Span] = []
-    """The leader alone is gone; another host leads after that time."""
+    """Losses of the leader alone; another host leads after the span."""
     crashes: list[Span] = []
-    """Executors that crash, and start again."""
+    """Crashes of executors, which restart after the span."""
     restarts_keep_names: bool = False
-    """Whether an executor that starts again has the name that it had."""
+    """Whether a restarted executor keeps its name."""
     capacity_changes: list[CapacityChange] = []
     workspaces: dict[str, WorkspaceLoad] = {}
-    """By name; jobs that no share covers belong to none."""
+    """By name; jobs not covered by any share belong to no workspace."""
 
     def problem(self) -> str:
-        """Return what is wrong, naming field and value; empty if nothing is."""
+        """Return what is invalid, naming field and value; empty if all is valid."""
         if not 1 <= self.executors <= MAX_EXECUTORS:
             return f"executors: expected 1 to {MAX_EXECUTORS}, got {self.executors}"
         if not self.queues:
@@ -201,15 +201,15 @@
                 return f"workspaces.{name}.{problem}"
         shares = sum(workspace.share for workspace in self.workspaces.values())
         if shares > 1.0 + SHARE_TOLERANCE:
-            return f"workspaces: expected shares of 1 together at most, got {shares}"
+            return f"workspaces: expected shares to sum to at most 1, got {shares}"
         return ""
 
     def list_workspaces(self) -> tuple[Workspace, ...]:
-        """Return the workspaces as the configuration has them."""
+        """Return the workspaces in the form used by the cell configuration."""
         return tuple(load.to_workspace(name) for name, load in self.workspaces.items())
 
     def factor_at(self, queue: str, at_s: float) -> float:
-        """Return how many times the usual rate a queue's jobs come."""
+        """Return the arrival rate of a queue at a time, relative to its usual rate."""
         factor = 1.0
         for burst in self.bursts:
             is_on = burst.at_s <= at_s < burst.at_s + burst.for_s
@@ -219,7 +219,7 @@
 
 
 def load_workload(path: Path) -> Workload:
-    """Read a workload file; WorkloadError names what is wrong with it."""
+    """Read a workload file; raises WorkloadError naming what is invalid."""
     try:
         workload = msgspec.convert(yaml.safe_load(path.read_text()), type=Workload)
     except (OSError, yaml.YAMLError, msgspec.ValidationError) as error:
--- a/tests/test_cell_load.py
+++ b/tests/test_cell_load.py
@@ -1,4 +1,4 @@
-"""The lab for a leader under load: what it draws, plays, measures and refuses."""
+"""Load simulation of a cell leader: workload files, arrivals, simulation runs and reports."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -87,7 +87,7 @@
             (("length_s: 3", WORKSPACES.format(2, 1, 0)), "workspaces.a.share: expected 0 to 1"),
             (
                 ("length_s: 3", WORKSPACES.format(0.6, 1, 0)),
-                "expected shares of 1 together at most",
+                "expected shares to sum to at most 1",
             ),
             (("length_s: 3", WORKSPACES.format(0.5, 0.5, 0)), "a.rate_factor: expected 1 or more"),
             (
@@ -253,11 +253,12 @@
 
 
 class TestGangsUnderLoad:
-    """Gangs of 5 on half of the executors, at 1.2 times what the fleet can do for 14 s.
+    """Gangs of 5 approved for half of the executors, at 1.2 times the fleet's throughput for 14 s.
 
-    With room held by gangs that had a part of what they need, they kept each other out: on a day of
-    this load 30 to 50% of the cores stood held for 20 s. Here 12.6 to 13.4% of the cores lay idle
-    though a gang could have used them, and 0.66 to 0.71 of the gangs' credit was earned.
+    Guards against gangs that block each other by holding capacity for a part of their members: on
+    a day of this load that kept 30 to 50% of the cores reserved for 20 s. In this test it left 12.6
+    to 13.4% of the cores idle though usable by a gang, and the mean earned share of the gangs was
+    0.66 to 0.71.
     """
 
     @pytest.mark.parametrize("seed", [0, 1, 2])
@@ -296,7 +297,7 @@
 
 
 def fits_where_approved(workload: Workload, outcome: JobOutcome, seed: int) -> bool:
-    """Return whether the executors that the advisor approves of could hold a gang at all."""
+    """Return whether the approved executors, when empty, could hold the whole gang."""
     job = outcome.arrival.job
     step = job.steps[0]
     key = StepKey(job.job_id, 0, 0)
