--- a/src/galenastall/bench/fleet.py
+++ b/src/galenastall/bench/fleet.py
@@ -24,7 +24,7 @@
 from galenastall.state.hosts import HostKind, HostState, ListedHost
 from galenastall.state.ids import DataCentre, HostId
 from galenastall.transport.clock import TrioClock
-from galenastall.transport.http_client import HttpClient, WholeAnswer
+from galenastall.transport.http_client import BufferedResponse, HttpClient
 
 STANDIN: Final = "standin"
 READY_TIMEOUT_S: Final = 60.0
@@ -146,7 +146,7 @@
             if self.driver.is_running(host_id)
         }
 
-    async def put_settings(self, path: str, subtree: object) -> WholeAnswer:
+    async def put_settings(self, path: str, subtree: object) -> BufferedResponse:
         """Change a subtree of the shared tree; raises CallError if it is refused."""
         host = next(iter(self.entry_hosts_by_id.values()))
         route = f"/v1/settings/tree/{path}"
@@ -166,7 +166,7 @@
 
     async def call(
         self, method: str, host: EntryHost, path: str, message: object = None
-    ) -> WholeAnswer:
+    ) -> BufferedResponse:
         """Call an entry host's HTTP side; raises CallError if there is no whole answer."""
         answer = await self.client.request(
             method=method,
--- a/src/galenastall/bench/job_load.py
+++ b/src/galenastall/bench/job_load.py
@@ -23,7 +23,7 @@
 from galenastall.state.errors import StepError
 from galenastall.state.ids import JobId
 from galenastall.state.work import JobSpec
-from galenastall.transport.http_client import WholeAnswer
+from galenastall.transport.http_client import BufferedResponse
 
 SUBMIT_TRIES: Final = 8
 RETRY_S: Final = 0.5
@@ -160,7 +160,7 @@
 
     async def _call(
         self, method: str, data_centre: str, path: str, message: Any = None
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         """Call a ready entry host of the data centre, any one if none says that it is ready."""
         hosts = [
             host
@@ -185,7 +185,7 @@
         message: Any,
         *,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         return await self._fleet.client.request(
             method=method,
             address=host.http_address,
--- a/src/galenastall/bench/load.py
+++ b/src/galenastall/bench/load.py
@@ -22,7 +22,7 @@
 from galenastall.state.errors import Reason
 from galenastall.state.ids import HostId, RequestId
 from galenastall.state.outcomes import Outcome
-from galenastall.transport.http_client import HttpClient, WholeAnswer
+from galenastall.transport.http_client import BufferedResponse, HttpClient
 
 HIGHEST_LATENCY_US: Final = 600_000_000
 SIGNIFICANT_DIGITS: Final = 3
@@ -249,7 +249,7 @@
         self,
         arrival: RequestArrival,
         request_id: RequestId,
-        answer: WholeAnswer,
+        answer: BufferedResponse,
         body_digest: str,
         due: float,
     ) -> None:
--- a/src/galenastall/cli/entry_client.py
+++ b/src/galenastall/cli/entry_client.py
@@ -13,7 +13,7 @@
 from galenastall.protocol.addresses import split_address
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.clock import TrioClock
-from galenastall.transport.http_client import HttpClient, WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, HttpClient, error_from_response
 
 DEFAULT_TIMEOUT_S: Final = 35.0
 _LAST_GOOD_STATUS: Final = 299
@@ -34,7 +34,7 @@
     body: bytes = b"",
     headers: Mapping[str, str] | None = None,
     timeout_s: float = DEFAULT_TIMEOUT_S,
-) -> Result[WholeAnswer, StepError]:
+) -> Result[BufferedResponse, StepError]:
     """Make one call and return its whole answer, whatever its status."""
     try:
         split_address(entry)
@@ -43,7 +43,7 @@
 
     tls = current_tls()
 
-    async def call() -> Result[WholeAnswer, StepError]:
+    async def call() -> Result[BufferedResponse, StepError]:
         client = HttpClient(clock=TrioClock(), tls=tls)
         try:
             return await client.request(
@@ -71,12 +71,12 @@
         case Success(answer) if answer.status <= _LAST_GOOD_STATUS:
             return _parse(answer, entry)
         case Success(answer):
-            return Failure(error_of_answer(answer, step="cli.call", peer=entry))
+            return Failure(error_from_response(answer, step="cli.call", peer=entry))
         case failed:
             return failed
 
 
-def _parse(answer: WholeAnswer, entry: str) -> Result[Any, StepError]:
+def _parse(answer: BufferedResponse, entry: str) -> Result[Any, StepError]:
     try:
         return Success(msgspec.json.decode(answer.body))
     except msgspec.DecodeError as error:
--- a/src/galenastall/cli/ops_commands.py
+++ b/src/galenastall/cli/ops_commands.py
@@ -11,7 +11,7 @@
 from galenastall.cli.entry_client import EntryOption, call_entry, call_entry_json
 from galenastall.cli.log_files import LogsOption, show_explanation, show_lines, show_waits
 from galenastall.cli.output import OutputFormat, OutputOption, fail, fail_usage, print_value
-from galenastall.transport.http_client import error_of_answer
+from galenastall.transport.http_client import error_from_response
 
 _OK = 200
 
@@ -119,5 +119,5 @@
         fail(answered.failure(), errors_as)
     answer = answered.unwrap()
     if answer.status != _OK:
-        fail(error_of_answer(answer, step="cli.call", peer=entry), errors_as)
+        fail(error_from_response(answer, step="cli.call", peer=entry), errors_as)
     return answer.body
--- a/src/galenastall/cli/settings_commands.py
+++ b/src/galenastall/cli/settings_commands.py
@@ -20,7 +20,7 @@
 from galenastall.state.settings_problems import SettingsProblems, check_tree
 from galenastall.state.settings_records import Verdict, VerdictKind
 from galenastall.state.shared_settings import SharedSettings
-from galenastall.transport.http_client import WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, error_from_response
 
 settings_app = typer.Typer(help=f"Show and change the shared tree. {EXIT_CODE_HELP}")
 
@@ -126,7 +126,7 @@
     answer = answered.unwrap()
     verdict = _verdict_of(answer)
     if verdict is None:
-        fail(error_of_answer(answer, step="cli.settings_apply", peer=entry), output)
+        fail(error_from_response(answer, step="cli.settings_apply", peer=entry), output)
     print_value(verdict, output)
     raise typer.Exit(_CODES_BY_VERDICT[verdict.kind])
 
@@ -194,7 +194,7 @@
         fail(answered.failure(), output)
     answer = answered.unwrap()
     if answer.status != _OK:
-        fail(error_of_answer(answer, step="cli.settings_show", peer=entry), output)
+        fail(error_from_response(answer, step="cli.settings_show", peer=entry), output)
     tree = msgspec.json.decode(answer.body)
     if output is OutputFormat.JSON:
         print_value(tree, output)
@@ -227,7 +227,7 @@
     return subtree
 
 
-def _verdict_of(answer: WholeAnswer) -> Verdict | None:
+def _verdict_of(answer: BufferedResponse) -> Verdict | None:
     try:
         return msgspec.json.decode(answer.body, type=Verdict)
     except msgspec.MsgspecError:
--- a/src/galenastall/cli/work_commands.py
+++ b/src/galenastall/cli/work_commands.py
@@ -16,7 +16,7 @@
 from galenastall.protocol.yaml_files import load_yaml
 from galenastall.state.errors import StepError
 from galenastall.state.outcomes import Outcome
-from galenastall.transport.http_client import WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, error_from_response
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -160,11 +160,11 @@
 
 
 def _ending_of(
-    answer: WholeAnswer, *, request_id: str, entry: str, output: OutputFormat
+    answer: BufferedResponse, *, request_id: str, entry: str, output: OutputFormat
 ) -> RequestEnding:
     outcome = answer.headers.get("galenastall-outcome", "")
     if outcome not in set(Outcome):
-        fail(error_of_answer(answer, step="cli.submit_request", peer=entry), output)
+        fail(error_from_response(answer, step="cli.submit_request", peer=entry), output)
     retry_after_ms = answer.headers.get("galenastall-retry-after-ms", "")
     try:
         body, encoding = answer.body.decode(), "utf-8"
--- a/src/galenastall/coordination/timeline/explain.py
+++ b/src/galenastall/coordination/timeline/explain.py
@@ -13,7 +13,7 @@
 from galenastall.state.registry import Registry
 from galenastall.state.timeline import TimelineEvent
 
-NAMED: Final = 4
+MAX_NAMED_IDS: Final = 4
 """Ids that a sentence names before it counts the rest."""
 
 SentenceBuilder = Callable[[TimelineEvent], str]
@@ -42,7 +42,7 @@
     if present:
         summary = f"Now: {' '.join(present)}"
     elif timeline.events:
-        last = _narrowed(timeline.events[-1], timeline.subject)
+        last = _restrict_to_subject(timeline.events[-1], timeline.subject)
         summary = f"Last of all, {_uncapitalised(sentence_of(last))}."
     else:
         summary = (
@@ -70,19 +70,19 @@
     return _plain_sentence(event)
 
 
-def because(event: TimelineEvent) -> str:
+def cause_clause(event: TimelineEvent) -> str:
     """Return the event's cause as the end of a sentence, empty if it has none."""
     return f" because {event.cause}" if event.cause else ""
 
 
-def listed(ids: Sequence[str]) -> str:
+def join_ids(ids: Sequence[str]) -> str:
     """Return ids in words, the first of many by name and the rest by number."""
-    if len(ids) > NAMED:
-        return f"{', '.join(ids[:NAMED])} and {len(ids) - NAMED} more"
+    if len(ids) > MAX_NAMED_IDS:
+        return f"{', '.join(ids[:MAX_NAMED_IDS])} and {len(ids) - MAX_NAMED_IDS} more"
     return " and ".join((", ".join(ids[:-1]), ids[-1])) if len(ids) > 1 else "".join(ids)
 
 
-def _narrowed(event: TimelineEvent, subject: str) -> TimelineEvent:
+def _restrict_to_subject(event: TimelineEvent, subject: str) -> TimelineEvent:
     """Return an event of a job or task without the tasks of others that shared its batch."""
     prefix = f"{subject}/"
     own = {each for each in event.subjects if each == subject or each.startswith(prefix)}
@@ -98,7 +98,7 @@
     at = f" at {event.peer}" if event.peer else ""
     fields = ", ".join(f"{name} {value}" for name, value in sorted(event.fields.items()))
     extra = f" ({fields})" if fields else ""
-    return f"{event.process} noted {what}{at}{extra}{because(event)}"
+    return f"{event.process} noted {what}{at}{extra}{cause_clause(event)}"
 
 
 def _timed_sentences(timeline: MergedTimeline) -> Iterator[str]:
@@ -106,7 +106,7 @@
         return
     start_ms = timeline.events[0].at.wall_ms
     for event in timeline.events:
-        sentence = sentence_of(_narrowed(event, timeline.subject))
+        sentence = sentence_of(_restrict_to_subject(event, timeline.subject))
         yield f"After {(event.at.wall_ms - start_ms) / 1000:.3f} s {sentence}."
 
 
--- a/src/galenastall/coordination/timeline/explain_requests.py
+++ b/src/galenastall/coordination/timeline/explain_requests.py
@@ -1,6 +1,6 @@
 """Sentences about requests."""
 
-from galenastall.coordination.timeline.explain import SENTENCES, because
+from galenastall.coordination.timeline.explain import SENTENCES, cause_clause
 from galenastall.state.timeline import TimelineEvent
 
 
@@ -17,7 +17,7 @@
 
 @SENTENCES.register("request.passed_over")
 def _passed_over(event: TimelineEvent) -> str:
-    return f"{event.process} gave the permit for {event.peer} back unused{because(event)}"
+    return f"{event.process} gave the permit for {event.peer} back unused{cause_clause(event)}"
 
 
 @SENTENCES.register("request.sent")
@@ -32,28 +32,29 @@
 
 @SENTENCES.register("request.answered")
 def _answered(event: TimelineEvent) -> str:
-    outcome = _words(event.fields.get("outcome"))
-    return f"the attempt at {event.peer} came out as {outcome}{_why(event)}"
+    outcome = _outcome_text(event.fields.get("outcome"))
+    return f"the attempt at {event.peer} came out as {outcome}{_because_of(event)}"
 
 
 @SENTENCES.register("request.retried")
 def _retried(event: TimelineEvent) -> str:
-    return f"{event.process} tried once more after {event.peer}{_why(event)}"
+    return f"{event.process} tried once more after {event.peer}{_because_of(event)}"
 
 
 @SENTENCES.register("request.refused")
 def _refused(event: TimelineEvent) -> str:
-    return f"{event.process} refused the request{_why(event)}, and it was not run{_hint(event)}"
+    return (
+        f"{event.process} refused the request{_because_of(event)}, and it was not run"
+        f"{_retry_clause(event)}"
+    )
 
 
 @SENTENCES.register("request.ended")
 def _ended(event: TimelineEvent) -> str:
     attempts = event.fields.get("attempts", "0")
     times = "1 attempt" if attempts == "1" else f"{attempts} attempts"
-    outcome = _words(event.fields.get("outcome"))
-    return (
-        f"{event.process} answered the caller: {outcome}, after {times}{_why(event)}{_hint(event)}"
-    )
+    outcome = _outcome_text(event.fields.get("outcome"))
+    return f"{event.process} answered the caller: {outcome}, after {times}{_because_of(event)}{_retry_clause(event)}"
 
 
 @SENTENCES.register("request.withdrawn")
@@ -62,14 +63,14 @@
     return f"the caller or {event.process} broke the request off, and {ran}"
 
 
-def _words(outcome: str | None) -> str:
+def _outcome_text(outcome: str | None) -> str:
     return (outcome or "unknown").replace("_", " ")
 
 
-def _why(event: TimelineEvent) -> str:
+def _because_of(event: TimelineEvent) -> str:
     return f" because of {event.cause.replace('_', ' ')}" if event.cause else ""
 
 
-def _hint(event: TimelineEvent) -> str:
+def _retry_clause(event: TimelineEvent) -> str:
     after_s = event.fields.get("retry_after_s")
     return f"; the caller may come again after {after_s} s" if after_s else ""
--- a/src/galenastall/node/entry_host.py
+++ b/src/galenastall/node/entry_host.py
@@ -95,7 +95,7 @@
             faults=link_faults,
             hybrid=self.recorder.hybrid,
             log_error=self.recorder.record_error,
-            on_intruder=self._on_intruder,
+            on_rejected_peer=self._on_intruder,
         )
         self._peer_ids: tuple[HostId, ...] = ()
         self._seeds = {HostId(name): address for name, address in settings.seeds.items()}
--- a/src/galenastall/platform/calls.py
+++ b/src/galenastall/platform/calls.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import HttpClient, WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, HttpClient, error_from_response
 
 T = TypeVar("T")
 AddressProvider = Callable[[], str]
@@ -24,7 +24,7 @@
 
     async def get(
         self, *, step: str, address: str, path: str, timeout_s: float
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         """Send a GET request and return the response, whatever its status."""
         return await self._client.request(
             method="GET", address=address, path=path, timeout_s=timeout_s, step=step
@@ -39,7 +39,7 @@
         body: bytes,
         timeout_s: float,
         headers: Mapping[str, str] | None = None,
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         """Post a body and return the response, whatever its status."""
         return await self._client.request(
             method="POST",
@@ -60,7 +60,7 @@
         message: Any,
         timeout_s: float,
         headers: Mapping[str, str] | None = None,
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         """Post a JSON message and return the response, whatever its status."""
         return await self.post(
             step=step,
@@ -73,7 +73,7 @@
 
 
 def decode_answer(
-    answer: WholeAnswer, wanted: type[T], *, step: str, peer: str
+    answer: BufferedResponse, wanted: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
     """Return the typed body of a response; CUT if it can't be decoded."""
     try:
@@ -83,6 +83,6 @@
         return Failure(StepError(step=step, peer=peer, reason=Reason.CUT, detail=detail))
 
 
-def to_failure(answer: WholeAnswer, *, step: str, peer: str) -> Failure[StepError]:
+def to_failure(answer: BufferedResponse, *, step: str, peer: str) -> Failure[StepError]:
     """Convert a response with an error status into a failure."""
-    return Failure(error_of_answer(answer, step=step, peer=peer))
+    return Failure(error_from_response(answer, step=step, peer=peer))
--- a/src/galenastall/platform/executors.py
+++ b/src/galenastall/platform/executors.py
@@ -22,7 +22,7 @@
     started_at_ms_of,
 )
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import WholeAnswer
+from galenastall.transport.http_client import BufferedResponse
 
 _OK: Final = 200
 _BAD_REQUEST: Final = 400
@@ -207,7 +207,7 @@
         executor_id: str,
         message: Message,
         timeout_s: float,
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         return await self._calls.post_json(
             step=endpoint.step,
             address=address,
@@ -225,7 +225,7 @@
     return make_executor_id(executor_name(executor_id), born_ms)
 
 
-def _verdict(response: WholeAnswer, *, step: str, peer: str) -> Result[OrderAnswer, StepError]:
+def _verdict(response: BufferedResponse, *, step: str, peer: str) -> Result[OrderAnswer, StepError]:
     """Return the verdict of a response; CUT if its status or body is not understood."""
     if response.status == _OTHER_EXECUTOR:
         return Success(OrderAnswer(verdict=StartVerdict.OTHER_EXECUTOR, clock_ms=None))
--- a/src/galenastall/platform/hosts.py
+++ b/src/galenastall/platform/hosts.py
@@ -14,7 +14,7 @@
 from galenastall.platform.store import PRODUCER
 from galenastall.state.cell.hosts import HostState, MaintenanceWave, PoolHost
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import WholeAnswer
+from galenastall.transport.http_client import BufferedResponse
 from galenastall.transport.logs import Level, Recorder
 
 WAVE_KEY_PREFIX: Final = "wave/"
@@ -175,7 +175,7 @@
             return answer
         return self._outcome(answer.unwrap(), step)
 
-    def _outcome(self, response: WholeAnswer, step: str) -> Result[HostOutcome, StepError]:
+    def _outcome(self, response: BufferedResponse, step: str) -> Result[HostOutcome, StepError]:
         if response.status == _OK:
             return Success(HostOutcome.DONE)
         if response.status == _BAD_REQUEST:
--- a/src/galenastall/platform/process.py
+++ b/src/galenastall/platform/process.py
@@ -229,7 +229,7 @@
             await trio.sleep(LOG_FLUSH_INTERVAL_S)
             self._log.flush()
             dropped, reported = self._log.dropped - reported, self._log.dropped
-            self.recorder.tell_left_out(dropped)
+            self.recorder.report_suppressed(dropped)
 
     async def stop(self) -> None:
         """Hand over leadership, finish callers' open requests, and stop."""
--- a/src/galenastall/platform/store.py
+++ b/src/galenastall/platform/store.py
@@ -15,7 +15,7 @@
 from galenastall.platform.newest_records import NewestReader
 from galenastall.protocol.cell.ports import LeaderRecord, StoreView
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import WholeAnswer
+from galenastall.transport.http_client import BufferedResponse
 
 STATE_TOPIC: Final = "keyed.galenastall-cell"
 CLAIM_KEY: Final = "~leader"
@@ -148,7 +148,7 @@
             return to_failure(response, step=step, peer=self._address())
         return decode_answer(response, AppendAnswer, step=step, peer=self._address())
 
-    def _conflict(self, response: WholeAnswer, step: str) -> Result[AppendAnswer, StepError]:
+    def _conflict(self, response: BufferedResponse, step: str) -> Result[AppendAnswer, StepError]:
         """Return CONFLICT: a newer epoch is set, or another writer has used this one."""
         refusal = decode_answer(response, AppendRefusal, step=step, peer=self._address())
         detail = f"{refusal.value_or(AppendRefusal(reason='unreadable'))}"
--- a/src/galenastall/proof/ownership_costs.py
+++ b/src/galenastall/proof/ownership_costs.py
@@ -19,12 +19,12 @@
 from galenastall.state.ids import HostId, OwnableId
 from galenastall.transport import peer_wire
 
-SHARE: Final = 295
+OWNABLES_PER_DATA_CENTRE: Final = 295
 """Ownables of a data centre at the design size: 255 workers, 24 upstreams, 16 shards."""
 WORKER: Final = OwnableId("worker/w0")
-QUIET_S: Final = 20.0
+SETTLE_S: Final = 20.0
 """Time to let things settle, and over which traffic is counted."""
-WITHIN_S: Final = 120.0
+TIMEOUT_S: Final = 120.0
 CALLS: Final = 20_000
 TICKS: Final = 2_000
 TIMINGS: Final = OwnershipTimings()
@@ -59,20 +59,20 @@
 def settled(hosts: int, ownables: int, seed: int = 1) -> MeteredModel:
     """Return a data centre in which everything has its wanted owner."""
     model = MeteredModel(seed=seed, hosts=hosts, ownables=ownables, timings=TIMINGS)
-    model.run_until(model.is_served, within=WITHIN_S)
-    model.run_for(QUIET_S)
+    model.run_until(model.is_served, within=TIMEOUT_S)
+    model.run_for(SETTLE_S)
     return model
 
 
-def quiet_traffic(hosts: int, ownables: int) -> Traffic:
+def idle_traffic(hosts: int, ownables: int) -> Traffic:
     """Return what a member sends while nothing happens."""
     model = settled(hosts, ownables)
     messages, sent_bytes = model.messages, model.sent_bytes
-    model.run_for(QUIET_S)
-    per = hosts * QUIET_S
+    model.run_for(SETTLE_S)
+    host_seconds = hosts * SETTLE_S
     return Traffic(
-        messages=(model.messages - messages) / per,
-        frame_bytes=(model.sent_bytes - sent_bytes) / per,
+        messages=(model.messages - messages) / host_seconds,
+        frame_bytes=(model.sent_bytes - sent_bytes) / host_seconds,
     )
 
 
@@ -81,9 +81,9 @@
     model = settled(hosts, 4 * hosts, seed)
     (owner,) = model.actors(WORKER)
     fault(model, owner)
-    took = model.run_until(model.is_served, within=WITHIN_S)
-    assert took is not None, "no owner in the time allowed"
-    return took
+    elapsed_s = model.run_until(model.is_served, within=TIMEOUT_S)
+    assert elapsed_s is not None, "no owner in the time allowed"
+    return elapsed_s
 
 
 def kill(model: OwnershipModel, owner: HostId) -> None:
@@ -94,9 +94,9 @@
 def kill_in_outage(model: OwnershipModel, owner: HostId) -> None:
     """Kill the owner in an outage of a minute; the time counts from the outage's end."""
     model.is_log_up = False
-    model.run_for(QUIET_S)
+    model.run_for(SETTLE_S)
     model.kill(owner)
-    model.run_for(2 * QUIET_S)
+    model.run_for(2 * SETTLE_S)
     model.is_log_up = True
 
 
@@ -118,7 +118,7 @@
 def leave(model: OwnershipModel, owner: HostId) -> None:
     """Stop the owner as planned; the time counts from when it stops acting."""
     model.nodes_by_host[owner].core.begin_leave()
-    model.run_until(lambda: not model.actors(WORKER), within=WITHIN_S)
+    model.run_until(lambda: not model.actors(WORKER), within=TIMEOUT_S)
 
 
 def records_of_kill(hosts: int, ownables: int) -> Counter[str]:
@@ -140,15 +140,15 @@
     started = time.process_time()
     for number in range(CALLS):
         node.core.may_act(names[number % len(names)], now)
-    asked = time.process_time()
+    acts_done = time.process_time()
     for _ in range(TICKS):
         node.core.confirmations.on_own_log_end(now)
         node.core.membership.reset_timeouts(now)
         now += 0.1
         node.core.on_tick(now)
         node.core.drain_commands()
-    ticked = time.process_time()
-    return (asked - started) / CALLS * 1e6, (ticked - asked) / TICKS * 1e6
+    ticks_done = time.process_time()
+    return (acts_done - started) / CALLS * 1e6, (ticks_done - acts_done) / TICKS * 1e6
 
 
 def main(
@@ -159,15 +159,19 @@
         times = [takeover_s(3, seed, fault=fault) for seed in range(seeds)]
         typer.echo(f"{fault.__name__}: median {median(times):.1f} s, max {max(times):.1f} s")
     for hosts in (3, 6, 12):
-        traffic = quiet_traffic(hosts, SHARE)
+        traffic = idle_traffic(hosts, OWNABLES_PER_DATA_CENTRE)
         typer.echo(
             f"{hosts} members: {traffic.messages:.1f} messages/s,"
             f" {traffic.frame_bytes:.0f} frame bytes/s sent by each"
         )
     for hosts in (3, 12):
-        counts = dict(records_of_kill(hosts, SHARE))
+        counts = dict(records_of_kill(hosts, OWNABLES_PER_DATA_CENTRE))
         typer.echo(f"{hosts} members, one killed: records {counts}")
-    for hosts, ownables in ((3, SHARE), (12, SHARE), (12, 2 * SHARE)):
+    for hosts, ownables in (
+        (3, OWNABLES_PER_DATA_CENTRE),
+        (12, OWNABLES_PER_DATA_CENTRE),
+        (12, 2 * OWNABLES_PER_DATA_CENTRE),
+    ):
         may_act, tick = processor_us(hosts, ownables)
         typer.echo(
             f"{hosts} members, {ownables} ownables: may_act {may_act:.2f} us, tick {tick:.0f} us"
--- a/src/galenastall/proof/ownership_faults.py
+++ b/src/galenastall/proof/ownership_faults.py
@@ -33,11 +33,11 @@
 def _split_off(model: OwnershipModel, rng: random.Random) -> None:
     """Cut some hosts off from the others, and mostly from the log too."""
     hosts = sorted(model.alive())
-    away = set(rng.sample(hosts, rng.randint(0, len(hosts))))
+    isolated = set(rng.sample(hosts, rng.randint(0, len(hosts))))
     sees_log = rng.random() < LOG_KEPT_SHARE
-    for host in away:
+    for host in isolated:
         model.nodes_by_host[host].has_log = sees_log
-        model.cuts |= {frozenset((host, o)) for o in model.nodes_by_host if o not in away}
+        model.cuts |= {frozenset((host, o)) for o in model.nodes_by_host if o not in isolated}
 
 
 def _toggle_pause(model: OwnershipModel, rng: random.Random) -> None:
@@ -46,7 +46,7 @@
     (model.resume if node.is_paused else model.pause)(host)
 
 
-def _mend(model: OwnershipModel, rng: random.Random) -> None:
+def _heal_cuts(model: OwnershipModel, rng: random.Random) -> None:
     model.cuts.clear()
     for node in model.nodes_by_host.values():
         node.has_log = True
@@ -90,7 +90,7 @@
     "isolate": _isolate,
     "split off": _split_off,
     "split off again": _split_off,
-    "mend all cuts": _mend,
+    "mend all cuts": _heal_cuts,
     "log cut or back": _toggle_log_cut,
     "log down or up": _toggle_outage,
     "lose answers": _lose_answers,
--- a/src/galenastall/proof/ownership_model.py
+++ b/src/galenastall/proof/ownership_model.py
@@ -31,9 +31,9 @@
 LISTING_S: Final = 2.0
 CHECK_S: Final = 0.02
 APPEND_TIMEOUT_S: Final = 1.0
-LATE_SHARE: Final = 0.5
+LATE_COMMIT_SHARE: Final = 0.5
 """Share of appends with a lost answer that land late, also after the writer gave up."""
-LANDING_SHARE: Final = 0.8
+COMMIT_SHARE: Final = 0.8
 """Share of appends with a lost answer that land at all."""
 
 MODEL_TIMINGS: Final = OwnershipTimings(
@@ -229,7 +229,7 @@
             node.inbox.append(action)
             return
         action()
-        self._carry_out(node)
+        self._execute_commands(node)
 
     def _deliver(self, node: ModelNode, action: Callable[[], None]) -> None:
         self._at(self._delay(), lambda: self._on_node(node, action))
@@ -254,11 +254,11 @@
 
     def _tick(self, node: ModelNode) -> None:
         node.core.on_tick(node.local(self.now))
-        self._carry_out(node)
+        self._execute_commands(node)
         if node.core.is_removed and node.core.is_leaving:
             self.kill(node.host)
 
-    def _carry_out(self, node: ModelNode) -> None:
+    def _execute_commands(self, node: ModelNode) -> None:
         for command in node.core.drain_commands():
             if isinstance(command, SendMessage):
                 self._send(node, command.to, command.message)
@@ -281,27 +281,27 @@
 
     def _append(self, node: ModelNode, command: AppendRecord) -> None:
         def answer(outcome: AppendOutcome, delay: float) -> None:
-            def tell() -> None:
+            def deliver_outcome() -> None:
                 node.core.on_append_outcome(command.record_id, outcome, node.local(self.now))
 
-            self._at(delay, lambda: self._on_node(node, tell))
+            self._at(delay, lambda: self._on_node(node, deliver_outcome))
 
         if not self.is_log_up or not node.has_log:
             answer(AppendOutcome.NOT_APPENDED, self._delay())
             return
-        landing = self._delay()
+        commit_delay = self._delay()
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            if self.random.random() < LATE_SHARE:
-                landing += self.random.uniform(0, 3 * APPEND_TIMEOUT_S)
-            if self.random.random() < LANDING_SHARE:
-                self._at(landing, lambda: self._land(command))
+            if self.random.random() < LATE_COMMIT_SHARE:
+                commit_delay += self.random.uniform(0, 3 * APPEND_TIMEOUT_S)
+            if self.random.random() < COMMIT_SHARE:
+                self._at(commit_delay, lambda: self._commit_append(command))
             answer(AppendOutcome.UNKNOWN, APPEND_TIMEOUT_S)
             return
-        self._at(landing, lambda: self._land(command))
-        answer(AppendOutcome.APPENDED, landing + self._delay())
+        self._at(commit_delay, lambda: self._commit_append(command))
+        answer(AppendOutcome.APPENDED, commit_delay + self._delay())
 
-    def _land(self, command: AppendRecord) -> None:
+    def _commit_append(self, command: AppendRecord) -> None:
         self.appends += 1
         self.log.append(self._logged(command.record_id, command.record))
 
--- a/src/galenastall/proof/ownership_weakenings.py
+++ b/src/galenastall/proof/ownership_mutations.py
@@ -15,31 +15,31 @@
 from galenastall.state.ownership_records import Member, Members
 from galenastall.state.registry import Registry
 
-Weakening = Callable[[], AbstractContextManager[Any]]
+Mutation = Callable[[], AbstractContextManager[Any]]
 
-WEAKENINGS: Final[Registry[Weakening]] = Registry(kind="weakening of ownership")
+MUTATIONS: Final[Registry[Mutation]] = Registry(kind="weakening of ownership")
 """Context managers by name, each in force for all cores while entered."""
 
 
-@WEAKENINGS.register("no-fencing")
+@MUTATIONS.register("no-fencing")
 @contextmanager
 def no_fencing() -> Iterator[None]:
     """Let members acknowledge fences and go on vouching as if they had not heard."""
 
-    def forget(self: Holdings, claim: ContestedClaim) -> None:
+    def ignore_claim(self: Holdings, claim: ContestedClaim) -> None:
         return None
 
-    def silence(self: Holdings, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
+    def no_claims(self: Holdings, offset: Offset, *, reader: Member) -> Iterator[ContestedClaim]:
         return iter(())
 
     with (
-        patch.object(Holdings, "note_claim", forget),
-        patch.object(Holdings, "claims_from", silence),
+        patch.object(Holdings, "note_claim", ignore_claim),
+        patch.object(Holdings, "claims_from", no_claims),
     ):
         yield
 
 
-@WEAKENINGS.register("no-waits")
+@MUTATIONS.register("no-waits")
 @contextmanager
 def no_waits() -> Iterator[None]:
     """Let a claimant activate as soon as the roster is fenced."""
@@ -52,7 +52,7 @@
         yield
 
 
-@WEAKENINGS.register("one-is-enough")
+@MUTATIONS.register("one-is-enough")
 @contextmanager
 def one_is_enough() -> Iterator[None]:
     """Let a claimant count a roster as fenced once one member of it is."""
@@ -68,7 +68,7 @@
         yield
 
 
-@WEAKENINGS.register("newer-roster")
+@MUTATIONS.register("newer-roster")
 @contextmanager
 def newer_roster() -> Iterator[None]:
     """Let an owner be vouched for by the roster of now, not by that of its own record."""
@@ -87,7 +87,7 @@
         yield
 
 
-@WEAKENINGS.register("vouches-from-receipt")
+@MUTATIONS.register("vouches-from-receipt")
 @contextmanager
 def vouches_from_receipt() -> Iterator[None]:
     """Count a vouch from its arrival, not from the sending of the beat that it echoes."""
--- a/src/galenastall/proof/ownership_search.py
+++ b/src/galenastall/proof/ownership_search.py
@@ -16,7 +16,7 @@
 
 from galenastall.proof.ownership_faults import random_fault
 from galenastall.proof.ownership_model import OwnershipModel, ViolationError
-from galenastall.proof.ownership_weakenings import WEAKENINGS
+from galenastall.proof.ownership_mutations import MUTATIONS
 
 SERVED_WITHIN_S: Final = 90.0
 """Time after healing within which every ownable must have an owner; three list lags and more."""
@@ -62,7 +62,7 @@
 
 def search(*, runs: int, seed: int, weaken: str | None = None) -> Iterator[RunResult]:
     """Yield the result of each schedule."""
-    with WEAKENINGS.get(weaken)() if weaken else nullcontext():
+    with MUTATIONS.get(weaken)() if weaken else nullcontext():
         for number in range(seed, seed + runs):
             yield run_schedule(number)
 
--- a/src/galenastall/proof/work_invariants.py
+++ b/src/galenastall/proof/work_invariants.py
@@ -144,21 +144,21 @@
 @INVARIANTS.register("no-job-lost")
 def no_job_lost(history: History, bounds: Bounds) -> Iterator[Finding]:
     """Check that an accepted job stays known until it ends or is cancelled."""
-    last_word: dict[JobId, HistoryEvent] = {}
+    last_seen: dict[JobId, HistoryEvent] = {}
     over: set[JobId] = set()
     accepted = {event.job_id: event for event in history.of(JobAccepted)}
     for event in history.events:
         if isinstance(event, JobEnded | JobCancelled):
             over.add(event.job_id)
         elif isinstance(event, JobSeen):
-            last_word[event.job_id] = event
+            last_seen[event.job_id] = event
             known_before = event.job_id in accepted and event.at >= accepted[event.job_id].at
             if not event.known and known_before and event.job_id not in over:
                 yield f"{event.job_id} is no longer known", (accepted[event.job_id], event)
     if not any(True for _ in history.of(RunClosed)):
         return
     for job_id, acceptance in accepted.items():
-        if job_id not in over and job_id not in last_word:
+        if job_id not in over and job_id not in last_seen:
             yield f"nothing was heard of {job_id} after its acceptance", (acceptance,)
 
 
--- a/src/galenastall/standin/control_client.py
+++ b/src/galenastall/standin/control_client.py
@@ -21,7 +21,7 @@
 from galenastall.state.errors import StepError
 from galenastall.state.hosts import HostState, ListedHost
 from galenastall.state.ids import HostId, Offset, StreamName
-from galenastall.transport.http_client import HttpClient, error_of_answer
+from galenastall.transport.http_client import HttpClient, error_from_response
 from galenastall.transport.http_json import decode_json
 
 T = TypeVar("T")
@@ -131,5 +131,5 @@
             return answer
         whole = answer.unwrap()
         if whole.status != _OK:
-            return Failure(error_of_answer(whole, step=step, peer=self._address))
+            return Failure(error_from_response(whole, step=step, peer=self._address))
         return decode_json(whole.body, answer_type, step=step, peer=self._address)
--- a/src/galenastall/transport/http_app.py
+++ b/src/galenastall/transport/http_app.py
@@ -23,12 +23,12 @@
 )
 from galenastall.transport.http_routes import Route, RouteTable
 
-UNREAD_BODY_S: Final = 5.0
+UNREAD_BODY_TIMEOUT_S: Final = 5.0
 """Seconds for which the rest of an upload is read and dropped after an early answer."""
 _BODY_HEADERS: Final = frozenset({b"content-length", b"transfer-encoding"})
 _SMALL_LENGTH_DIGITS: Final = 4
 """Digits of the length of a body that is small: below 10,000 bytes."""
-_WHOLE_LIMIT_BYTES: Final = 16 * 1024 * 1024
+_BUFFER_LIMIT_BYTES: Final = 16 * 1024 * 1024
 
 ErrorLog = Callable[[StepError, BaseException], None]
 """Takes a typed error and the exception behind it."""
@@ -100,7 +100,7 @@
         lengths = [value for name, value in scope["headers"] if name in _BODY_HEADERS]
         stream = BodyStream(receive=receive, is_complete=not lengths)
         if lengths and len(lengths[0]) <= _SMALL_LENGTH_DIGITS and lengths[0].isdigit():
-            with trio.move_on_after(UNREAD_BODY_S):
+            with trio.move_on_after(UNREAD_BODY_TIMEOUT_S):
                 try:
                     while await stream.next_chunk():
                         pass
@@ -130,7 +130,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stream.discard)
             if isinstance(response.body, bytes):
-                with trio.move_on_after(UNREAD_BODY_S):
+                with trio.move_on_after(UNREAD_BODY_TIMEOUT_S):
                     await stream.ended.wait()
             await send(end)
             nursery.cancel_scope.cancel()
@@ -161,7 +161,7 @@
         except RequestCutError:
             return None
         except Exception as error:
-            return self._defect(matched, client, error)
+            return self._handler_error(matched, client, error)
 
     def _no_route(self, method: str, path: str, client: str) -> HttpResponse:
         allowed = self._routes.allowed_methods(path)
@@ -170,7 +170,7 @@
             return _refusal(client, 405, Reason.INVALID, detail)
         return _refusal(client, 404, Reason.NOT_FOUND, f"no route {method} {path}")
 
-    def _defect(self, matched: Route, client: str, error: Exception) -> HttpResponse:
+    def _handler_error(self, matched: Route, client: str, error: Exception) -> HttpResponse:
         detail = f"{matched.method} {matched.template}: {type(error).__name__}"
         step_error = StepError(step="http.handle", peer=client, reason=Reason.CUT, detail=detail)
         self._log_error(step_error, error)
@@ -183,7 +183,7 @@
             return True
         if scope["http_version"] == "1.0" and "content-length" not in response.headers:
             # HTTP/1.0 ends such a body by closing, which a cut looks just like.
-            await self._send_bytes(response, await _read_whole(body), send, more_body=True)
+            await self._send_bytes(response, await _read_all(body), send, more_body=True)
             return True
         return await self._send_stream(scope, response, body, send)
 
@@ -237,12 +237,12 @@
             return
 
 
-async def _read_whole(body: AsyncIterator[bytes]) -> bytes:
+async def _read_all(body: AsyncIterator[bytes]) -> bytes:
     whole = bytearray()
     async for chunk in body:
         whole += chunk
-        if len(whole) > _WHOLE_LIMIT_BYTES:
-            raise ValueError(f"body over {_WHOLE_LIMIT_BYTES} bytes for an HTTP/1.0 client")
+        if len(whole) > _BUFFER_LIMIT_BYTES:
+            raise ValueError(f"body over {_BUFFER_LIMIT_BYTES} bytes for an HTTP/1.0 client")
     return bytes(whole)
 
 
--- a/src/galenastall/transport/http_client.py
+++ b/src/galenastall/transport/http_client.py
@@ -18,10 +18,10 @@
 from galenastall.protocol.security import ClientTls, TlsFiles
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.http_exchange import (
-    AnswerCutError,
     Call,
     Exchange,
-    HttpAnswer,
+    ResponseCutError,
+    StreamedResponse,
     open_exchange,
 )
 from galenastall.transport.http_json import decode_json
@@ -32,7 +32,7 @@
 DEFAULT_MAX_CONNECTIONS: Final = 64
 """Connections to one address."""
 DEFAULT_CONNECT_TIMEOUT_S: Final = 2.0
-ANSWER_LIMIT_BYTES: Final = 64 * 1024 * 1024
+RESPONSE_LIMIT_BYTES: Final = 64 * 1024 * 1024
 """Largest answer that `request` holds whole."""
 _PRUNE_EVERY_S: Final = 5.0
 _DETAIL_LIMIT_BYTES: Final = 200
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer:
+class BufferedResponse:
     """An answer that came to its end."""
 
     status: int
@@ -94,7 +94,7 @@
         body: bytes | AsyncIterator[bytes] = b"",
         content_length: int | None = None,
         step: str = "http.call",
-    ) -> AsyncIterator[Result[HttpAnswer, StepError]]:
+    ) -> AsyncIterator[Result[StreamedResponse, StepError]]:
         """Send a request and stream its answer; `timeout_s` bounds all of it.
 
         `path` is sent as it is, query included. A streamed `body` goes out in chunks unless
@@ -129,9 +129,9 @@
         timeout_s: float,
         headers: Mapping[str, str] | None = None,
         body: bytes = b"",
-        limit_bytes: int = ANSWER_LIMIT_BYTES,
+        limit_bytes: int = RESPONSE_LIMIT_BYTES,
         step: str = "http.call",
-    ) -> Result[WholeAnswer, StepError]:
+    ) -> Result[BufferedResponse, StepError]:
         """Send a request and return its whole answer, whatever its status."""
         opened = await self.open(
             method=method,
@@ -157,12 +157,12 @@
                     return Failure(
                         exchange.call.error(Reason.CUT, f"answer over {limit_bytes} bytes")
                     )
-        except AnswerCutError as error:
+        except ResponseCutError as error:
             return Failure(error.error)
         finally:
             await exchange.aclose()
         return Success(
-            WholeAnswer(status=answer.status, headers=answer.headers, body=b"".join(parts))
+            BufferedResponse(status=answer.status, headers=answer.headers, body=b"".join(parts))
         )
 
     async def get_json(
@@ -273,20 +273,20 @@
 
 
 def _typed(
-    answer: Result[WholeAnswer, StepError], wanted: type[T], *, step: str, peer: str
+    answer: Result[BufferedResponse, StepError], wanted: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
     if isinstance(answer, Failure):
         return answer
     whole = answer.unwrap()
     if whole.status // 100 != _SUCCESS_CLASS:
-        return Failure(error_of_answer(whole, step=step, peer=peer))
+        return Failure(error_from_response(whole, step=step, peer=peer))
     # The server did say that it succeeded, so what can't be read may have taken effect.
     return decode_json(whole.body, wanted, step=step, peer=peer).alt(
         lambda error: replace(error, reason=Reason.CUT)
     )
 
 
-def error_of_answer(answer: WholeAnswer, *, step: str, peer: str) -> StepError:
+def error_from_response(answer: BufferedResponse, *, step: str, peer: str) -> StepError:
     """Return what an answer with an error status means.
 
     A typed error in the body is kept, with the peer that answered; else the status decides, and a
--- a/src/galenastall/transport/http_connection.py
+++ b/src/galenastall/transport/http_connection.py
@@ -27,7 +27,7 @@
 _RECHECKS: Final = 10
 
 
-class _IdleWatch:
+class _IdleTimer:
     """Stands in for hypercorn's restartable timer, with the same two methods."""
 
     def __init__(self, *, keep_alive_s: float, connection: "HttpConnection") -> None:
@@ -54,21 +54,21 @@
 
     async def _run(self) -> None:
         with self._scope:
-            if await self._wait_until_unwanted():
+            if await self._wait_until_closable():
                 with trio.CancelScope(shield=True):
                     await self._connection.close_idle()
 
-    async def _wait_until_unwanted(self) -> bool:
+    async def _wait_until_closable(self) -> bool:
         while True:
             since = self._idle_since if self._idle_since is not None else trio.current_time()
             with trio.move_on_at(since + self._keep_alive_s):
                 await self._connection.context.terminated.wait()
-                return await self._wait_for_quiet()
+                return await self._wait_until_idle()
             idle_since = self._idle_since
             if idle_since is not None and trio.current_time() >= idle_since + self._keep_alive_s:
                 return True
 
-    async def _wait_for_quiet(self) -> bool:
+    async def _wait_until_idle(self) -> bool:
         """Whether to close a draining connection; a busy one closes after its response."""
         for _ in range(_RECHECKS):
             if self._idle_since is None or not self._connection.has_input():
@@ -91,9 +91,9 @@
         """Take over an accepted stream."""
         super().__init__(app, config, context, state, stream)
         self._head: RawData | None = None
-        self._watch = _IdleWatch(keep_alive_s=config.keep_alive_timeout, connection=self)
-        watch: Any = self._watch
-        self.idle_task = watch
+        self._idle_timer = _IdleTimer(keep_alive_s=config.keep_alive_timeout, connection=self)
+        idle_timer: Any = self._idle_timer
+        self.idle_task = idle_timer
 
     async def protocol_send(self, event: Event) -> None:
         """Send what the protocol has to say, leaving out empty writes.
@@ -119,7 +119,7 @@
         try:
             await super()._read_data()
         finally:
-            self._watch.end()
+            self._idle_timer.end()
 
     async def close_idle(self) -> None:
         """Close a connection that is idle."""
--- a/src/galenastall/transport/http_exchange.py
+++ b/src/galenastall/transport/http_exchange.py
@@ -14,7 +14,7 @@
 _NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 
-class AnswerCutError(Exception):
+class ResponseCutError(Exception):
     """An answer's body broke off, was late, or had no end that could be checked."""
 
     def __init__(self, error: StepError) -> None:
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HttpAnswer:
+class StreamedResponse:
     """Head of an answer; the body follows as a stream."""
 
     status: int
@@ -54,13 +54,13 @@
         return StepError(step=self.step, peer=self.address, reason=reason, detail=detail)
 
 
-class _AnswerBody:
+class _ResponseBody:
     """Chunks of an answer; a class rather than a generator, so that leaving it early is cheap."""
 
     def __init__(self, *, call: Call, chunks: Any) -> None:
         self._call = call
         self._chunks = chunks
-        self._error: AnswerCutError | None = None
+        self._error: ResponseCutError | None = None
 
     def __aiter__(self) -> AsyncIterator[bytes]:
         return self
@@ -74,10 +74,10 @@
                 chunk: bytes = await self._chunks.__anext__()
             except (httpcore.NetworkError, httpcore.ProtocolError) as error:
                 detail = f"answer broke off: {error or type(error).__name__}"
-                self._error = AnswerCutError(self._call.error(Reason.CUT, detail))
+                self._error = ResponseCutError(self._call.error(Reason.CUT, detail))
                 raise self._error from error
             return chunk
-        self._error = AnswerCutError(self._call.error(Reason.TIMEOUT, "answer not whole in time"))
+        self._error = ResponseCutError(self._call.error(Reason.TIMEOUT, "answer not whole in time"))
         raise self._error
 
 
@@ -100,8 +100,8 @@
         self._response = response
         stream: Any = response.stream
         self._chunks = stream.__aiter__()
-        body = _AnswerBody(call=call, chunks=self._chunks)
-        self.answer = HttpAnswer(status=response.status, headers=headers, body=body)
+        body = _ResponseBody(call=call, chunks=self._chunks)
+        self.answer = StreamedResponse(status=response.status, headers=headers, body=body)
 
     async def aclose(self) -> None:
         """Keep the connection if the answer was read to its end, else close it."""
@@ -112,33 +112,33 @@
                 if not self._pool.keep(self._connection):
                     await self._connection.stream.aclose()
         finally:
-            self._pool.give_back_room()
+            self._pool.release_slot()
 
 
 async def open_exchange(call: Call, pool: AddressPool) -> Result[Exchange, StepError]:
     """Send the request and return its answer's head."""
     with trio.move_on_at(call.deadline) as scope:
-        await pool.wait_for_room()
+        await pool.acquire_slot()
     if scope.cancelled_caught:
         return Failure(call.error(Reason.UNREACHABLE, "no free connection in time"))
-    has_room = True
+    holds_slot = True
     try:
         connection = await _connect(call, pool)
         if isinstance(connection, Failure):
             return connection
         exchange = await _send(call, pool, connection.unwrap())
-        has_room = isinstance(exchange, Failure)
+        holds_slot = isinstance(exchange, Failure)
         return exchange
     finally:
-        if has_room:
-            pool.give_back_room()
+        if holds_slot:
+            pool.release_slot()
 
 
 async def _connect(call: Call, pool: AddressPool) -> Result[PooledConnection, StepError]:
     deadline = min(call.deadline, trio.current_time() + call.connect_timeout_s)
     with trio.move_on_at(deadline):
         try:
-            return Success(await pool.take())
+            return Success(await pool.get_connection())
         except (OSError, trio.BrokenResourceError) as error:
             cause = error.__cause__ or error
             return Failure(call.error(Reason.UNREACHABLE, f"connect: {cause}"))
--- a/src/galenastall/transport/http_json.py
+++ b/src/galenastall/transport/http_json.py
@@ -66,11 +66,11 @@
     try:
         return Success(msgspec.json.decode(text, type=wanted))
     except msgspec.MsgspecError as error:
-        detail = f"{error}{_value_at_fault(text, str(error))}"
+        detail = f"{error}{_offending_value(text, str(error))}"
         return Failure(StepError(step=step, peer=peer, reason=Reason.INVALID, detail=detail))
 
 
-def _value_at_fault(text: bytes, message: str) -> str:
+def _offending_value(text: bytes, message: str) -> str:
     found = _PATH.search(message)
     path = found["path"] if found else ""
     try:
--- a/src/galenastall/transport/http_pool.py
+++ b/src/galenastall/transport/http_pool.py
@@ -9,7 +9,7 @@
 import trio
 
 from galenastall.protocol.clock import Clock
-from galenastall.transport.http_stream import SentStream, connect_stream
+from galenastall.transport.http_stream import SendTrackingStream, connect_stream
 
 DEFAULT_KEEP_ALIVE_S: Final = 15.0
 """Seconds that an idle connection is kept; well below what servers keep theirs for."""
@@ -19,7 +19,7 @@
 class PooledConnection:
     """One connection; `idle_since` is the runtime time of its last answer's end."""
 
-    stream: SentStream
+    stream: SendTrackingStream
     http: httpcore.AsyncHTTP11Connection
     idle_since: float = 0.0
 
@@ -52,7 +52,7 @@
         self._tls_context = tls_context
         self._clock = clock
         self._idle: deque[PooledConnection] = deque()
-        self._room = trio.Semaphore(max_connections)
+        self._slots = trio.Semaphore(max_connections)
         self._in_use = 0
 
     @property
@@ -60,20 +60,20 @@
         """Whether no connection is open."""
         return self._in_use == 0 and not self._idle
 
-    async def wait_for_room(self) -> None:
+    async def acquire_slot(self) -> None:
         """Wait until a connection may be used; give it back with `release`."""
         try:
-            self._room.acquire_nowait()
+            self._slots.acquire_nowait()
         except trio.WouldBlock:
-            await self._room.acquire()
+            await self._slots.acquire()
         self._in_use += 1
 
-    def give_back_room(self) -> None:
+    def release_slot(self) -> None:
         """Let the next one in."""
         self._in_use -= 1
-        self._room.release()
+        self._slots.release()
 
-    async def take(self) -> PooledConnection:
+    async def get_connection(self) -> PooledConnection:
         """Return a live idle connection or connect a new one; raises as connect_stream does."""
         while self._idle:
             connection = self._idle.pop()
--- a/src/galenastall/transport/http_routes.py
+++ b/src/galenastall/transport/http_routes.py
@@ -58,7 +58,7 @@
     def __init__(self, *, handlers: Iterable[object]) -> None:
         """Collect the marked methods; raises ValueError if two claim one route."""
         self._fixed_by_key: dict[tuple[str, str], Route] = {}
-        self._open: list[Route] = []
+        self._templated: list[Route] = []
         templates: set[tuple[str, str]] = set()
         for handler in handlers:
             for found in _routes_of(handler):
@@ -70,7 +70,7 @@
 
     def _add(self, found: Route) -> None:
         if "{" in found.template:
-            self._open.append(found)
+            self._templated.append(found)
         else:
             self._fixed_by_key[found.method, found.template] = found
 
@@ -79,7 +79,7 @@
         if fixed := self._fixed_by_key.get((method, path)):
             return fixed, {}
         parts = path.split("/")
-        for candidate in self._open:
+        for candidate in self._templated:
             if candidate.method != method:
                 continue
             params = candidate.match(parts)
@@ -91,7 +91,7 @@
         """Return the methods that this path has, in sorted order."""
         parts = path.split("/")
         fixed = {method for method, known in self._fixed_by_key if known == path}
-        matching = {found.method for found in self._open if found.match(parts) is not None}
+        matching = {found.method for found in self._templated if found.match(parts) is not None}
         return tuple(sorted(fixed | matching))
 
 
--- a/src/galenastall/transport/http_stream.py
+++ b/src/galenastall/transport/http_stream.py
@@ -8,7 +8,7 @@
 import trio
 
 
-class SentStream(httpcore.AsyncNetworkStream):
+class SendTrackingStream(httpcore.AsyncNetworkStream):
     """A trio stream for httpcore that tells whether any byte of a request was handed over.
 
     The head of a request is held back until its first chunk or the read of the answer, so that a
@@ -18,20 +18,20 @@
     def __init__(self, *, stream: trio.SocketStream | trio.SSLStream[trio.SocketStream]) -> None:
         """Wrap a connected stream."""
         self._stream = stream
-        self._held = b""
-        self._is_holding = True
+        self._buffered = b""
+        self._is_buffering = True
         self.has_sent = False
         """Whether any byte of the request in hand was given to the kernel."""
 
     def begin_request(self) -> None:
         """Forget the request before: nothing of the next one was sent."""
-        self._is_holding = True
-        self._held = b""
+        self._is_buffering = True
+        self._buffered = b""
         self.has_sent = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Return the next bytes, b"" at the end; the caller bounds the time."""
-        if self._held:
+        if self._buffered:
             # The server may have answered early and closed: its answer is still worth reading.
             with suppress(httpcore.WriteError):
                 await self._flush(b"")
@@ -44,14 +44,14 @@
         """Send, or hold the head of a request; the caller bounds the time."""
         if not buffer:
             return
-        if self._is_holding:
-            self._is_holding = False
-            self._held = buffer
+        if self._is_buffering:
+            self._is_buffering = False
+            self._buffered = buffer
             return
         await self._flush(buffer)
 
     async def _flush(self, buffer: bytes) -> None:
-        data, self._held = self._held + buffer, b""
+        data, self._buffered = self._buffered + buffer, b""
         self.has_sent = True
         try:
             await self._stream.send_all(data)
@@ -77,7 +77,9 @@
     return stream.transport_stream.socket
 
 
-async def connect_stream(*, host: str, port: int, tls_context: ssl.SSLContext | None) -> SentStream:
+async def connect_stream(
+    *, host: str, port: int, tls_context: ssl.SSLContext | None
+) -> SendTrackingStream:
     """Return a connected stream; raises OSError or trio.BrokenResourceError (TLS)."""
     family = trio.socket.AF_INET6 if ":" in host else trio.socket.AF_INET
     sock = trio.socket.socket(family, trio.socket.SOCK_STREAM)
@@ -88,11 +90,11 @@
         raise
     plain = trio.SocketStream(sock)
     if tls_context is None:
-        return SentStream(stream=plain)
+        return SendTrackingStream(stream=plain)
     secure = trio.SSLStream(plain, tls_context, server_hostname=host, https_compatible=True)
     try:
         await secure.do_handshake()
     except BaseException:
         await trio.aclose_forcefully(secure)
         raise
-    return SentStream(stream=secure)
+    return SendTrackingStream(stream=secure)
--- a/src/galenastall/transport/logs.py
+++ b/src/galenastall/transport/logs.py
@@ -20,7 +20,7 @@
 from galenastall.state.timeline import HybridTime, TimelineEvent
 from galenastall.state.timeline_ring import TimelineRing
 
-_SHARE_STEPS: Final = 1 << 32
+_HASH_RANGE: Final = 1 << 32
 _NO_FIELDS: Final[dict[str, str]] = {}
 
 
@@ -72,7 +72,7 @@
         self._ring = ring
         self._hybrid = hybrid or HybridClock()
         self._log_level = log_level
-        self._detail_limit = int(detail_share * _SHARE_STEPS)
+        self._detail_limit = int(detail_share * _HASH_RANGE)
         self._log = None if stream is None else _json_logger(stream, log_level)
 
     @property
@@ -97,7 +97,7 @@
     ) -> None:
         """Keep one event, and write its log line if the level asks for it; never fails."""
         is_detail = level is Level.DETAIL
-        if is_detail and subjects and self._is_left_out(subjects[0]):
+        if is_detail and subjects and self._is_sampled_out(subjects[0]):
             return
         event = TimelineEvent(
             at=self._hybrid.tick(self._clock.wall()),
@@ -122,7 +122,7 @@
         fields: dict[str, str] | None = None,
     ) -> None:
         """Keep one step of a single request, if it is in the share whose details are kept."""
-        if self._is_left_out(subject):
+        if self._is_sampled_out(subject):
             return
         event = TimelineEvent(
             at=self._hybrid.tick(self._clock.wall()),
@@ -151,8 +151,8 @@
         if self._log is not None:
             self._write(event, Level.ERROR, exception)
 
-    def _is_left_out(self, subject: str) -> bool:
-        if self._detail_limit >= _SHARE_STEPS:
+    def _is_sampled_out(self, subject: str) -> bool:
+        if self._detail_limit >= _HASH_RANGE:
             return False
         return xxhash.xxh32_intdigest(subject.encode()) >= self._detail_limit
 
@@ -189,7 +189,7 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
         ],
     )
-    handler = logging.StreamHandler(_TextOver(stream))
+    handler = logging.StreamHandler(_TextAdapter(stream))
     handler.setFormatter(formatter)
     root = logging.getLogger()
     root.handlers = [handler]
@@ -201,7 +201,7 @@
     return sys.stderr.buffer
 
 
-class _TextOver:
+class _TextAdapter:
     """The text side that the standard library's handler wants, over a byte stream."""
 
     def __init__(self, stream: BinaryIO) -> None:
--- a/src/galenastall/transport/metrics_export.py
+++ b/src/galenastall/transport/metrics_export.py
@@ -47,7 +47,7 @@
     def families(self) -> Iterator[bytes]:
         """Return the page's parts, one a metric."""
         for family in self._registry.collect():
-            yield generate_latest(_OneFamily(family))
+            yield generate_latest(_SingleFamilyRegistry(family))
 
 
 def _observations(
@@ -59,7 +59,7 @@
     ]
 
 
-class _OneFamily(CollectorRegistry):
+class _SingleFamilyRegistry(CollectorRegistry):
     def __init__(self, family: Metric) -> None:
         super().__init__()
         self._family = family
--- a/src/galenastall/transport/peer_handlers.py
+++ b/src/galenastall/transport/peer_handlers.py
@@ -29,7 +29,7 @@
             raise ValueError(f"messages of type {message_type.__name__} have a handler")
         self._handlers_by_type[message_type] = handler
 
-    async def ask(self, sender: HostId, message: Any) -> Any:
+    async def dispatch(self, sender: HostId, message: Any) -> Any:
         """Return the handler's answer, or a StepError if there is no handler or it raised."""
         handler = self._handlers_by_type.get(type(message))
         if handler is None:
--- a/src/galenastall/transport/peer_inbox.py
+++ b/src/galenastall/transport/peer_inbox.py
@@ -33,12 +33,12 @@
         counters_by_id: defaultdict[HostId, LinkCounters],
         dropped: DroppedCounters,
         on_request: OnRequest,
-        on_forged: OnForged = lambda _claimed, _proved: None,
+        on_forged: OnForged = lambda _claimed, _authenticated: None,
     ) -> None:
         """Bind; with CURVE the sender must be the host that its key belongs to."""
         self._socket = make_router(context=context, bind=bind, curve=curve)
         self.address = bound_address(self._socket)
-        self._is_checked = curve is not None
+        self._has_authentication = curve is not None
         self._counters_by_id = counters_by_id
         self._dropped = dropped
         self._on_request = on_request
@@ -49,37 +49,37 @@
         """Read until cancelled."""
         await self._reader.run()
 
-    def answer(self, way_back: bytes, asker: HostId, frame: bytes) -> None:
+    def answer(self, return_route: bytes, caller: HostId, frame: bytes) -> None:
         """Send an answer, or count it if the asker is gone or its queue is full."""
         try:
-            self._socket.send_multipart([way_back, frame], zmq.NOBLOCK)
+            self._socket.send_multipart([return_route, frame], zmq.NOBLOCK)
         except zmq.ZMQError:
             self._dropped.unsent_answers += 1
             return
-        counters = self._counters_by_id[asker]
+        counters = self._counters_by_id[caller]
         counters.messages_out += 1
         counters.bytes_out += len(frame)
         while self._reader.drain():
             pass
 
     def _read(self) -> None:
-        if not self._is_checked:
+        if not self._has_authentication:
             frames = self._socket.recv_multipart(zmq.NOBLOCK)
-            self._take(frames, proved=None)
+            self._accept_frames(frames, authenticated=None)
             return
         # Only frames, not plain bytes, carry the host id that the authentication found.
         checked: list[Any] = self._socket.recv_multipart(zmq.NOBLOCK, copy=False)
-        proved = checked[-1].get("User-Id")
-        self._take([frame.bytes for frame in checked], proved=proved)
+        authenticated = checked[-1].get("User-Id")
+        self._accept_frames([frame.bytes for frame in checked], authenticated=authenticated)
 
-    def _take(self, frames: list[bytes], *, proved: str | None) -> None:
+    def _accept_frames(self, frames: list[bytes], *, authenticated: str | None) -> None:
         envelope = decode_envelope(frames[1]) if len(frames) == _FRAMES else None
         if envelope is None or not envelope.sender:
             self._dropped.malformed += 1
             return
-        if self._is_checked and proved != envelope.sender:
+        if self._has_authentication and authenticated != envelope.sender:
             self._dropped.forged += 1
-            self._on_forged(envelope.sender, proved or "")
+            self._on_forged(envelope.sender, authenticated or "")
             return
         sender = HostId(envelope.sender)
         counters = self._counters_by_id[sender]
--- a/src/galenastall/transport/peer_link.py
+++ b/src/galenastall/transport/peer_link.py
@@ -35,12 +35,12 @@
 
 M = TypeVar("M")
 
-MAX_HANDLED_AT_ONCE: Final = 2_000
+MAX_CONCURRENT_MESSAGES: Final = 2_000
 """Messages in the hands of handlers; calls beyond it are answered OVERLOADED."""
 _STEP: Final = "peer.call"
-_FORGERS_KEPT: Final = 256
+_MAX_REPORTED_FORGERIES: Final = 256
 
-OnIntruder = Callable[[str, str], None]
+OnRejectedPeer = Callable[[str, str], None]
 """Takes who was kept out, by IP number or host id, and why; once for each."""
 
 
@@ -65,7 +65,7 @@
         faults: LinkFaults | None = None,
         hybrid: HybridClock | None = None,
         log_error: ErrorLog | None = None,
-        on_intruder: OnIntruder = lambda _peer, _why: None,
+        on_rejected_peer: OnRejectedPeer = lambda _peer, _why: None,
     ) -> None:
         """Prepare the link; `run` binds it. With `curve` only hosts of its list get in.
 
@@ -76,8 +76,8 @@
         self._bind = bind
         self._curve = curve
         self._faults = faults or LinkFaults()
-        self._on_intruder = on_intruder
-        self._forgers: set[tuple[str, str]] = set()
+        self._on_rejected_peer = on_rejected_peer
+        self._reported_forgeries: set[tuple[str, str]] = set()
         self._clock = clock
         self._hybrid = hybrid or HybridClock()
         self._handlers = PeerHandlers(host_id=host_id, log_error=log_error)
@@ -88,14 +88,14 @@
         first = xxhash.xxh32_intdigest(incarnation.encode()) << 24
         self._correlation_ids = itertools.count(first + 1)
         self._delays = DelayLine()
-        self._handling = 0
+        self._in_progress = 0
         self._context: Context | None = None
         self._nursery: trio.Nursery | None = None
         self._inbox: PeerInbox | None = None
         self._zap: ZapServer | None = None
         self.counters_by_id: defaultdict[HostId, LinkCounters] = defaultdict(LinkCounters)
         """Messages and bytes by peer."""
-        self._gone_counters = LinkCounters()
+        self._removed_counters = LinkCounters()
         self.dropped = DroppedCounters()
         """Messages taken in and not used."""
 
@@ -113,7 +113,7 @@
     def totals(self) -> LinkCounters:
         """Messages and bytes to and from all peers since the start, those gone included."""
         totals = LinkCounters()
-        totals.add(self._gone_counters)
+        totals.add(self._removed_counters)
         for counters in self.counters_by_id.values():
             totals.add(counters)
         return totals
@@ -136,7 +136,7 @@
                 del self._outboxes_by_id[peer]
                 outbox.close()
         for gone in self.counters_by_id.keys() - addresses_by_id.keys():
-            self._gone_counters.add(self.counters_by_id.pop(gone))
+            self._removed_counters.add(self.counters_by_id.pop(gone))
 
     def set_allowed_keys(self, allowed_by_host_id: dict[HostId, str]) -> None:
         """Replace the list of public keys; connections that are up stay."""
@@ -168,7 +168,7 @@
                     curve=self._curve,
                     counters_by_id=self.counters_by_id,
                     dropped=self.dropped,
-                    on_request=self._take_request,
+                    on_request=self._on_request,
                     on_forged=self._on_forged,
                 )
                 self._context, self._nursery = context, nursery
@@ -185,7 +185,7 @@
     ) -> Result[Any, StepError]:
         """Send and wait for the typed answer; see the protocol for the errors."""
         if peer == self._host_id:
-            return await self._call_here(message, timeout_s)
+            return await self._call_locally(message, timeout_s)
         outbox = self._outbox_of(peer)
         if outbox is None:
             return _failure(peer, Reason.UNREACHABLE, "not known, not allowed or cut off")
@@ -206,7 +206,7 @@
             return
         frame = self._request_frame(peer_wire.ONE_WAY, 0, peer, message)
         if len(frame) <= MAX_MESSAGE_BYTES:
-            self._depart(peer, lambda: outbox.send_or_wait(frame))
+            self._send_with_faults(peer, lambda: outbox.send_or_queue(frame))
 
     async def _exchange(
         self, outbox: PeerOutbox, peer: HostId, correlation_id: int, frame: bytes, timeout_s: float
@@ -215,7 +215,7 @@
         is_sent = False
         try:
             with trio.move_on_after(timeout_s):
-                is_sent = await self._hand_over(outbox, peer, frame)
+                is_sent = await self._enqueue(outbox, peer, frame)
                 if is_sent:
                     await pending.done.wait()
         finally:
@@ -226,9 +226,9 @@
             return _failure(peer, Reason.UNREACHABLE, "not connected, or its queue is full")
         return _failure(peer, Reason.TIMEOUT, f"no answer in {timeout_s:g} s")
 
-    async def _hand_over(self, outbox: PeerOutbox, peer: HostId, frame: bytes) -> bool:
+    async def _enqueue(self, outbox: PeerOutbox, peer: HostId, frame: bytes) -> bool:
         if peer in self._faults.lossy or peer in self._faults.delay_s_by_peer:
-            self._depart(peer, lambda: outbox.send_or_wait(frame))
+            self._send_with_faults(peer, lambda: outbox.send_or_queue(frame))
             return True
         while not outbox.try_send(frame):
             if outbox.is_closed:
@@ -236,7 +236,7 @@
             await outbox.wait_writable()
         return True
 
-    def _depart(self, peer: HostId, send: Callable[[], object]) -> None:
+    def _send_with_faults(self, peer: HostId, send: Callable[[], object]) -> None:
         """Send now, later or never, as the faults have it."""
         if peer in self._faults.lossy or peer in self._faults.cut:
             return
@@ -282,7 +282,7 @@
             counters=self.counters_by_id[peer],
             dropped=self.dropped,
             clock=self._clock,
-            on_frame=lambda frame: self._take_answer(peer, frame),
+            on_frame=lambda frame: self._on_answer(peer, frame),
         )
         try:
             self._nursery.start_soon(outbox.run)
@@ -294,15 +294,19 @@
         return outbox
 
     def _on_refused_key(self, address: str, key: str) -> None:
-        self._on_intruder(address, f"public key {key} is not allowed")
+        self._on_rejected_peer(address, f"public key {key} is not allowed")
 
-    def _on_forged(self, claimed: str, proved: str) -> None:
-        if (claimed, proved) in self._forgers or len(self._forgers) >= _FORGERS_KEPT:
+    def _on_forged(self, claimed: str, authenticated: str) -> None:
+        if (claimed, authenticated) in self._reported_forgeries or len(
+            self._reported_forgeries
+        ) >= _MAX_REPORTED_FORGERIES:
             return
-        self._forgers.add((claimed, proved))
-        self._on_intruder(proved, f"its key is that of {proved!r}, but it claims {claimed!r}")
+        self._reported_forgeries.add((claimed, authenticated))
+        self._on_rejected_peer(
+            authenticated, f"its key is that of {authenticated!r}, but it claims {claimed!r}"
+        )
 
-    def _take_answer(self, peer: HostId, frame: bytes) -> None:
+    def _on_answer(self, peer: HostId, frame: bytes) -> None:
         envelope = peer_wire.decode_envelope(frame)
         if envelope is None:
             self.dropped.malformed += 1
@@ -317,57 +321,61 @@
         pending.answer = envelope
         pending.done.set()
 
-    def _take_request(self, way_back: bytes, sender: HostId, envelope: Envelope) -> None:
+    def _on_request(self, return_route: bytes, sender: HostId, envelope: Envelope) -> None:
         if sender in self._faults.cut or self._nursery is None:
             return
         if envelope.target != self._digest:
             self.dropped.misdirected += 1
             detail = f"this address belongs to {self._host_id}"
-            self._refuse(way_back, sender, envelope, Reason.REFUSED, detail)
+            self._refuse(return_route, sender, envelope, Reason.REFUSED, detail)
             return
-        if self._handling >= MAX_HANDLED_AT_ONCE:
+        if self._in_progress >= MAX_CONCURRENT_MESSAGES:
             self.dropped.overloaded += 1
-            self._refuse(way_back, sender, envelope, Reason.OVERLOADED, "too many messages at once")
+            self._refuse(
+                return_route, sender, envelope, Reason.OVERLOADED, "too many messages at once"
+            )
             return
         self._observe(envelope)
         message = decode_message(envelope.name, bytes(envelope.body), peer=sender)
         if isinstance(message, Failure):
             self.dropped.malformed += 1
             detail = message.failure().detail
-            self._refuse(way_back, sender, envelope, Reason.INVALID, detail)
+            self._refuse(return_route, sender, envelope, Reason.INVALID, detail)
             return
-        asked = way_back if envelope.kind == peer_wire.CALL else None
-        self._handling += 1
+        call_route = return_route if envelope.kind == peer_wire.CALL else None
+        self._in_progress += 1
         self._nursery.start_soon(
-            self._handle_remote, asked, sender, envelope.correlation_id, message.unwrap()
+            self._handle_remote, call_route, sender, envelope.correlation_id, message.unwrap()
         )
 
     def _observe(self, envelope: Envelope) -> None:
         self._hybrid.observe(envelope.wall_ms, envelope.counter, wall_s=self._clock.wall())
 
     def _refuse(
-        self, way_back: bytes, sender: HostId, envelope: Envelope, reason: Reason, detail: str
+        self, return_route: bytes, sender: HostId, envelope: Envelope, reason: Reason, detail: str
     ) -> None:
         if envelope.kind == peer_wire.CALL:
             error = self._handlers.error(reason, detail)
-            self._answer(way_back, sender, envelope.correlation_id, error)
+            self._answer(return_route, sender, envelope.correlation_id, error)
 
     async def _handle_remote(
-        self, way_back: bytes | None, sender: HostId, correlation_id: int, message: Any
+        self, return_route: bytes | None, sender: HostId, correlation_id: int, message: Any
     ) -> None:
         try:
-            await self._handle(way_back, sender, correlation_id, message)
+            await self._handle(return_route, sender, correlation_id, message)
         finally:
-            self._handling -= 1
+            self._in_progress -= 1
 
     async def _handle(
-        self, way_back: bytes | None, sender: HostId, correlation_id: int, message: Any
+        self, return_route: bytes | None, sender: HostId, correlation_id: int, message: Any
     ) -> None:
-        answer = await self._handlers.ask(sender, message)
-        if way_back is not None:
-            self._answer(way_back, sender, correlation_id, answer)
+        answer = await self._handlers.dispatch(sender, message)
+        if return_route is not None:
+            self._answer(return_route, sender, correlation_id, answer)
 
-    def _answer(self, way_back: bytes, asker: HostId, correlation_id: int, answer: Any) -> None:
+    def _answer(
+        self, return_route: bytes, caller: HostId, correlation_id: int, answer: Any
+    ) -> None:
         at = self._hybrid.tick(self._clock.wall())
         frame = peer_wire.encode_answer(correlation_id=correlation_id, answer=answer, at=at)
         if len(frame) > MAX_MESSAGE_BYTES:
@@ -376,11 +384,11 @@
             frame = peer_wire.encode_answer(correlation_id=correlation_id, answer=error)
         inbox = self._inbox
         assert inbox is not None, "requests come only from the inbox"
-        self._depart(asker, lambda: inbox.answer(way_back, asker, frame))
+        self._send_with_faults(caller, lambda: inbox.answer(return_route, caller, frame))
 
-    async def _call_here(self, message: object, timeout_s: float) -> Result[Any, StepError]:
+    async def _call_locally(self, message: object, timeout_s: float) -> Result[Any, StepError]:
         with trio.move_on_after(timeout_s):
-            answer = await self._handlers.ask(self._host_id, message)
+            answer = await self._handlers.dispatch(self._host_id, message)
             if isinstance(answer, (Success, Failure)):
                 return answer
             return Failure(answer) if isinstance(answer, StepError) else Success(answer)
--- a/src/galenastall/transport/peer_outbox.py
+++ b/src/galenastall/transport/peer_outbox.py
@@ -11,9 +11,9 @@
 from galenastall.transport.link_faults import DroppedCounters, LinkCounters
 from galenastall.transport.zmq_sockets import Socket, SocketReader
 
-WAITING_ONE_WAY: Final = 64
+MAX_WAITING_ONE_WAY: Final = 64
 """One-way messages that wait for a connection; the oldest gives way."""
-ONE_WAY_PATIENCE_S: Final = 1.0
+ONE_WAY_TIMEOUT_S: Final = 1.0
 """Seconds after which a one-way message that still waits is dropped."""
 
 
@@ -38,7 +38,7 @@
         self._clock = clock
         self._on_frame = on_frame
         self._writable = trio.Event()
-        self._waiting: deque[tuple[float, bytes]] = deque(maxlen=WAITING_ONE_WAY)
+        self._waiting: deque[tuple[float, bytes]] = deque(maxlen=MAX_WAITING_ONE_WAY)
         self._reader = SocketReader(
             socket=socket, on_readable=self._read, on_writable=self._flush_waiting
         )
@@ -60,19 +60,19 @@
 
     def try_send(self, frame: bytes) -> bool:
         """Hand the frame over; False if not connected or the queue is full: nothing was taken."""
-        if self.is_closed or not self._hand_over(frame):
+        if self.is_closed or not self._enqueue(frame):
             return False
         while self._reader.drain():
             pass
         return True
 
-    def send_or_wait(self, frame: bytes) -> None:
+    def send_or_queue(self, frame: bytes) -> None:
         """Hand the frame over now or as soon as the peer is connected, within the patience."""
         if self.try_send(frame):
             return
-        if len(self._waiting) == WAITING_ONE_WAY:
+        if len(self._waiting) == MAX_WAITING_ONE_WAY:
             self._dropped.expired += 1
-        self._waiting.append((self._clock.now() + ONE_WAY_PATIENCE_S, frame))
+        self._waiting.append((self._clock.now() + ONE_WAY_TIMEOUT_S, frame))
 
     async def wait_writable(self) -> None:
         """Return when sending is worth another try."""
@@ -81,7 +81,7 @@
             event = self._writable = trio.Event()
         await event.wait()
 
-    def _hand_over(self, frame: bytes) -> bool:
+    def _enqueue(self, frame: bytes) -> bool:
         try:
             self._socket.send(frame, zmq.NOBLOCK)
         except zmq.Again:
@@ -95,7 +95,7 @@
         now = self._clock.now()
         while self._waiting:
             expiry, frame = self._waiting[0]
-            if expiry >= now and not self._hand_over(frame):
+            if expiry >= now and not self._enqueue(frame):
                 return
             self._waiting.popleft()
             self._dropped.expired += expiry < now
--- a/src/galenastall/transport/platform_http_call.py
+++ b/src/galenastall/transport/platform_http_call.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result
 
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import HttpClient, WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, HttpClient, error_from_response
 from galenastall.transport.http_json import decode_json
 
 T = TypeVar("T")
@@ -57,10 +57,10 @@
 
 
 def _typed(
-    answer: WholeAnswer, answer_type: type[T], *, step: str, peer: str
+    answer: BufferedResponse, answer_type: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
     if answer.status // 100 != _OK_CLASS:
-        error = error_of_answer(answer, step=step, peer=peer)
+        error = error_from_response(answer, step=step, peer=peer)
         return Failure(replace(error, step=step, peer=peer))
     # Success was said, so an answer that can't be read may stand for an effect.
     return decode_json(answer.body, answer_type, step=step, peer=peer).alt(
--- a/src/galenastall/transport/platform_http_log.py
+++ b/src/galenastall/transport/platform_http_log.py
@@ -75,8 +75,8 @@
         known_version: str | None = None,
     ) -> Result[HostListing, StepError]:
         """Return the list as the platform now shows it; see HostListService."""
-        asked = {"data_centre": data_centre, "kind": kind, "known_version": known_version}
-        query = urlencode({name: value for name, value in asked.items() if value})
+        parameters = {"data_centre": data_centre, "kind": kind, "known_version": known_version}
+        query = urlencode({name: value for name, value in parameters.items() if value})
         return await self._caller.get(
             address=self._address,
             path=f"/hosts?{query}" if query else "/hosts",
--- a/src/galenastall/transport/platform_http_upstreams.py
+++ b/src/galenastall/transport/platform_http_upstreams.py
@@ -20,13 +20,13 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.outcomes import Outcome
 from galenastall.transport.http_client import HttpClient
-from galenastall.transport.http_exchange import AnswerCutError, Exchange, HttpAnswer
+from galenastall.transport.http_exchange import Exchange, ResponseCutError, StreamedResponse
 
 STEP: Final = "upstream.call"
 DEFAULT_CONTENT_TYPE: Final = "application/octet-stream"
 
 _OK_CLASS: Final = 2
-_OUTCOMES_BY_WORD: Final = {outcome.value: outcome for outcome in Outcome}
+_OUTCOMES_BY_VALUE: Final = {outcome.value: outcome for outcome in Outcome}
 _REASONS_BY_STATUS: Final = {
     403: Reason.REFUSED,
     409: Reason.CONFLICT,
@@ -119,7 +119,7 @@
 
 
 def _interpret(
-    answer: HttpAnswer, call: UpstreamCall, address: str
+    answer: StreamedResponse, call: UpstreamCall, address: str
 ) -> Result[UpstreamAnswer, StepError]:
     """Take an answer for what it says, and only if it names this attempt."""
     echoed = answer.headers.get(ATTEMPT_ID, "")
@@ -141,15 +141,15 @@
     )
 
 
-def _outcome_of(answer: HttpAnswer) -> Outcome:
+def _outcome_of(answer: StreamedResponse) -> Outcome:
     """Return the executor's word; without one a success is done and the rest is unknown."""
-    outcome = _OUTCOMES_BY_WORD.get(answer.headers.get(OUTCOME, ""))
+    outcome = _OUTCOMES_BY_VALUE.get(answer.headers.get(OUTCOME, ""))
     if outcome is not None:
         return outcome
     return Outcome.DONE if answer.status // 100 == _OK_CLASS else Outcome.UNKNOWN
 
 
-def _refusal(answer: HttpAnswer, address: str) -> StepError:
+def _refusal(answer: StreamedResponse, address: str) -> StepError:
     retry_after = answer.headers.get("retry-after", "")
     return StepError(
         step=STEP,
@@ -172,7 +172,7 @@
     async def __anext__(self) -> bytes:
         try:
             return await self._chunks.__anext__()
-        except AnswerCutError as error:
+        except ResponseCutError as error:
             raise UpstreamCutError(str(error)) from error
 
 
--- a/src/galenastall/transport/zmq_sockets.py
+++ b/src/galenastall/transport/zmq_sockets.py
@@ -28,7 +28,7 @@
 _HEARTBEAT_TIMEOUT_MS: Final = 1_500
 _KEEPALIVE_IDLE_S: Final = 30
 _CLOSE_LINGER_MS: Final = 200
-_READ_AT_ONCE: Final = 256
+_READ_BATCH: Final = 256
 
 Socket = zmq.Socket[bytes]
 Context = zmq.Context[Socket]
@@ -120,7 +120,7 @@
 
     def drain(self) -> bool:
         """Read what is there, up to a bound; return whether more may be left."""
-        for _ in range(_READ_AT_ONCE):
+        for _ in range(_READ_BATCH):
             events = int(self._socket.getsockopt(zmq.EVENTS))
             if events & zmq.POLLOUT and self._on_writable is not None:
                 self._on_writable()
--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -40,7 +40,7 @@
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.state.cell.jobs import AdvisorTiming, Step, StepKey, TaskKey
 from galenastall.state.cell.phases import RunEnd
-from galenastall.transport.log_budget import LINES_A_SECOND
+from galenastall.transport.log_budget import LINES_PER_SECOND
 from galenastall.transport.metrics import Metrics
 
 TIMING = AdvisorTiming(base_s=0.9, per_executor_s=0.008, validity_s=2.5)
@@ -361,7 +361,7 @@
         assert max(len(notes) for notes in seconds) == MAX_JOB_LINES
         ids = [note.subjects[0] for notes in seconds for note in notes]
         assert len(ids) == len(set(ids)) == jobs
-        assert MAX_JOB_LINES < LINES_A_SECOND / 10
+        assert MAX_JOB_LINES < LINES_PER_SECOND / 10
 
     @pytest.mark.parametrize(("is_fleet_growing", "lines"), [(True, 0), (False, 1)])
     def test_a_start_of_one_task_resets_the_wait(self, is_fleet_growing: bool, lines: int) -> None:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -12,7 +12,7 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.clock import TrioClock
 from galenastall.transport.http_client import HttpClient
-from galenastall.transport.http_exchange import AnswerCutError
+from galenastall.transport.http_exchange import ResponseCutError
 from galenastall.transport.http_json import json_response, parse_json
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
@@ -31,7 +31,7 @@
         self.requests = 0
         self.connections = 0
         self.seen = trio.Event()
-        self.played = trio.Event()
+        self.responded = trio.Event()
 
     async def __call__(self, stream: trio.SocketStream) -> None:
         self.connections += 1
@@ -44,7 +44,7 @@
             self.requests += 1
             self.seen.set()
             await self._behave(stream, self.requests)
-            self.played.set()
+            self.responded.set()
 
     async def _read_request(self, stream: trio.SocketStream) -> bool:
         data = b""
@@ -147,7 +147,7 @@
         async with scripted(sends(WHOLE, then_close=True)) as (address, script):
             client = HttpClient(clock=TrioClock())
             assert await get(client, address) == b"ok"
-            await script.played.wait()
+            await script.responded.wait()
             assert await get(client, address) == b"ok"
         assert script.connections == 2
 
@@ -251,7 +251,7 @@
                 method="GET", address=address, path="/", timeout_s=FAR_S, step="upstream.call"
             ) as result:
                 for _ in range(2):
-                    with pytest.raises(AnswerCutError) as caught:
+                    with pytest.raises(ResponseCutError) as caught:
                         async for _ in result.unwrap().body:
                             pass
         assert caught.value.error.step == "upstream.call"
--- a/tests/test_http_tls.py
+++ b/tests/test_http_tls.py
@@ -80,10 +80,10 @@
     async def test_server_can_demand_certificates_of_its_authority(self, tmp_path: Path) -> None:
         ours, other = trustme.CA(), trustme.CA()
         tls = issue(tmp_path, ours, name="server")
-        stranger = replace(issue(tmp_path, other, name="stranger"), ca_file=tls.ca_file)
+        other_client = replace(issue(tmp_path, other, name="stranger"), ca_file=tls.ca_file)
         async with tls_server(tls, verify_clients=True) as server:
             assert await get(server, issue(tmp_path, ours, name="client")) == b"hello"
-            assert await get(server, stranger) is Reason.CUT
+            assert await get(server, other_client) is Reason.CUT
 
     async def test_plain_client_of_a_tls_server_gets_no_answer(self, tmp_path: Path) -> None:
         async with tls_server(issue(tmp_path, trustme.CA(), name="server")) as server:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -143,16 +143,16 @@
 
 
 sizes = st.tuples(st.integers(8, 40), st.integers(4, 12), st.integers(2, 6))
-Spoil = Callable[[list[HistoryEvent], int], list[HistoryEvent]]
-SPOILS: list[tuple[str, Spoil]] = []
+Corruption = Callable[[list[HistoryEvent], int], list[HistoryEvent]]
+CORRUPTIONS: list[tuple[str, Corruption]] = []
 
 
-def spoils(invariant: str) -> Callable[[Spoil], Spoil]:
+def corrupts(invariant: str) -> Callable[[Corruption], Corruption]:
     """File a way to spoil a sound history, with the invariant that has to notice it."""
 
-    def add(spoil: Spoil) -> Spoil:
-        SPOILS.append((invariant, spoil))
-        return spoil
+    def add(corrupt: Corruption) -> Corruption:
+        CORRUPTIONS.append((invariant, corrupt))
+        return corrupt
 
     return add
 
@@ -174,28 +174,28 @@
     return [*events[:place], replace(events[place], **fields), *events[place + 1 :]]  # type: ignore[arg-type]  # fields vary by kind
 
 
-@spoils("answers-whole-and-own")
+@corrupts("answers-whole-and-own")
 def body_of_another(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, RequestAnswered, Outcome.DONE), digest="other")
 
 
-@spoils("answers-whole-and-own")
+@corrupts("answers-whole-and-own")
 def id_of_another(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, RequestAnswered), answered_id=RequestId("other"))
 
 
-@spoils("answers-whole-and-own")
+@corrupts("answers-whole-and-own")
 def answered_twice(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return [*events, events[pick(events, choice, RequestAnswered)]]
 
 
-@spoils("answers-whole-and-own")
+@corrupts("answers-whole-and-own")
 def answer_to_nothing(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     place = pick(events, choice, RequestSent)
     return [*events[:place], *events[place + 1 :]]
 
 
-@spoils("done-did-run")
+@corrupts("done-did-run")
 def done_without_a_run(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     place = pick(events, choice, RequestAnswered, Outcome.NOT_RUN)
     request = events[place]
@@ -205,7 +205,7 @@
     )
 
 
-@spoils("not-run-is-true")
+@corrupts("not-run-is-true")
 def refused_and_ran_later(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     answer = events[pick(events, choice, RequestAnswered, Outcome.NOT_RUN)]
     assert isinstance(answer, RequestAnswered)
@@ -213,7 +213,7 @@
     return [*events, run]
 
 
-@spoils("at-most-once")
+@corrupts("at-most-once")
 def second_run(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     strict = {
         event.request_id
@@ -225,7 +225,7 @@
     return [*events, replace(run, executor=U1, at=run.at + 3, attempt="2")]
 
 
-@spoils("at-most-once")
+@corrupts("at-most-once")
 def second_request_of_one_key(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     keyed = [e for e in events if isinstance(e, RequestSent) and e.key and not e.idempotent]
     ran = {event.request_id for event in events if isinstance(event, RunBegan)}
@@ -238,36 +238,36 @@
     ]
 
 
-@spoils("leaving-gets-nothing-new")
+@corrupts("leaving-gets-nothing-new")
 def late_run(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     run = events[pick(events, choice, RunBegan)]
     return [*events, replace(run, at=503.5 + choice % 400, executor=U2)]  # type: ignore[call-arg]  # a RunBegan
 
 
-@spoils("planned-stop-cuts-nothing")
+@corrupts("planned-stop-cuts-nothing")
 def cut_by_a_stop(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     at = 590.0 + choice % 20
     sent = RequestSent(at=at, request_id=RequestId("late"), entry_host=E1)
     return [*events, sent, RequestCut(at=max(at, 600.0) + 1, request_id=sent.request_id)]
 
 
-@spoils("planned-stop-cuts-nothing")
+@corrupts("planned-stop-cuts-nothing")
 def forgotten_by_a_stop(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return [*events, RequestSent(at=599.0, request_id=RequestId("late"), entry_host=E1)]
 
 
-@spoils("every-request-answered")
+@corrupts("every-request-answered")
 def never_answered(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     place = pick(events, choice, RequestAnswered)
     return [*events[:place], *events[place + 1 :]]
 
 
-@spoils("capacity-reserved")
+@corrupts("capacity-reserved")
 def reserved_too_much(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, TaskStarted), reserved=CAPACITY + HALF)
 
 
-@spoils("capacity-reserved")
+@corrupts("capacity-reserved")
 def accelerator_given_twice(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     one = Resources(accelerators=1)
     tasks = [
@@ -279,7 +279,7 @@
     return [*events, *tasks]
 
 
-@spoils("capacity-real")
+@corrupts("capacity-real")
 def grew_too_much(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     start = events[pick(events, choice, TaskStarted)]
     assert isinstance(start, TaskStarted)
@@ -289,7 +289,7 @@
     return [*events, grown]
 
 
-@spoils("task-in-one-place")
+@corrupts("task-in-one-place")
 def started_elsewhere(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     start = events[pick(events, choice, TaskStarted)]
     assert isinstance(start, TaskStarted)
@@ -297,7 +297,7 @@
     return [*events, replace(start, worker=other, at=start.at + 3, attempt=1)]
 
 
-@spoils("task-at-most-once")
+@corrupts("task-at-most-once")
 def started_after_its_end(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     strict = {
         each.job_id for each in events if isinstance(each, JobAccepted) and not each.idempotent
@@ -311,24 +311,24 @@
     return [*events, replace(start, at=900.0, attempt=1)]
 
 
-@spoils("no-job-lost")
+@corrupts("no-job-lost")
 def forgotten_job(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, JobSeen), known=False)
 
 
-@spoils("no-job-lost")
+@corrupts("no-job-lost")
 def unheard_job(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return [*events, JobAccepted(at=900.0, job_id=JobId("unheard"))]
 
 
-@spoils("one-owner-at-an-instant")
+@corrupts("one-owner-at-an-instant")
 def second_owner(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     act = events[pick(events, choice, OwnershipAct)]
     assert isinstance(act, OwnershipAct)
     return [*events, replace(act, entry_host=E2, epoch=9, at=act.at + 0.5, until=act.until + 1)]
 
 
-@spoils("one-owner-at-an-instant")
+@corrupts("one-owner-at-an-instant")
 def old_owner_again(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     act = events[pick(events, choice, OwnershipAct)]
     assert isinstance(act, OwnershipAct)
@@ -336,7 +336,7 @@
     return [*events, later]
 
 
-@spoils("settings-monotone")
+@corrupts("settings-monotone")
 def went_back(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     last = max(event.offset for event in events if isinstance(event, SettingsInForce))
     return [
@@ -345,17 +345,17 @@
     ]
 
 
-@spoils("settings-agree")
+@corrupts("settings-agree")
 def two_states(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, SettingsInForce), digest="another")
 
 
-@spoils("settings-never-revert")
+@corrupts("settings-never-revert")
 def lost_change(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     return changed(events, pick(events, choice, SettingsInForce), revisions_by_path={"teams/a": 0})
 
 
-@spoils("settings-in-force-soon")
+@corrupts("settings-in-force-soon")
 def late_change(events: list[HistoryEvent], choice: int) -> list[HistoryEvent]:
     change = SettingAccepted(at=890.0, change_id="late", path="teams/b", offset=99)
     return [*events, change, SettingsInForce(at=896.0, entry_host=E1, offset=6, digest="s6")]
@@ -459,18 +459,18 @@
         assert check(history_of(events), names=narrow).violations == ()
 
 
-class TestSpoiltHistories:
+class TestCorruptedHistories:
     @pytest.mark.parametrize(
-        ("invariant", "spoil"), SPOILS, ids=lambda each: getattr(each, "__name__", each)
+        ("invariant", "corrupt"), CORRUPTIONS, ids=lambda each: getattr(each, "__name__", each)
     )
     @given(size=sizes, choice=st.integers(0, 10_000))
     def test_are_noticed(
-        self, invariant: str, spoil: Spoil, size: tuple[int, int, int], choice: int
+        self, invariant: str, corrupt: Corruption, size: tuple[int, int, int], choice: int
     ) -> None:
-        assert invariant in broken(spoil(sound_history(*size), choice))
+        assert invariant in broken(corrupt(sound_history(*size), choice))
 
     def test_every_invariant_has_a_history_that_must_fail(self) -> None:
-        assert {invariant for invariant, _ in SPOILS} == set(INVARIANTS.names())
+        assert {invariant for invariant, _ in CORRUPTIONS} == set(INVARIANTS.names())
 
     def test_a_history_with_dropped_events_proves_nothing(self) -> None:
         verdict = check(History(events=(), dropped=3))
--- a/tests/test_log_budget.py
+++ b/tests/test_log_budget.py
@@ -9,8 +9,8 @@
 from galenastall.state.timeline_ring import TimelineRing
 from galenastall.transport.clock import TrioClock
 from galenastall.transport.log_budget import (
-    EXPLAINING_LINES_A_SECOND,
-    LINES_A_SECOND,
+    EXPLAINING_LINES_PER_SECOND,
+    LINES_PER_SECOND,
     BudgetedRecorder,
     LineBudget,
 )
@@ -58,19 +58,21 @@
         )
         return recorder, metrics
 
-    async def test_a_storm_of_one_kind_is_cut_and_told(self, autojump_clock: object) -> None:
+    async def test_a_burst_of_one_kind_is_limited_and_reported(
+        self, autojump_clock: object
+    ) -> None:
         out = BytesIO()
         recorder, metrics = self.make(out)
         for _ in range(1_000):
             recorder.record("run.assigned", subjects=("job",))
         recorder.record("leader.claimed")
-        recorder.tell_left_out(0)
+        recorder.report_suppressed(0)
         lines = [msgspec.json.decode(line) for line in out.getvalue().splitlines()]
         kinds = [line["event"] for line in lines]
-        assert kinds.count("run.assigned") == 2 * LINES_A_SECOND
+        assert kinds.count("run.assigned") == 2 * LINES_PER_SECOND
         assert "leader.claimed" in kinds
         assert lines[-1]["event"] == "log.left_out"
-        assert lines[-1]["run.assigned"] == str(int(1_000 - 2 * LINES_A_SECOND))
+        assert lines[-1]["run.assigned"] == str(int(1_000 - 2 * LINES_PER_SECOND))
         page = (await metrics.page()).decode()
         assert 'galenastall_events_total{kind="run.assigned"} 1000.0' in page
 
@@ -82,7 +84,7 @@
         for _ in range(1_000):
             recorder.record("job.refused", subjects=("job",))
         assert out.getvalue().count(b"job.refused") == 1_000
-        assert EXPLAINING_LINES_A_SECOND > LINES_A_SECOND
+        assert EXPLAINING_LINES_PER_SECOND > LINES_PER_SECOND
 
     async def test_the_budget_fills_again(self, autojump_clock: object) -> None:
         out = BytesIO()
@@ -92,4 +94,4 @@
         await trio.sleep(1.0)
         for _ in range(1_000):
             recorder.record("run.assigned")
-        assert out.getvalue().count(b"run.assigned") == 3 * LINES_A_SECOND
+        assert out.getvalue().count(b"run.assigned") == 3 * LINES_PER_SECOND
--- a/tests/test_ownership_hazards.py
+++ b/tests/test_ownership_hazards.py
@@ -13,8 +13,8 @@
 from galenastall.coordination.ownership.ownership_timings import OwnershipTimings
 from galenastall.proof.ownership_faults import FAULTS
 from galenastall.proof.ownership_model import MODEL_TIMINGS, OwnershipModel, ViolationError
+from galenastall.proof.ownership_mutations import MUTATIONS
 from galenastall.proof.ownership_search import run_schedule, search
-from galenastall.proof.ownership_weakenings import WEAKENINGS
 from galenastall.state.ids import HostId, Incarnation, Offset, OwnableId, RecordId, StreamName
 from galenastall.state.ownership_records import Activate, Claim, HandOver, Join, Member, Reroster
 from galenastall.state.records import LoggedRecord
@@ -248,7 +248,7 @@
         self, mutation: str, schedule: Callable[[], None]
     ) -> None:
         schedule()
-        with WEAKENINGS.get(mutation)(), pytest.raises(ViolationError):
+        with MUTATIONS.get(mutation)(), pytest.raises(ViolationError):
             schedule()
 
 
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -172,11 +172,11 @@
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             port = listener.socket.getsockname()[1]
             relay.address = f"127.0.0.1:{port}"
-            nursery.start_soon(trio.serve_listeners, relay._pass_on, [listener])
+            nursery.start_soon(trio.serve_listeners, relay._forward, [listener])
             yield relay
             nursery.cancel_scope.cancel()
 
-    async def _pass_on(self, near: trio.SocketStream) -> None:
+    async def _forward(self, near: trio.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
             far = await trio.open_tcp_stream(host, int(port))
@@ -464,9 +464,11 @@
             result = await link.call(peer=B, message=Ping(number=1), timeout_s=FAR_S)
         assert result == Success(Pong(number=1, sender=A))
 
-    async def test_wrong_key_gets_in_nowhere(self, mock_clock: trio.testing.MockClock) -> None:
+    async def test_unlisted_key_is_refused_by_every_host(
+        self, mock_clock: trio.testing.MockClock
+    ) -> None:
         keys, strangers = keys_of(A, B), keys_of(C)
-        stranger_keys = CurveKeys(
+        unlisted_keys = CurveKeys(
             public_key=strangers[C].public_key,
             secret_key=strangers[C].secret_key,
             allowed_by_host_id=keys[A].allowed_by_host_id,
@@ -474,11 +476,11 @@
         async with fleet() as made:
             await made.add(A, curve=keys[A])
             await made.add(B, curve=keys[B])
-            stranger = await made.add(C, curve=stranger_keys)
+            unlisted_link = await made.add(C, curve=unlisted_keys)
             results: list[Any] = []
 
             async def ask(peer: HostId) -> None:
-                results.append(await stranger.call(peer=peer, message=Ping(), timeout_s=9.0))
+                results.append(await unlisted_link.call(peer=peer, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask, A)
@@ -489,15 +491,15 @@
         assert not made.echoes[A].seen
         assert not made.echoes[B].seen
 
-    async def test_no_key_gets_in_nowhere(self, mock_clock: trio.testing.MockClock) -> None:
+    async def test_link_without_a_key_is_refused(self, mock_clock: trio.testing.MockClock) -> None:
         keys = keys_of(A)
         async with fleet() as made:
             await made.add(A, curve=keys[A])
-            stranger = await made.add(C)
+            unlisted_link = await made.add(C)
             results: list[Any] = []
 
             async def ask() -> None:
-                results.append(await stranger.call(peer=A, message=Ping(), timeout_s=9.0))
+                results.append(await unlisted_link.call(peer=A, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
--- a/tests/test_platform_http_upstreams.py
+++ b/tests/test_platform_http_upstreams.py
@@ -74,7 +74,7 @@
             (200, "", Reason.CUT),
         ],
     )
-    async def test_only_the_executors_own_word_proves_not_run(
+    async def test_only_the_executors_own_answer_proves_not_run(
         self, status: int, headers: str, reason: Reason, jumping_clock: MockClock
     ) -> None:
         async with answer_to_call(answer_of(status, headers)) as answered:
@@ -124,7 +124,7 @@
         async with answer_to_call(data) as answered:
             assert answered.failure().reason is Reason.CUT
 
-    async def test_silence_ends_at_not_after(self, jumping_clock: MockClock) -> None:
+    async def test_unanswered_call_times_out_at_not_after(self, jumping_clock: MockClock) -> None:
         started = trio.current_time()
         async with answer_to_call(None, not_after_s=3.0) as answered:
             assert answered.failure().reason is Reason.TIMEOUT
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -27,7 +27,7 @@
             max_size=40,
         )
     )
-    def test_messages_are_received_after_they_are_sent_whatever_the_walls_say(
+    def test_messages_are_received_after_they_are_sent_whatever_the_wall_clocks_say(
         self, exchanges: list[tuple[str, str, int]]
     ) -> None:
         clocks = {name: HybridClock() for name in "abc"}
@@ -45,7 +45,7 @@
             assert received > sent
             last[receiver] = received
 
-    def test_a_host_with_a_wrong_clock_drags_nobody_along(self) -> None:
+    def test_a_peer_clock_too_far_ahead_is_rejected(self) -> None:
         clock = HybridClock()
         assert not clock.observe(1_000_000 + MAX_AHEAD_MS + 1, 0, wall_s=1000.0)
         assert clock.tick(1000.0).wall_ms == 1_000_000
@@ -73,7 +73,7 @@
         assert [item.at.wall_ms for item in ring.about("job-1", limit=2)] == [8, 9]
         assert ring.about("job-1/30") == ()
 
-    def test_refuses_no_room(self) -> None:
+    def test_refuses_too_small_a_capacity(self) -> None:
         with pytest.raises(ValueError, match=r"capacity: .*1"):
             TimelineRing(capacity=1)
 
