--- a/src/galenastall/state/settings_tree.py
+++ b/src/galenastall/state/settings_tree.py
@@ -2,11 +2,11 @@
 
 A change is accepted at its offset if its path's revision is still the one that its author saw, the
 author may change the path, and the whole tree is valid afterwards. Every entry host folds the same
-records in the same order and so reaches the same verdict. What is in force only moves forward.
+records in the same order and so reaches the same verdict. The state in force never moves backwards.
 
-Verdicts are remembered for the last MAX_VERDICTS changes, so a repeated change within that memory
-is one change. Beyond it, a repeat of an accepted change is stale by itself: accepting it had raised
-the path's revision above its base. So the memory bounds how long a status is told, not safety.
+Verdicts are kept for the last MAX_VERDICTS changes, and a repeat of one of these is ignored. A
+later repeat of an accepted change is stale, because accepting it raised the path's revision above
+its base. So the bound limits how long a status can be queried, not safety.
 """
 
 from collections import OrderedDict, deque
@@ -17,7 +17,7 @@
 from galenastall.state.ids import ChangeId, Offset
 from galenastall.state.key_home_history import HISTORY_SCHEMA, find_moved_keys
 from galenastall.state.records import LoggedRecord
-from galenastall.state.settings_authority import find_objection
+from galenastall.state.settings_authority import find_denial_reason
 from galenastall.state.settings_paths import (
     Revisions,
     Tree,
@@ -45,7 +45,7 @@
 
 
 class SettingsFold:
-    """The shared tree as of an offset; see the module's comment."""
+    """The shared tree as of an offset; see the module docstring."""
 
     def __init__(self) -> None:
         """Start before the first record of a stream that is read from offset 0."""
@@ -60,7 +60,7 @@
         self._digest = self.state().digest()
         self._digests = deque([(Offset(-1), self._digest)], maxlen=REMEMBERED_DIGESTS)
         self.mismatched_snapshots = 0
-        """Snapshots in the log that don't agree with what was folded here."""
+        """Snapshots in the log whose digest differs from the state folded here."""
 
     @property
     def settings(self) -> SharedSettings:
@@ -74,7 +74,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of the state, empty while a change of a newer schema keeps it from comparing."""
+        """Digest of the state; empty while changes of a newer schema make it incomparable."""
         return "" if self._blocked_by_id else self._digest
 
     @property
@@ -84,11 +84,11 @@
 
     @property
     def blocked_paths(self) -> tuple[str, ...]:
-        """Paths on which changes of a newer schema were met; what they held before is kept."""
+        """Paths with unapplied changes of a newer schema; their earlier values stay in force."""
         return tuple(sorted({change.path for change in self._blocked_by_id.values()}))
 
     def subtree(self, path: str) -> Any:
-        """Return the plain values set at `path`, None if nothing is; raises ValueError."""
+        """Return the plain values set at `path`, None if there are none; raises ValueError."""
         return get_subtree(self._tree, path)
 
     def revision(self, path: str) -> Offset:
@@ -96,19 +96,19 @@
         return self._revisions.of(path)
 
     def verdict(self, change_id: ChangeId) -> Verdict | None:
-        """Return the decision on a change, None if it is not remembered."""
+        """Return the verdict on a change, None if it is unknown or evicted."""
         return self._verdicts_by_id.get(change_id)
 
     def is_blocked(self, change_id: ChangeId) -> bool:
-        """Return whether the change was met but is of a newer schema than this version knows."""
+        """Return whether the change was read but not applied, because of a newer schema."""
         return change_id in self._blocked_by_id
 
     def verdicts(self) -> tuple[Verdict, ...]:
-        """Return the remembered decisions, oldest first."""
+        """Return the verdicts still kept, oldest first."""
         return tuple(self._verdicts_by_id.values())
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Fold a record; one beyond a gap is held, one already folded is passed over."""
+        """Fold a record; one beyond a gap is held, one already folded is ignored."""
         if logged.offset < self._next:
             return
         if logged.offset > self._next:
@@ -118,9 +118,9 @@
         self._fold_held()
 
     def adopt(self, snapshot: SettingsSnapshot) -> bool:
-        """Take over a state that reaches further than this one; return whether it was taken.
+        """Replace the state by that of a snapshot; return whether it was adopted.
 
-        Refused if it does not reach further, is damaged, or is of a newer schema.
+        Rejected if it covers no records beyond this state, is damaged, or is of a newer schema.
         """
         state = snapshot.state
         if snapshot.covering < self._next or state.schema_version > SCHEMA_VERSION:
@@ -153,7 +153,7 @@
         )
 
     def snapshot(self, *, written_at: float) -> SettingsSnapshot:
-        """Return the state as a record; raises ValueError while changes are blocked."""
+        """Return the state as a snapshot record; raises ValueError while changes are blocked."""
         if self._blocked_by_id:
             raise ValueError(f"changes of a newer schema are not folded: {self.blocked_paths}")
         return SettingsSnapshot(
@@ -183,17 +183,17 @@
         self._next = Offset(logged.offset + 1)
         match logged.record:
             case SettingsChange() as change:
-                self._take_change(change, logged.offset)
+                self._apply_change(change, logged.offset)
             case SettingsSnapshot() as snapshot:
                 self._compare(snapshot)
 
-    def _take_change(self, change: SettingsChange, offset: Offset) -> None:
+    def _apply_change(self, change: SettingsChange, offset: Offset) -> None:
         if change.change_id in self._verdicts_by_id or change.change_id in self._blocked_by_id:
             return
         if change.schema_version > SCHEMA_VERSION or self._touches_blocked(change.path):
             self._blocked_by_id[change.change_id] = change
             return
-        kind, detail = self._judge(change, offset)
+        kind, detail = self._evaluate(change, offset)
         self._schema_version = max(self._schema_version, change.schema_version)
         self._verdicts_by_id[change.change_id] = Verdict(
             change_id=change.change_id,
@@ -214,7 +214,7 @@
         return built.failure() if isinstance(built, Failure) else None
 
     def preview(self, path: str, subtree: Any) -> Result[SharedSettings, str]:
-        """Return what would be in force with `subtree` at `path`, or why it would be invalid."""
+        """Return the settings with `subtree` at `path`, or why they would be invalid."""
         return self._build(path, subtree).map(lambda built: built[1])
 
     def _build(self, path: str, subtree: Any) -> Result[tuple[Tree, SharedSettings], str]:
@@ -225,7 +225,7 @@
         checked = check_tree(SharedSettings, tree, source=SOURCE)
         return checked.map(lambda settings: (tree, settings)).alt(str)
 
-    def _judge(self, change: SettingsChange, offset: Offset) -> tuple[VerdictKind, str]:
+    def _evaluate(self, change: SettingsChange, offset: Offset) -> tuple[VerdictKind, str]:
         if _keys_or_none(change.path) is None:
             return VerdictKind.INVALID, f"path {change.path!r} has an empty key"
         revision = self._revisions.of(change.path)
@@ -235,11 +235,11 @@
         if isinstance(built, Failure):
             return VerdictKind.INVALID, built.failure()
         tree, settings = built.unwrap()
-        objection = find_objection(
+        denial = find_denial_reason(
             before=self._settings, after=settings, path=change.path, author=change.author
         )
-        if objection is not None:
-            return VerdictKind.FORBIDDEN, objection
+        if denial is not None:
+            return VerdictKind.FORBIDDEN, denial
         moved = find_moved_keys(before=self._settings, after=settings)
         if moved is not None and change.schema_version >= HISTORY_SCHEMA:
             return VerdictKind.INVALID, moved
--- a/src/galenastall/state/upstream_tenures.py
+++ b/src/galenastall/state/upstream_tenures.py
@@ -1,7 +1,7 @@
-"""Which entry hosts owned an ownable before, according to a data centre's stream.
+"""Previous owners of each ownable, according to a data centre's stream.
 
-A new owner of an upstream asks the one before it which permits are out; an ownable that nobody
-owned before has none.
+A new owner of an upstream queries the previous one for the outstanding permits; an ownable without
+a previous owner has none.
 """
 
 from typing import Final
@@ -10,12 +10,12 @@
 from galenastall.state.ownership_records import Activate, Claim, HandOver, OwnershipSnapshot
 from galenastall.state.records import LoggedRecord
 
-TENURES_KEPT: Final = 4
-"""Of each ownable; the earliest epoch is remembered besides."""
+MAX_TENURES: Final = 4
+"""Per ownable; its earliest epoch is kept in addition."""
 
 
 class TenureHistory:
-    """The last owners of each ownable, in offset order."""
+    """The latest owners of each ownable, in offset order."""
 
     def __init__(self) -> None:
         """Start before the stream's first record."""
@@ -27,11 +27,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the stream was read from its first record on, or from a snapshot on."""
+        """Whether the stream was read from its first record."""
         return self._known_from is None or self._known_from == 0
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record; other matters' records are passed over."""
+        """Apply the next record; unrelated record types are ignored."""
         if self._known_from is None:
             self._known_from = logged.offset
         self._next = Offset(logged.offset + 1)
@@ -44,15 +44,15 @@
             case HandOver() as handover:
                 self._hand_over(handover, Epoch(logged.offset))
             case OwnershipSnapshot() as snapshot:
-                self._read(snapshot)
+                self._apply_snapshot(snapshot)
 
     def previous_owner(self, *, ownable: OwnableId, epoch: Epoch) -> HostId | None:
-        """Return the owner before the one of `epoch`, if any is known."""
+        """Return the owner that preceded the one of `epoch`, None if it is not known."""
         last = self.previous(ownable=ownable, epoch=epoch)
         return last[1] if last else None
 
     def previous(self, *, ownable: OwnableId, epoch: Epoch) -> tuple[Epoch, HostId] | None:
-        """Return the epoch and owner before `epoch`, if that is known."""
+        """Return epoch and owner of the tenure before `epoch`, None if it is not known."""
         if self._next < epoch:
             return None
         earlier = [t for t in self._tenures_by_ownable.get(ownable, ()) if t[0] < epoch]
@@ -61,21 +61,21 @@
     def is_first(self, *, ownable: OwnableId, epoch: Epoch) -> bool:
         """Return whether nobody can have owned it before `epoch`.
 
-        Never while this has not read up to `epoch`: ownership may, through a peer, be ahead of it.
+        False until the stream was read up to `epoch`: ownership, fed by a peer, may be ahead of it.
         """
         if self._next < epoch:
             return False
         return self.is_complete and self._first_epoch_by_ownable.get(ownable, epoch) >= epoch
 
     def _hand_over(self, handover: HandOver, epoch: Epoch) -> None:
-        for gift in handover.gifts:
-            for ownable in gift.ownables:
+        for transfer in handover.gifts:
+            for ownable in transfer.ownables:
                 if not self._tenures_by_ownable.get(ownable):
                     self._add(ownable, Epoch(0), handover.by.host)
-                if gift.to is not None:
-                    self._add(ownable, epoch, gift.to.host)
+                if transfer.to is not None:
+                    self._add(ownable, epoch, transfer.to.host)
 
-    def _read(self, snapshot: OwnershipSnapshot) -> None:
+    def _apply_snapshot(self, snapshot: OwnershipSnapshot) -> None:
         if self.is_complete:
             return
         for group in snapshot.groups:
@@ -88,6 +88,6 @@
         tenures = self._tenures_by_ownable.setdefault(ownable, [])
         tenures.append((epoch, host))
         tenures.sort()
-        del tenures[:-TENURES_KEPT]
+        del tenures[:-MAX_TENURES]
         first = self._first_epoch_by_ownable.get(ownable, epoch)
         self._first_epoch_by_ownable[ownable] = min(first, epoch)
