--- a/src/galenastall/coordination/timeline/__init__.py
+++ b/src/galenastall/coordination/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""One order of events over processes, and what they say of an id."""
+"""Ordering of events across processes, and explanations of what happened to an id."""
--- a/src/galenastall/coordination/timeline/explain.py
+++ b/src/galenastall/coordination/timeline/explain.py
@@ -1,7 +1,7 @@
 """Sentences about what happened to an id, built from the events of its time line.
 
-A module that records a step files a sentence for it here; steps without one get a plain sentence,
-so that nothing recorded is left out.
+Modules register a sentence for each step that they record; steps without one get a generic
+sentence, so that no recorded event is omitted.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -14,13 +14,13 @@
 from galenastall.state.timeline import TimelineEvent
 
 MAX_NAMED_IDS: Final = 4
-"""Ids that a sentence names before it counts the rest."""
+"""Maximum number of ids that a sentence names; the rest are counted."""
 
 SentenceBuilder = Callable[[TimelineEvent], str]
-"""Returns a sentence without its full stop."""
+"""Returns a sentence without its final full stop."""
 
 SENTENCES: Final[Registry[SentenceBuilder]] = Registry(kind="sentence")
-"""Builders by step; filled with `@SENTENCES.register("layer.verb")`."""
+"""Builders by step; register with `@SENTENCES.register("layer.verb")`."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -29,15 +29,15 @@
 
     subject: str
     summary: str
-    """Where things stand: the last event, or why nothing is known."""
+    """Current state: the last event, or why nothing is known."""
     sentences: tuple[str, ...]
     """What happened, in order."""
     caveats: tuple[str, ...] = ()
-    """What could not be asked and may be missing."""
+    """Processes that could not be queried or whose events may be incomplete."""
 
 
 def explain(timeline: MergedTimeline, *, present: Sequence[str] = ()) -> Explanation:
-    """Return the sentences of a time line, and where its subject stands now if that is known."""
+    """Return the sentences of a time line, and the current state of its subject if known."""
     sentences = tuple(_timed_sentences(timeline))
     if present:
         summary = f"Now: {' '.join(present)}"
@@ -58,7 +58,7 @@
 
 
 def explanation_text(explanation: Explanation) -> str:
-    """Return the explanation as lines of text, the present state last."""
+    """Return the explanation as lines of text, the current state last."""
     lines = [*explanation.sentences, *explanation.caveats, explanation.summary]
     return "\n".join(lines) + "\n"
 
@@ -71,19 +71,19 @@
 
 
 def cause_clause(event: TimelineEvent) -> str:
-    """Return the event's cause as the end of a sentence, empty if it has none."""
+    """Return the event's cause as a clause that ends a sentence, empty if it has none."""
     return f" because {event.cause}" if event.cause else ""
 
 
 def join_ids(ids: Sequence[str]) -> str:
-    """Return ids in words, the first of many by name and the rest by number."""
+    """Return the ids as a phrase that names the first few and counts the rest."""
     if len(ids) > MAX_NAMED_IDS:
         return f"{', '.join(ids[:MAX_NAMED_IDS])} and {len(ids) - MAX_NAMED_IDS} more"
     return " and ".join((", ".join(ids[:-1]), ids[-1])) if len(ids) > 1 else "".join(ids)
 
 
 def _restrict_to_subject(event: TimelineEvent, subject: str) -> TimelineEvent:
-    """Return an event of a job or task without the tasks of others that shared its batch."""
+    """Return an event of a job or task without the other jobs' tasks of the same batch."""
     prefix = f"{subject}/"
     own = {each for each in event.subjects if each == subject or each.startswith(prefix)}
     if not any(job_of_task(each) is not None for each in own):
--- a/src/galenastall/coordination/timeline/explain_jobs.py
+++ b/src/galenastall/coordination/timeline/explain_jobs.py
@@ -1,4 +1,4 @@
-"""Sentences about jobs and their tasks."""
+"""Sentences about jobs and tasks."""
 
 from galenastall.coordination.timeline.explain import SENTENCES, cause_clause, join_ids
 from galenastall.state.ids import job_of_task
@@ -79,7 +79,7 @@
 
 @SENTENCES.register("worker.refused")
 def _worker_refused(event: TimelineEvent) -> str:
-    return f"{event.process} gave up {_tasks(event)}{cause_clause(event)}"
+    return f"{event.process} abandoned {_tasks(event)}{cause_clause(event)}"
 
 
 @SENTENCES.register("worker.ending")
@@ -90,7 +90,7 @@
 
 @SENTENCES.register("worker.made_way")
 def _made_way(event: TimelineEvent) -> str:
-    return f"{_tasks(event)} made way and waits again at {event.process}"
+    return f"{_tasks(event)} was preempted and waits again at {event.process}"
 
 
 @SENTENCES.register("job.started")
@@ -113,7 +113,7 @@
 
 @SENTENCES.register("job.gang_retry")
 def _gang_retry(event: TimelineEvent) -> str:
-    return f"{event.process} starts the gang {join_ids(event.subjects)} anew{cause_clause(event)}"
+    return f"{event.process} restarts the gang {join_ids(event.subjects)}{cause_clause(event)}"
 
 
 @SENTENCES.register("job.job_ended")
@@ -132,5 +132,5 @@
 
 
 def _worker_of(event: TimelineEvent) -> str:
-    """Return the worker, which stands among the subjects of starts and ends."""
+    """Return the worker, which is one of the subjects of start and end events."""
     return next((each for each in event.subjects if job_of_task(each) is None), "")
--- a/src/galenastall/coordination/timeline/explain_ownership.py
+++ b/src/galenastall/coordination/timeline/explain_ownership.py
@@ -1,4 +1,4 @@
-"""Sentences about who owns what."""
+"""Sentences about ownership."""
 
 from galenastall.coordination.timeline.explain import SENTENCES, cause_clause, join_ids
 from galenastall.state.timeline import TimelineEvent
@@ -22,13 +22,13 @@
 
 @SENTENCES.register("ownership.handed_over")
 def _handed_over(event: TimelineEvent) -> str:
-    to = event.peer or "whoever claims it"
+    to = event.peer or "the next claimant"
     return f"{event.process} handed {join_ids(event.subjects)} over to {to}"
 
 
 @SENTENCES.register("ownership.expelled")
 def _expelled(event: TimelineEvent) -> str:
-    return f"{event.process} gave up all it owned and joined anew{cause_clause(event)}"
+    return f"{event.process} released all it owned and rejoined{cause_clause(event)}"
 
 
 @SENTENCES.register("ownership.append_failed")
@@ -38,9 +38,9 @@
 
 @SENTENCES.register("worker.adopted")
 def _adopted(event: TimelineEvent) -> str:
-    return f"{event.process} took {event.peer} over as it found it{cause_clause(event)}"
+    return f"{event.process} took {event.peer} over in its current state{cause_clause(event)}"
 
 
 @SENTENCES.register("worker.lapsed")
 def _lapsed(event: TimelineEvent) -> str:
-    return f"{event.process} took the tasks on {event.peer} to be over{cause_clause(event)}"
+    return f"{event.process} considered the tasks on {event.peer} ended{cause_clause(event)}"
--- a/src/galenastall/coordination/timeline/explain_requests.py
+++ b/src/galenastall/coordination/timeline/explain_requests.py
@@ -54,13 +54,16 @@
     attempts = event.fields.get("attempts", "0")
     times = "1 attempt" if attempts == "1" else f"{attempts} attempts"
     outcome = _outcome_text(event.fields.get("outcome"))
-    return f"{event.process} answered the caller: {outcome}, after {times}{_because_of(event)}{_retry_clause(event)}"
+    return (
+        f"{event.process} answered the caller: {outcome}, after {times}{_because_of(event)}"
+        f"{_retry_clause(event)}"
+    )
 
 
 @SENTENCES.register("request.withdrawn")
 def _withdrawn(event: TimelineEvent) -> str:
     ran = "it was not run" if event.fields.get("outcome") == "not_run" else "it may have run"
-    return f"the caller or {event.process} broke the request off, and {ran}"
+    return f"the caller or {event.process} cancelled the request, and {ran}"
 
 
 def _outcome_text(outcome: str | None) -> str:
--- a/src/galenastall/coordination/timeline/explain_settings.py
+++ b/src/galenastall/coordination/timeline/explain_settings.py
@@ -40,7 +40,7 @@
 def _blocked(event: TimelineEvent) -> str:
     return (
         f"{event.process} can't judge change {join_ids(event.subjects)} at offset "
-        f"{event.fields.get('offset')}: that takes a newer version"
+        f"{event.fields.get('offset')}: a newer version is needed"
     )
 
 
--- a/src/galenastall/coordination/timeline/hybrid_clock.py
+++ b/src/galenastall/coordination/timeline/hybrid_clock.py
@@ -1,8 +1,8 @@
-"""Hybrid logical clock: puts events of several processes into one order that respects cause.
+"""Hybrid logical clock: orders events of several processes consistently with causality.
 
-Each reading is later than all readings before it and than all that were observed from peers, and
-stays near wall time. A peer's reading too far ahead is not taken over, so that one host with a
-wrong clock does not drag the fleet along.
+Each reading is later than all previous readings and all readings observed from peers, and stays
+close to wall time. A peer's reading that is too far ahead is rejected, so that one host with a
+wrong clock does not shift the clocks of the fleet.
 """
 
 from typing import Final
@@ -10,18 +10,18 @@
 from galenastall.state.timeline import HybridTime
 
 MAX_AHEAD_MS: Final = 60_000
-"""Milliseconds that a peer's reading may be ahead of this host's wall time."""
+"""Maximum milliseconds by which a peer's reading may be ahead of this host's wall time."""
 
 
 class HybridClock:
-    """One process's clock; wall time comes from the caller."""
+    """Clock of one process; the caller supplies wall time."""
 
     def __init__(self) -> None:
-        """Start before all readings."""
+        """Start at zero, before any reading."""
         self._wall_ms = 0
         self._counter = 0
         self.rejected = 0
-        """Readings of peers that were too far ahead."""
+        """Number of peer readings rejected as too far ahead."""
 
     def tick(self, wall_s: float) -> HybridTime:
         """Return a reading later than any before, for wall time in seconds."""
@@ -34,7 +34,7 @@
         return HybridTime(wall_ms=self._wall_ms, counter=self._counter)
 
     def observe(self, wall_ms: int, counter: int, *, wall_s: float) -> bool:
-        """Make later readings follow a peer's; False if it was too far ahead to be believed."""
+        """Make later readings follow a peer's; False if it was rejected as too far ahead."""
         if wall_ms > int(wall_s * 1000) + MAX_AHEAD_MS:
             self.rejected += 1
             return False
--- a/src/galenastall/coordination/timeline/timeline_merge.py
+++ b/src/galenastall/coordination/timeline/timeline_merge.py
@@ -1,4 +1,4 @@
-"""Events of several processes as one time line, and its text."""
+"""Merges events of several processes into one time line, and formats it as text."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MergedTimeline:
-    """One line over all processes that could be asked."""
+    """Time line of all processes that could be queried."""
 
     subject: str
-    """The id that the events are about; empty for events about anything."""
+    """The id that the events concern; empty for all events."""
     events: tuple[TimelineEvent, ...]
     unreachable: tuple[str, ...] = ()
-    """Processes that could not be asked, in sorted order: their part is missing."""
+    """Processes that could not be queried, in sorted order: their events are missing."""
     forgetful: tuple[str, ...] = ()
-    """Processes whose ring has let go of older events, in sorted order."""
+    """Processes whose ring has dropped older events, in sorted order."""
 
 
 def merge_timelines(
@@ -27,7 +27,7 @@
     unreachable: Iterable[str] = (),
     forgetful: Iterable[str] = (),
 ) -> MergedTimeline:
-    """Return all events once, in the order of their hybrid times, then processes."""
+    """Return all events without duplicates, ordered by hybrid time, then by process."""
     by_key = {(event.at, event.process): event for ring in rings for event in ring}
     events = tuple(by_key[key] for key in sorted(by_key))
     return MergedTimeline(
@@ -39,7 +39,7 @@
 
 
 def timeline_text(timeline: MergedTimeline) -> str:
-    """Return one line an event, then what is missing."""
+    """Return one line for each event, then notes on missing events."""
     return "\n".join(_lines(timeline)) + "\n"
 
 
@@ -53,7 +53,7 @@
     for process in timeline.unreachable:
         yield f"! {process} could not be asked: its events are missing"
     for process in timeline.forgetful:
-        yield f"! {process} has let go of older events"
+        yield f"! {process} has dropped older events"
 
 
 def _column_widths(events: Iterable[TimelineEvent]) -> tuple[int, int]:
--- a/src/galenastall/proof/ownership_faults.py
+++ b/src/galenastall/proof/ownership_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a search brings about in the ownership model, each drawn at random."""
+"""Random faults that the search injects into the ownership model."""
 
 import random
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 def random_fault(model: OwnershipModel) -> str:
-    """Bring about one fault, or its end, chosen by the model's generator; return its name."""
+    """Inject or end one fault chosen by the model's random generator; return its name."""
     rng = model.random
     name = rng.choice(tuple(FAULTS))
     FAULTS[name](model, rng)
@@ -31,7 +31,7 @@
 
 
 def _split_off(model: OwnershipModel, rng: random.Random) -> None:
-    """Cut some hosts off from the others, and mostly from the log too."""
+    """Isolate some hosts from the others, and usually from the log too."""
     hosts = sorted(model.alive())
     isolated = set(rng.sample(hosts, rng.randint(0, len(hosts))))
     sees_log = rng.random() < LOG_KEPT_SHARE
@@ -100,4 +100,4 @@
     "leave": _leave,
     "trim": lambda model, rng: model.trim(),
 }
-"""Faults by name; each takes the model and its generator."""
+"""Faults by name; each takes the model and its random generator."""
--- a/src/galenastall/proof/request_invariants.py
+++ b/src/galenastall/proof/request_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of requests: own and whole answers, true refusals, at most once, stops, leaving."""
+"""Invariants of requests: complete and correct answers, at-most-once, planned stops, leaving."""
 
 from collections.abc import Iterator
 
@@ -29,7 +29,7 @@
     for answer in history.of(RequestAnswered):
         sent = sent_by_id.get(answer.request_id)
         if sent is None:
-            yield f"answer to {answer.request_id}, which nobody sent", (answer,)
+            yield f"answer to {answer.request_id}, which was never sent", (answer,)
             continue
         if answer.request_id in seen:
             yield f"{answer.request_id} was answered twice", (seen[answer.request_id], answer)
@@ -37,7 +37,7 @@
         if answer.answered_id != answer.request_id:
             yield f"{answer.request_id} got the answer to {answer.answered_id}", (sent, answer)
         if answer.outcome is Outcome.DONE and answer.digest != sent.expected_digest:
-            yield f"{answer.request_id} got a body that is not its own or not whole", (sent, answer)
+            yield f"{answer.request_id} got an incorrect or incomplete body", (sent, answer)
 
 
 @INVARIANTS.register("done-did-run")
@@ -52,7 +52,7 @@
         sent = sent_by_id.get(answer.request_id)
         if sent is not None and sent.key and sent.key in ran_keys:
             continue
-        yield f"{answer.request_id} is said to be done and never ran", (answer,)
+        yield f"{answer.request_id} is reported as done and never ran", (answer,)
 
 
 @INVARIANTS.register("not-run-is-true")
@@ -64,7 +64,7 @@
             continue
         runs = runs_by_id.get(answer.request_id)
         if runs:
-            yield f"{answer.request_id} is said not to have run and ran", (answer, *runs)
+            yield f"{answer.request_id} is reported as not run and ran", (answer, *runs)
 
 
 @INVARIANTS.register("at-most-once")
@@ -99,7 +99,7 @@
 
 @INVARIANTS.register("planned-stop-cuts-nothing")
 def planned_stop_cuts_nothing(history: History, bounds: Bounds) -> Iterator[Finding]:
-    """Check that requests in progress at an entry host that stops get their whole answer.
+    """Check that requests in progress at a stopping entry host get their complete answer.
 
     A request sent while the host is stopping may be refused; it may not be cut.
     """
@@ -122,7 +122,7 @@
 
 @INVARIANTS.register("every-request-answered")
 def every_request_answered(history: History, bounds: Bounds) -> Iterator[Finding]:
-    """Check that once the run is closed, each request has an answer or was seen to be cut."""
+    """Check that once the run is closed, each request was answered or seen to be cut."""
     if not any(True for _ in history.of(RunClosed)):
         return
     over = {event.request_id for event in history.of(RequestAnswered)}
--- a/src/galenastall/transport/__init__.py
+++ b/src/galenastall/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, HTTP, clocks and the outside of the process: bytes in and out."""
+"""I/O of the process: sockets, HTTP, clocks, logs and metrics."""
--- a/src/galenastall/transport/clock.py
+++ b/src/galenastall/transport/clock.py
@@ -1,4 +1,4 @@
-"""The runtime's clock: trio's, with wall time anchored once at start."""
+"""Clock of the runtime: trio's time, with wall time anchored once at start."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 class TrioClock:
-    """Clock on trio's time, so that a mock clock in tests moves both readings."""
+    """Clock based on trio's time, so that a mock clock advances both readings."""
 
     def __init__(self, *, wall_at_start: float | None = None) -> None:
-        """Anchor wall time; `wall_at_start` (seconds since 1970) replaces the machine's in tests.
+        """Anchor wall time; `wall_at_start` (seconds since 1970) replaces system time in tests.
 
         Must be called inside a trio run.
         """
--- a/src/galenastall/transport/delay_line.py
+++ b/src/galenastall/transport/delay_line.py
@@ -1,4 +1,4 @@
-"""Frames that leave later: a one-way delay between processes, for bench and tests."""
+"""Delayed callbacks: simulates a one-way network delay for benchmarks and tests."""
 
 import heapq
 from collections.abc import Callable
@@ -7,10 +7,10 @@
 
 
 class DelayLine:
-    """Runs callbacks at their due times, those of equal delay in the order they came."""
+    """Runs callbacks at their due times; those with equal due times run in insertion order."""
 
     def __init__(self) -> None:
-        """Create an empty line."""
+        """Create an empty delay line."""
         self._entries: list[tuple[float, int, Callable[[], object]]] = []
         self._sequence = 0
         self._changed = trio.Event()
--- a/src/galenastall/transport/http_app.py
+++ b/src/galenastall/transport/http_app.py
@@ -1,7 +1,7 @@
-"""The thin ASGI application between hypercorn and the handlers.
+"""ASGI application between hypercorn and the route handlers.
 
-A response is whole or the connection breaks: a streamed body that raises ends without its last
-chunk, so that no client takes it for a whole one.
+A response is either complete or the connection is aborted: a streamed body that raises is sent
+without its last chunk, so that no client mistakes it for a complete one.
 """
 
 import logging
@@ -24,10 +24,10 @@
 from galenastall.transport.http_routes import Route, RouteTable
 
 UNREAD_BODY_TIMEOUT_S: Final = 5.0
-"""Seconds for which the rest of an upload is read and dropped after an early answer."""
+"""Seconds for which the rest of an upload is read and discarded after an early response."""
 _BODY_HEADERS: Final = frozenset({b"content-length", b"transfer-encoding"})
 _SMALL_LENGTH_DIGITS: Final = 4
-"""Digits of the length of a body that is small: below 10,000 bytes."""
+"""Maximum digits in the content length of a small body: below 10,000 bytes."""
 _BUFFER_LIMIT_BYTES: Final = 16 * 1024 * 1024
 
 ErrorLog = Callable[[StepError, BaseException], None]
@@ -44,11 +44,11 @@
 
 
 Guard = Callable[[Any, int], HttpResponse | None]
-"""Takes an ASGI scope and the count of open requests; returns a refusal, or None to go on."""
+"""Takes an ASGI scope and the number of open requests; returns a rejection, or None to proceed."""
 
 
 class HttpApp:
-    """Finds the handler of each request and sends its response."""
+    """Dispatches each request to its handler and sends the response."""
 
     def __init__(
         self,
@@ -57,17 +57,17 @@
         log_error: ErrorLog | None,
         guard: Guard | None = None,
     ) -> None:
-        """Collect the handlers' routes; `guard` is asked before anything else is done."""
+        """Collect the handlers' routes; `guard` is called before any other processing."""
         self._guard = guard
         self._routes = RouteTable(handlers=handlers)
         self._log_error = log_error or _log_to_stdlib
         self.open_requests = 0
-        """Requests that wait for their answer's last byte."""
+        """Requests whose response has not been sent completely."""
         self.is_draining = False
-        """Whether clients are told to close their connections."""
+        """Whether responses ask clients to close their connections."""
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
-        """Serve one request, as ASGI asks for."""
+        """Serve one ASGI request or lifespan event."""
         if scope["type"] == "lifespan":
             await _answer_lifespan(receive, send)
             return
@@ -96,7 +96,7 @@
     async def _refuse_early(
         self, scope: Any, refusal: HttpResponse, receive: Receive, send: Send
     ) -> None:
-        """Send a refusal; a small body is read to its end first, as that is the cheapest way."""
+        """Send a rejection; a small request body is read to its end first, which is cheapest."""
         lengths = [value for name, value in scope["headers"] if name in _BODY_HEADERS]
         stream = BodyStream(receive=receive, is_complete=not lengths)
         if lengths and len(lengths[0]) <= _SMALL_LENGTH_DIGITS and lengths[0].isdigit():
@@ -118,10 +118,10 @@
             await self._send_end(response, stream, send)
 
     async def _send_end(self, response: HttpResponse, stream: BodyStream, send: Send) -> None:
-        """End a response, also if the request's body was not read.
+        """End a response, even if the request's body was not read.
 
-        Unread chunks fill hypercorn's bounded queue, on which its end of stream would then wait;
-        and closing on a client that still sends resets the connection, answer and all.
+        Unread chunks fill hypercorn's bounded queue and would block its end of stream. Closing
+        while the client still sends resets the connection and discards the response.
         """
         end = {"type": "http.response.body", "body": b"", "more_body": False}
         if stream.is_complete:
@@ -182,7 +182,7 @@
             await self._send_bytes(response, body, send, more_body=True)
             return True
         if scope["http_version"] == "1.0" and "content-length" not in response.headers:
-            # HTTP/1.0 ends such a body by closing, which a cut looks just like.
+            # HTTP/1.0 ends such a body by closing the connection, as a truncation would.
             await self._send_bytes(response, await _read_all(body), send, more_body=True)
             return True
         return await self._send_stream(scope, response, body, send)
@@ -205,7 +205,7 @@
                 async for chunk in body:
                     await send({"type": "http.response.body", "body": chunk, "more_body": True})
         except Exception as error:
-            # Without the last message hypercorn aborts the connection.
+            # Without the final ASGI message hypercorn aborts the connection.
             self._log_error(_cut_error(scope, error), error)
             return False
         return True
--- a/src/galenastall/transport/http_client.py
+++ b/src/galenastall/transport/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP client over httpcore whose errors say whether the request may have taken effect.
+"""HTTP client over httpcore whose errors state whether the request may have taken effect.
 
-UNREACHABLE is returned only if not a byte of the request was handed to the kernel. Whatever fails
-after that is TIMEOUT or CUT, also on a kept connection that the server closed meanwhile.
+UNREACHABLE is returned only if no byte of the request was passed to the kernel. Any later failure
+is TIMEOUT or CUT, including on a pooled connection that the server has closed in the meantime.
 """
 
 import ssl
@@ -30,10 +30,10 @@
 T = TypeVar("T")
 
 DEFAULT_MAX_CONNECTIONS: Final = 64
-"""Connections to one address."""
+"""Maximum number of connections to one address."""
 DEFAULT_CONNECT_TIMEOUT_S: Final = 2.0
 RESPONSE_LIMIT_BYTES: Final = 64 * 1024 * 1024
-"""Largest answer that `request` holds whole."""
+"""Largest response that `request` buffers."""
 _PRUNE_EVERY_S: Final = 5.0
 _DETAIL_LIMIT_BYTES: Final = 200
 _SUCCESS_CLASS: Final = 2
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BufferedResponse:
-    """An answer that came to its end."""
+    """A response whose body was read completely."""
 
     status: int
     headers: Mapping[str, str]
@@ -62,7 +62,7 @@
 
 
 class HttpClient:
-    """Calls to any number of addresses, with connections pooled for each."""
+    """Sends requests to any number of addresses, with a connection pool for each."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         keep_alive_s: float = DEFAULT_KEEP_ALIVE_S,
         connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S,
     ) -> None:
-        """Talk TLS if `tls` is given; `max_connections` is for each address."""
+        """Use TLS if `tls` is given; `max_connections` applies to each address."""
         self._clock = clock
         self._tls_context = None if tls is None else _client_context(tls)
         self._max_connections = max_connections
@@ -95,10 +95,10 @@
         content_length: int | None = None,
         step: str = "http.call",
     ) -> AsyncIterator[Result[StreamedResponse, StepError]]:
-        """Send a request and stream its answer; `timeout_s` bounds all of it.
+        """Send a request and stream its response; `timeout_s` bounds the whole exchange.
 
-        `path` is sent as it is, query included. A streamed `body` goes out in chunks unless
-        `content_length` is given; an exception of its own is raised from here after the connection
+        `path` is sent unchanged, query included. A streamed `body` is sent chunked unless
+        `content_length` is given. An exception raised by `body` propagates after the connection
         was closed, and the request may then have taken effect.
         """
         opened = await self.open(
@@ -132,7 +132,7 @@
         limit_bytes: int = RESPONSE_LIMIT_BYTES,
         step: str = "http.call",
     ) -> Result[BufferedResponse, StepError]:
-        """Send a request and return its whole answer, whatever its status."""
+        """Send a request and return its buffered response, whatever its status."""
         opened = await self.open(
             method=method,
             address=address,
@@ -155,7 +155,7 @@
                 size += len(chunk)
                 if size > limit_bytes:
                     return Failure(
-                        exchange.call.error(Reason.CUT, f"answer over {limit_bytes} bytes")
+                        exchange.call.error(Reason.CUT, f"response over {limit_bytes} bytes")
                     )
         except ResponseCutError as error:
             return Failure(error.error)
@@ -174,7 +174,7 @@
         timeout_s: float,
         step: str = "http.get_json",
     ) -> Result[T, StepError]:
-        """Get a typed answer; a status outside 200 to 299 is a Failure."""
+        """Get a typed response; a status outside 200 to 299 is a Failure."""
         answer = await self.request(
             method="GET", address=address, path=path, timeout_s=timeout_s, step=step
         )
@@ -191,7 +191,7 @@
         headers: Mapping[str, str] | None = None,
         step: str = "http.post_json",
     ) -> Result[T, StepError]:
-        """Post a JSON message and return the typed answer; other statuses are a Failure."""
+        """Post JSON and return the typed response; a status outside 200 to 299 is a Failure."""
         answer = await self.request(
             method="POST",
             address=address,
@@ -204,7 +204,7 @@
         return _typed(answer, answer_type, step=step, peer=address)
 
     async def aclose(self) -> None:
-        """Close all idle connections; those in use close when their answers end."""
+        """Close all idle connections; those in use are closed when their responses end."""
         for pool in self._pools_by_address.values():
             await pool.aclose()
 
@@ -220,7 +220,7 @@
         content_length: int | None,
         step: str,
     ) -> Result[Exchange, StepError]:
-        """Do as `stream` does; the caller closes the exchange. For paths where each step counts."""
+        """Open an exchange that the caller closes; cheaper than `stream`, for hot paths."""
         call = Call(
             step=step,
             address=address,
@@ -280,17 +280,17 @@
     whole = answer.unwrap()
     if whole.status // 100 != _SUCCESS_CLASS:
         return Failure(error_from_response(whole, step=step, peer=peer))
-    # The server did say that it succeeded, so what can't be read may have taken effect.
+    # The server reported success, so a request with an unreadable response may have taken effect.
     return decode_json(whole.body, wanted, step=step, peer=peer).alt(
         lambda error: replace(error, reason=Reason.CUT)
     )
 
 
 def error_from_response(answer: BufferedResponse, *, step: str, peer: str) -> StepError:
-    """Return what an answer with an error status means.
+    """Return the typed error for a response with an error status.
 
-    A typed error in the body is kept, with the peer that answered; else the status decides, and a
-    server error of unknown meaning counts as one after which the request may have taken effect.
+    A typed error in the body is kept, with the responding peer filled in; otherwise the status
+    decides. An unknown server error counts as one after which the request may have taken effect.
     """
     try:
         typed = msgspec.json.decode(answer.body, type=StepError)
--- a/src/galenastall/transport/http_connection.py
+++ b/src/galenastall/transport/http_connection.py
@@ -1,8 +1,8 @@
-"""Hypercorn's connections with a cheaper idle timer, and the loop that accepts them.
+"""Hypercorn connections with a cheaper idle timer, and the accept loop.
 
-Hypercorn starts a task for its idle timer after each response, which takes a quarter of what a
-request costs, and keeps a connection that an idle client has closed until that timer ends. Here one
-task watches a connection for its whole life. While draining, an idle connection on which a request
+Hypercorn starts a task for its idle timer after each response, which is a quarter of the cost of a
+request, and keeps a connection that an idle client has closed until that timer expires. Here one
+task monitors a connection for its lifetime. While draining, an idle connection on which a request
 has already arrived is served rather than closed.
 """
 
@@ -23,12 +23,12 @@
 _HEAD_START: Final = b"HTTP/1.1 "
 _LENGTH: Final = b"\r\ncontent-length: "
 _RECHECK_S: Final = 0.01
-"""Seconds between two looks at a connection whose next request is arriving during a drain."""
+"""Seconds between two checks of a connection whose next request is arriving during a drain."""
 _RECHECKS: Final = 10
 
 
 class _IdleTimer:
-    """Stands in for hypercorn's restartable timer, with the same two methods."""
+    """Replaces hypercorn's restartable timer, with the same two methods."""
 
     def __init__(self, *, keep_alive_s: float, connection: "HttpConnection") -> None:
         self._keep_alive_s = keep_alive_s
@@ -38,18 +38,18 @@
         self._scope = trio.CancelScope()
 
     async def restart(self, task_group: Any, action: Callable[[], Awaitable[None]]) -> None:
-        """Count the connection as idle from now on."""
+        """Mark the connection as idle from now on."""
         self._idle_since = trio.current_time()
         if not self._is_started:
             self._is_started = True
             task_group.spawn(self._run)
 
     async def stop(self) -> None:
-        """Count the connection as busy."""
+        """Mark the connection as busy."""
         self._idle_since = None
 
     def end(self) -> None:
-        """End the watch: the connection is no more."""
+        """Stop the timer: the connection has closed."""
         self._scope.cancel()
 
     async def _run(self) -> None:
@@ -69,7 +69,7 @@
                 return True
 
     async def _wait_until_idle(self) -> bool:
-        """Whether to close a draining connection; a busy one closes after its response."""
+        """Return whether to close a draining connection; a busy one closes after its response."""
         for _ in range(_RECHECKS):
             if self._idle_since is None or not self._connection.has_input():
                 break
@@ -78,7 +78,7 @@
 
 
 class HttpConnection(TCPServer):
-    """One connection, from its first byte to its last."""
+    """One accepted connection."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         state: ConnectionState,
         stream: Any,
     ) -> None:
-        """Take over an accepted stream."""
+        """Take ownership of an accepted stream."""
         super().__init__(app, config, context, state, stream)
         self._head: RawData | None = None
         self._idle_timer = _IdleTimer(keep_alive_s=config.keep_alive_timeout, connection=self)
@@ -96,10 +96,10 @@
         self.idle_task = idle_timer
 
     async def protocol_send(self, event: Event) -> None:
-        """Send what the protocol has to say, leaving out empty writes.
+        """Send the protocol's output, skipping empty writes.
 
-        The head of a response with a length waits for its first bytes, so that a small response is
-        one write: each write costs a turn of the whole loop.
+        The head of a response with a content length is held until its first body bytes, so that a
+        small response is one write: each write costs an iteration of the event loop.
         """
         if isinstance(event, RawData):
             if not event.data:
@@ -126,7 +126,7 @@
         await self._initiate_server_close()
 
     def has_input(self) -> bool:
-        """Whether bytes from the client wait to be read."""
+        """Return whether unread bytes from the client are available."""
         stream: Any = self.stream
         plain = stream.transport_stream if isinstance(stream, trio.SSLStream) else stream
         try:
@@ -136,7 +136,7 @@
 
 
 class ConnectionServer:
-    """Accepts connections until told to stop."""
+    """Accepts connections until stopped."""
 
     def __init__(self, *, app: AppWrapper, config: Config) -> None:
         """Serve `app` with hypercorn's settings."""
@@ -146,10 +146,10 @@
         self._stop = trio.Event()
         self._grace_s = 0.0
         self.open_connections = 0
-        """Connections open now."""
+        """Number of open connections."""
 
     def stop(self, grace_s: float) -> None:
-        """Accept no more; requests in progress have `grace_s` seconds."""
+        """Stop accepting; requests in progress have `grace_s` seconds to finish."""
         self._grace_s = grace_s
         self._stop.set()
 
@@ -182,7 +182,7 @@
             )
             await connection.run()
         except Exception:
-            # A defect met on one connection must not end all others.
+            # An unexpected error on one connection must not end the others.
             _logger.exception("connection failed")
         finally:
             self.open_connections -= 1
--- a/src/galenastall/transport/http_exchange.py
+++ b/src/galenastall/transport/http_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its answer over a pooled connection, with exact errors."""
+"""One request and its response over a pooled connection, with precise errors."""
 
 from collections.abc import AsyncIterator, Mapping
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 
 class ResponseCutError(Exception):
-    """An answer's body broke off, was late, or had no end that could be checked."""
+    """A response body was truncated or missed the deadline."""
 
     def __init__(self, error: StepError) -> None:
         """Carry the typed error."""
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamedResponse:
-    """Head of an answer; the body follows as a stream."""
+    """Status and headers of a response; the body follows as a stream."""
 
     status: int
     headers: Mapping[str, str]
-    """Names in lower case."""
+    """Header names are in lower case."""
     body: AsyncIterator[bytes]
-    """Raises AnswerCutError if the answer breaks off or passes the deadline."""
+    """Raises ResponseCutError if the body is truncated or passes the deadline."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """What is asked, and until when."""
+    """A request and its deadline."""
 
     step: str
     address: str
@@ -46,7 +46,7 @@
     body: bytes | AsyncIterator[bytes] = b""
     content_length: int | None = None
     deadline: float
-    """Runtime time in seconds by which the answer must be whole."""
+    """Runtime time in seconds by which the response must be complete."""
     connect_timeout_s: float
 
     def error(self, reason: Reason, detail: str) -> StepError:
@@ -55,7 +55,7 @@
 
 
 class _ResponseBody:
-    """Chunks of an answer; a class rather than a generator, so that leaving it early is cheap."""
+    """Chunks of a response; a class rather than a generator, so that abandoning it is cheap."""
 
     def __init__(self, *, call: Call, chunks: Any) -> None:
         self._call = call
@@ -67,22 +67,24 @@
 
     async def __anext__(self) -> bytes:
         if self._error is not None:
-            # Asked again, a broken generator only says that it has ended, as if it were whole.
+            # Iterated again, a failed generator ends normally, as if the body were complete.
             raise self._error
         with trio.move_on_at(self._call.deadline):
             try:
                 chunk: bytes = await self._chunks.__anext__()
             except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-                detail = f"answer broke off: {error or type(error).__name__}"
+                detail = f"response truncated: {error or type(error).__name__}"
                 self._error = ResponseCutError(self._call.error(Reason.CUT, detail))
                 raise self._error from error
             return chunk
-        self._error = ResponseCutError(self._call.error(Reason.TIMEOUT, "answer not whole in time"))
+        self._error = ResponseCutError(
+            self._call.error(Reason.TIMEOUT, "response incomplete in time")
+        )
         raise self._error
 
 
 class Exchange:
-    """An answer whose head is here; close it to give the connection back."""
+    """A response whose head has arrived; closing it returns the connection to the pool."""
 
     def __init__(
         self,
@@ -93,7 +95,7 @@
         response: httpcore.Response,
         headers: Mapping[str, str],
     ) -> None:
-        """Take over the connection and its place in the pool."""
+        """Take ownership of the connection and its pool slot."""
         self.call = call
         self._pool = pool
         self._connection = connection
@@ -104,7 +106,7 @@
         self.answer = StreamedResponse(status=response.status, headers=headers, body=body)
 
     async def aclose(self) -> None:
-        """Keep the connection if the answer was read to its end, else close it."""
+        """Keep the connection if the response was read to its end, else close it."""
         try:
             with trio.CancelScope(shield=True):
                 await self._chunks.aclose()
@@ -116,11 +118,11 @@
 
 
 async def open_exchange(call: Call, pool: AddressPool) -> Result[Exchange, StepError]:
-    """Send the request and return its answer's head."""
+    """Send the request and return an exchange once the response head has arrived."""
     with trio.move_on_at(call.deadline) as scope:
         await pool.acquire_slot()
     if scope.cancelled_caught:
-        return Failure(call.error(Reason.UNREACHABLE, "no free connection in time"))
+        return Failure(call.error(Reason.UNREACHABLE, "no free connection before the deadline"))
     holds_slot = True
     try:
         connection = await _connect(call, pool)
@@ -142,7 +144,7 @@
         except (OSError, trio.BrokenResourceError) as error:
             cause = error.__cause__ or error
             return Failure(call.error(Reason.UNREACHABLE, f"connect: {cause}"))
-    return Failure(call.error(Reason.UNREACHABLE, "connect: not in time"))
+    return Failure(call.error(Reason.UNREACHABLE, "connect: timed out"))
 
 
 async def _send(
@@ -153,18 +155,18 @@
         with trio.move_on_at(call.deadline):
             response = await connection.http.handle_async_request(_build_request(call, pool))
     except (httpcore.NetworkError, httpcore.RemoteProtocolError) as error:
-        detail = f"no answer: {error or type(error).__name__}"
+        detail = f"no response: {error or type(error).__name__}"
         return Failure(await _give_up(call, connection, Reason.CUT, detail))
     except BaseException:
         await connection.stream.aclose()
         raise
     if response is None:
-        # Other kept connections to the address may have gone silent together with this one.
+        # Other pooled connections to the address may have stopped responding with this one.
         await pool.aclose()
-        return Failure(await _give_up(call, connection, Reason.TIMEOUT, "no answer in time"))
+        return Failure(await _give_up(call, connection, Reason.TIMEOUT, "no response in time"))
     headers = _headers_of(response)
     if not _has_checked_end(call, response.status, headers):
-        detail = f"answer with status {response.status} has no length to check"
+        detail = f"response with status {response.status} has no length to check"
         return Failure(await _give_up(call, connection, Reason.CUT, detail))
     return Success(
         Exchange(call=call, pool=pool, connection=connection, response=response, headers=headers)
@@ -207,9 +209,9 @@
 
 
 def _has_checked_end(call: Call, status: int, headers: Mapping[str, str]) -> bool:
-    """Whether the end of the answer can be told from a cut.
+    """Return whether the end of the response can be told from a truncation.
 
-    A body that ends when the connection closes looks the same whether whole or cut.
+    A body that ends when the connection closes looks the same whether complete or truncated.
     """
     if status in _NO_BODY_STATUSES or call.method == "HEAD":
         return True
--- a/src/galenastall/transport/http_json.py
+++ b/src/galenastall/transport/http_json.py
@@ -1,4 +1,4 @@
-"""JSON bodies in and out, and typed errors as responses."""
+"""JSON request and response bodies, and typed errors as responses."""
 
 import re
 from typing import Any, Final, TypeVar
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 JSON_LIMIT_BYTES: Final = 4 * 1024 * 1024
-"""Largest JSON body that is read."""
+"""Largest JSON body that is accepted."""
 _VALUE_LIMIT_CHARS: Final = 80
 
 STATUS_BY_REASON: Final[dict[Reason, int]] = {
--- a/src/galenastall/transport/http_messages.py
+++ b/src/galenastall/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as handlers see them, with bodies whole or streamed."""
+"""Requests and responses as handlers see them, with buffered or streamed bodies."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 class RequestCutError(GalenastallError):
-    """The client went away before its request body was whole."""
+    """The client disconnected before its request body was complete."""
 
 
 class BodyStream:
@@ -25,17 +25,17 @@
         self.is_complete = is_complete
         """Whether the last chunk was read."""
         self.ended = trio.Event()
-        """Set by `discard` once the client has sent everything, or is gone."""
+        """Set by `discard` once the client has sent everything or has disconnected."""
 
     async def next_chunk(self) -> bytes:
         """Return the next chunk, empty only at the end; cheaper than `chunks` for a small body.
 
-        Raises RequestCutError if the client breaks off.
+        Raises RequestCutError if the client disconnects.
         """
         while not self.is_complete:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise RequestCutError("the client closed the connection inside the body")
+                raise RequestCutError("the client disconnected before the end of the body")
             self.is_complete = not message.get("more_body", False)
             chunk: bytes = message.get("body", b"")
             if chunk:
@@ -43,12 +43,12 @@
         return b""
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the chunks; raises RequestCutError if the client breaks off."""
+        """Yield the chunks; raises RequestCutError if the client disconnects."""
         while chunk := await self.next_chunk():
             yield chunk
 
     async def discard(self) -> None:
-        """Read and drop whatever comes until the client is gone."""
+        """Read and discard all data until the client disconnects."""
         while True:
             message = await self._receive()
             if not message.get("more_body", False):
@@ -58,7 +58,7 @@
 
     @classmethod
     def of(cls, body: bytes) -> "BodyStream":
-        """Return a stream of one chunk, for requests that did not come over a socket."""
+        """Return a stream of one chunk, for requests that were not received over a socket."""
         messages = iter(({"type": "http.request", "body": body, "more_body": False},))
 
         async def receive() -> dict[str, Any]:
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HttpRequest:
-    """One request; names of headers are in lower case."""
+    """One request; header names are in lower case."""
 
     method: str
     path: str
@@ -83,15 +83,15 @@
     headers: Mapping[str, str] = field(default_factory=dict)
     """Repeated headers are joined by a comma."""
     client: str = ""
-    """`IP:port` of the other side."""
+    """`IP:port` of the client."""
     stream: BodyStream = field(default_factory=lambda: BodyStream.of(b""), repr=False)
 
     def body(self) -> AsyncIterator[bytes]:
-        """Return the body's chunks; raises RequestCutError if the client breaks off."""
+        """Return the body's chunks; raises RequestCutError if the client disconnects."""
         return self.stream.chunks()
 
     async def read_body(self, limit_bytes: int) -> Result[bytes, StepError]:
-        """Return the whole body; INVALID above `limit_bytes`, CUT if the client breaks off."""
+        """Return the complete body; INVALID above `limit_bytes`, CUT if the client disconnects."""
         parts: list[bytes] = []
         size = 0
         try:
@@ -105,7 +105,7 @@
         return Success(b"".join(parts))
 
     async def wait_disconnected(self) -> None:
-        """Return once the client is gone; read the body first, as what is left of it is dropped."""
+        """Return once the client disconnects; unread parts of the body are discarded."""
         await self.stream.discard()
 
     def _error(self, reason: Reason, detail: str) -> StepError:
@@ -118,5 +118,5 @@
 
     status: int = 200
     headers: Mapping[str, str] = field(default_factory=dict)
-    """A content-length given here must be met by a streamed body."""
+    """A content-length given here must match the length of a streamed body."""
     body: bytes | AsyncIterator[bytes] = b""
--- a/src/galenastall/transport/http_pool.py
+++ b/src/galenastall/transport/http_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one address: a bounded number, the most recently used first."""
+"""Bounded connection pool for one address; the most recently used connection is reused first."""
 
 import ssl
 from collections import deque
@@ -12,12 +12,12 @@
 from galenastall.transport.http_stream import SendTrackingStream, connect_stream
 
 DEFAULT_KEEP_ALIVE_S: Final = 15.0
-"""Seconds that an idle connection is kept; well below what servers keep theirs for."""
+"""Seconds that an idle connection is kept; well below the keep-alive time of servers."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class PooledConnection:
-    """One connection; `idle_since` is the runtime time of its last answer's end."""
+    """One connection; `idle_since` is the runtime time at which its last response ended."""
 
     stream: SendTrackingStream
     http: httpcore.AsyncHTTP11Connection
@@ -57,11 +57,11 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether no connection is open."""
+        """Whether no connection is in use or idle."""
         return self._in_use == 0 and not self._idle
 
     async def acquire_slot(self) -> None:
-        """Wait until a connection may be used; give it back with `release`."""
+        """Wait until a connection may be used; free the slot with `release_slot`."""
         try:
             self._slots.acquire_nowait()
         except trio.WouldBlock:
@@ -69,7 +69,7 @@
         self._in_use += 1
 
     def release_slot(self) -> None:
-        """Let the next one in."""
+        """Free a slot for the next waiter."""
         self._in_use -= 1
         self._slots.release()
 
@@ -96,7 +96,7 @@
         return True
 
     async def close_stale(self) -> None:
-        """Close idle connections that are too old."""
+        """Close connections that have been idle longer than the keep-alive time."""
         oldest = self._clock.now() - self._keep_alive_s
         while self._idle and self._idle[0].idle_since < oldest:
             await self._idle.popleft().stream.aclose()
--- a/src/galenastall/transport/http_routes.py
+++ b/src/galenastall/transport/http_routes.py
@@ -1,4 +1,4 @@
-"""Routes of handler objects: a decorator names them, a table finds them."""
+"""Routes of handler objects: a decorator declares them, a table looks them up."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """A handler and the path that it serves."""
+    """A handler and the path template that it serves."""
 
     method: str
     template: str
@@ -37,7 +37,7 @@
     segments: tuple[str, ...]
 
     def match(self, parts: list[str]) -> dict[str, str] | None:
-        """Return the decoded placeholders, or None if the path is another one."""
+        """Return the decoded placeholders, or None if the path does not match."""
         params: dict[str, str] = {}
         for index, segment in enumerate(self.segments):
             if segment.endswith("*}"):
@@ -53,10 +53,10 @@
 
 
 class RouteTable:
-    """All routes of a server; paths without placeholders are found in one step."""
+    """All routes of a server; paths without placeholders take one dictionary lookup."""
 
     def __init__(self, *, handlers: Iterable[object]) -> None:
-        """Collect the marked methods; raises ValueError if two claim one route."""
+        """Collect the marked methods; raises ValueError if two declare the same route."""
         self._fixed_by_key: dict[tuple[str, str], Route] = {}
         self._templated: list[Route] = []
         templates: set[tuple[str, str]] = set()
@@ -88,7 +88,7 @@
         return None
 
     def allowed_methods(self, path: str) -> tuple[str, ...]:
-        """Return the methods that this path has, in sorted order."""
+        """Return the methods that this path supports, in sorted order."""
         parts = path.split("/")
         fixed = {method for method, known in self._fixed_by_key if known == path}
         matching = {found.method for found in self._templated if found.match(parts) is not None}
--- a/src/galenastall/transport/http_server.py
+++ b/src/galenastall/transport/http_server.py
@@ -1,7 +1,7 @@
-"""HTTP server: hypercorn on trio in front of a thin ASGI application of our own.
+"""HTTP server: hypercorn on trio in front of the ASGI application.
 
-Draining first tells clients to close their connections, and only then stops accepting, so that no
-request that is in progress is cut off.
+Draining first asks clients to close their connections and only then stops accepting, so that no
+request in progress is aborted.
 """
 
 import logging
@@ -20,11 +20,11 @@
 from galenastall.transport.http_connection import ConnectionServer
 
 KEEP_ALIVE_S: Final = 75.0
-"""Seconds that an idle connection is kept; longer than clients of ours keep theirs."""
+"""Seconds that an idle connection is kept; longer than this project's clients keep theirs."""
 DRAIN_LINGER_S: Final = 0.5
-"""Seconds in which a draining server still takes requests, telling each client to close."""
+"""Seconds for which a draining server still accepts requests, asking each client to close."""
 STALLED_WRITE_S: Final = 30.0
-"""Seconds after which a client that takes no bytes is cut off."""
+"""Seconds after which a client that reads no bytes is disconnected."""
 _BACKLOG: Final = 512
 _MAX_REQUESTS_PER_CONNECTION: Final = 1_000_000
 
@@ -70,8 +70,8 @@
     ) -> None:
         """Collect the handlers' routes; the socket is bound by `run`.
 
-        `guard` may refuse a request before it is looked at. `verify_clients` demands a certificate
-        by `tls.ca_file` from every client.
+        `guard` may reject a request before it is processed. `verify_clients` requires every client
+        to present a certificate signed by `tls.ca_file`.
         """
         self._app = HttpApp(handlers=handlers, log_error=log_error, guard=guard)
         self._clock = clock
@@ -87,17 +87,17 @@
 
     @property
     def address(self) -> str:
-        """`IP:port` really bound; empty before `run` has started."""
+        """Actual `IP:port` bound; empty before `run` has started."""
         return self._address
 
     @property
     def open_requests(self) -> int:
-        """Requests that wait for their answer's last byte."""
+        """Requests whose response has not been sent completely."""
         return self._app.open_requests
 
     @property
     def open_connections(self) -> int:
-        """Connections open now, idle ones included."""
+        """Number of open connections, including idle ones."""
         return self._connections.open_connections
 
     @property
@@ -119,10 +119,10 @@
             self._stopped.set()
 
     async def drain(self, timeout_s: float) -> int:
-        """Finish what is in progress, then stop; return how many requests were cut off.
+        """Finish requests in progress, then stop; return how many requests were aborted.
 
-        Clients are told to close their connections for the linger time first. Nothing is cut off
-        before `timeout_s` seconds have passed.
+        During the linger time, responses first ask clients to close their connections. No request
+        is aborted before `timeout_s` seconds have passed.
         """
         deadline = self._clock.now() + timeout_s
         self._app.is_draining = True
@@ -142,7 +142,7 @@
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
-        # Hypercorn shields its writes from cancellation, so the kernel has to end stalled ones.
+        # Hypercorn shields its writes from cancellation, so the kernel has to abort stalled ones.
         listener.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(STALLED_WRITE_S * 1000)
         )
--- a/src/galenastall/transport/http_stream.py
+++ b/src/galenastall/transport/http_stream.py
@@ -1,4 +1,4 @@
-"""The byte stream under an HTTP client connection: joins small writes and knows what was sent."""
+"""Byte stream of an HTTP client connection: joins small writes and tracks what was sent."""
 
 import ssl
 from contextlib import suppress
@@ -9,10 +9,10 @@
 
 
 class SendTrackingStream(httpcore.AsyncNetworkStream):
-    """A trio stream for httpcore that tells whether any byte of a request was handed over.
+    """A trio stream for httpcore that tracks whether any byte of a request was sent.
 
-    The head of a request is held back until its first chunk or the read of the answer, so that a
-    small request leaves in one packet.
+    The head of a request is buffered until its first body chunk or until the response is read, so
+    that a small request is sent in one packet.
     """
 
     def __init__(self, *, stream: trio.SocketStream | trio.SSLStream[trio.SocketStream]) -> None:
@@ -21,10 +21,10 @@
         self._buffered = b""
         self._is_buffering = True
         self.has_sent = False
-        """Whether any byte of the request in hand was given to the kernel."""
+        """Whether any byte of the current request was passed to the kernel."""
 
     def begin_request(self) -> None:
-        """Forget the request before: nothing of the next one was sent."""
+        """Reset the state for the next request, of which nothing was sent yet."""
         self._is_buffering = True
         self._buffered = b""
         self.has_sent = False
@@ -32,7 +32,7 @@
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Return the next bytes, b"" at the end; the caller bounds the time."""
         if self._buffered:
-            # The server may have answered early and closed: its answer is still worth reading.
+            # The server may have responded early and closed: its response can still be read.
             with suppress(httpcore.WriteError):
                 await self._flush(b"")
         try:
@@ -41,7 +41,7 @@
             raise httpcore.ReadError(str(error)) from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Send, or hold the head of a request; the caller bounds the time."""
+        """Send, or buffer the head of a request; the caller bounds the time."""
         if not buffer:
             return
         if self._is_buffering:
@@ -59,15 +59,15 @@
             raise httpcore.WriteError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Close at once, without a farewell that a stalled peer could block."""
+        """Close at once, without a closing handshake that a stalled peer could block."""
         await trio.aclose_forcefully(self._stream)
 
     def get_extra_info(self, info: str) -> Any:
-        """Return nothing: httpcore asks only for what its own pool needs."""
+        """Return None: httpcore requests only information that its own pool needs."""
         return None
 
     def is_readable(self) -> bool:
-        """Whether bytes or the end of the stream wait: an idle connection was then closed."""
+        """Return whether data or end of stream is pending; an idle connection is then unusable."""
         stream = self._stream
         sock = stream.socket if isinstance(stream, trio.SocketStream) else _socket_of(stream)
         return bool(sock.is_readable())
--- a/src/galenastall/transport/link_faults.py
+++ b/src/galenastall/transport/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults that bench and tests put into a peer link, and the counters of what crossed it."""
+"""Faults that benchmarks and tests inject into a peer link, and its traffic counters."""
 
 from dataclasses import dataclass, field
 
@@ -7,19 +7,19 @@
 
 @dataclass(kw_only=True, slots=True)
 class LinkFaults:
-    """Faults on the way out of a process; change them while it runs."""
+    """Faults on the outbound path of a process; may be changed while it runs."""
 
     delay_s_by_peer: dict[HostId, float] = field(default_factory=dict)
-    """One-way delay in seconds of what is sent to a peer."""
+    """One-way delay in seconds of messages sent to a peer."""
     cut: set[HostId] = field(default_factory=set)
-    """Peers to which nothing goes and from which nothing is taken; known at the sender."""
+    """Peers to which nothing is sent and from which nothing is accepted; the sender knows."""
     lossy: set[HostId] = field(default_factory=set)
-    """Peers to which everything sent is lost without a sign."""
+    """Peers to which all messages are lost silently."""
 
 
 @dataclass(kw_only=True, slots=True)
 class LinkCounters:
-    """Messages and their bytes (without TCP's own) to and from one peer."""
+    """Messages and bytes (excluding TCP overhead) to and from one peer."""
 
     messages_out: int = 0
     bytes_out: int = 0
@@ -36,19 +36,19 @@
 
 @dataclass(kw_only=True, slots=True)
 class DroppedCounters:
-    """Messages that were taken in and not used."""
+    """Messages that were dropped, by cause."""
 
     late_answers: int = 0
-    """Answers whose call had given up."""
+    """Answers that arrived after their call had timed out."""
     forged: int = 0
-    """Messages that claimed a host id other than the one of their key."""
+    """Messages that claimed a host id other than that of their key."""
     malformed: int = 0
-    """Frames that are no message of ours."""
+    """Frames that are not valid messages."""
     misdirected: int = 0
-    """Messages meant for a host that had this address before."""
+    """Messages addressed to a host that previously had this address."""
     overloaded: int = 0
-    """Messages that came while too many were being handled."""
+    """Messages that arrived while too many were being handled."""
     unsent_answers: int = 0
-    """Answers whose asker was gone or whose queue was full."""
+    """Answers whose caller was gone or whose queue was full."""
     expired: int = 0
     """One-way messages whose peer did not connect in time."""
--- a/src/galenastall/transport/log_budget.py
+++ b/src/galenastall/transport/log_budget.py
@@ -1,4 +1,4 @@
-"""Bounds how many log lines a second each kind of event writes, and counts all events."""
+"""Limits the log lines per second of each kind of event, and counts all events."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -9,12 +9,12 @@
 from galenastall.transport.metrics import Counter, Metrics
 
 LINES_PER_SECOND: Final = 150.0
-"""Of one kind; three times what the busiest kind writes at the size of today (50 starts a second
-on one leader), so that a storm of one kind costs at most 2% of a core."""
+"""Limit for one kind; three times the rate of the busiest kind at the current fleet size (50 starts
+per second on one leader), so that a burst of one kind costs at most 2% of a core."""
 EXPLAINING_LINES_PER_SECOND: Final = 1_000.0
-"""Of the kinds that explain a refusal or a failed job: the last to be left out."""
+"""Higher limit for kinds that explain a rejection or a failed job, so they are suppressed last."""
 BURST_S: Final = 2.0
-"""How many seconds' lines may come at once."""
+"""Bucket size: how many seconds' worth of lines may be written at once."""
 EXPLAINING_KINDS: Final = frozenset({"job.refused", "job.ended", "job.withdrawn", "leader.lost"})
 
 
@@ -26,10 +26,10 @@
         self._clock = clock
         self._left_by_kind: dict[str, tuple[float, float]] = {}
         self.suppressed_by_kind: defaultdict[str, int] = defaultdict(int)
-        """Lines that were left out since `take_left_out`."""
+        """Lines suppressed since the last `take_suppressed`."""
 
     def allows(self, kind: str) -> bool:
-        """Whether one more line of this kind may be written; counts it if not."""
+        """Return whether a line of this kind may be written; count it as suppressed if not."""
         rate = EXPLAINING_LINES_PER_SECOND if kind in EXPLAINING_KINDS else LINES_PER_SECOND
         now = self._clock.now()
         left, at = self._left_by_kind.get(kind, (rate * BURST_S, now))
@@ -41,17 +41,17 @@
         return is_allowed
 
     def take_suppressed(self) -> dict[str, int]:
-        """Return and forget how many lines of each kind were left out."""
+        """Return and reset the number of suppressed lines of each kind."""
         found = dict(self.suppressed_by_kind)
         self.suppressed_by_kind.clear()
         return found
 
 
 class BudgetedRecorder(Recorder):
-    """A recorder whose lines stay within a budget and whose events are counted."""
+    """A recorder that limits its log lines to a budget and counts its events."""
 
     def __init__(self, *, budget: LineBudget, metrics: Metrics, **options: Any) -> None:
-        """Take the options of Recorder besides."""
+        """Accept the options of Recorder as `options`."""
         super().__init__(**options)
         self._budget = budget
         self._events: Counter = metrics.counter(
@@ -76,14 +76,14 @@
         super().record(step, peer=peer, subjects=subjects, cause=cause, fields=fields, level=kept)
 
     def report_suppressed(self, dropped_writes: int) -> None:
-        """Write one line on what was left out, if anything was."""
+        """Write one line that summarizes suppressed and dropped lines, if there were any."""
         suppressed = self._budget.take_suppressed()
         if not suppressed and not dropped_writes:
             return
         fields = {kind: str(count) for kind, count in suppressed.items()}
         super().record(
             "log.left_out",
-            cause="over the budget of their kind, or not read in time",
+            cause="over the rate limit of their kind, or dropped because the reader was slow",
             fields={**fields, "dropped_writes": str(dropped_writes)},
             level=Level.WARNING,
         )
--- a/src/galenastall/transport/log_stream.py
+++ b/src/galenastall/transport/log_stream.py
@@ -1,4 +1,4 @@
-"""A byte stream for log lines that never blocks: what its reader does not take is dropped."""
+"""A non-blocking byte stream for log lines: lines beyond its buffer are dropped."""
 
 import os
 import select
@@ -6,16 +6,16 @@
 from typing import Final
 
 CAPACITY_BYTES: Final = 256 * 1024
-"""Bytes of lines that wait for a slow reader; further lines are dropped and counted."""
+"""Bytes of lines buffered for a slow reader; further lines are dropped and counted."""
 _CHUNK_BYTES: Final = 4096
-"""A pipe that is writable takes this much without blocking (PIPE_BUF)."""
+"""A writable pipe accepts this many bytes without blocking (PIPE_BUF)."""
 
 
 class BoundedLogStream:
-    """Writes whole lines to a descriptor while it takes them."""
+    """Writes complete lines to a descriptor as far as it accepts them without blocking."""
 
     def __init__(self, *, descriptor: int, capacity_bytes: int = CAPACITY_BYTES) -> None:
-        """Write to `descriptor`, whose own blocking mode stays as it is."""
+        """Write to `descriptor`, whose blocking mode is left unchanged."""
         self._descriptor = descriptor
         self._capacity_bytes = capacity_bytes
         self._waiting: deque[bytes] = deque()
@@ -23,10 +23,10 @@
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
         self.dropped = 0
-        """Writes that were dropped since the start."""
+        """Number of writes dropped since the start."""
 
     def write(self, data: bytes) -> int:
-        """Take a line, and write what the reader takes now."""
+        """Buffer a line, and write as much as possible without blocking."""
         if self._waiting_bytes + len(data) > self._capacity_bytes:
             self.dropped += 1
         else:
@@ -36,7 +36,7 @@
         return len(data)
 
     def flush(self) -> None:
-        """Write what the reader takes without waiting."""
+        """Write buffered lines as far as possible without blocking."""
         while self._waiting and self._is_writable():
             data = self._waiting[0]
             written = os.write(self._descriptor, data[:_CHUNK_BYTES])
--- a/src/galenastall/transport/logs.py
+++ b/src/galenastall/transport/logs.py
@@ -1,6 +1,6 @@
-"""Events and log lines by one call, and all log lines as JSON.
+"""Records events and writes their log lines in one call; all log lines are JSON.
 
-A line carries the same step, peer, ids and hybrid time as its event on the time line, so that one
+A line carries the same step, peer, ids and hybrid time as its event on the time line, so that each
 can be found from the other.
 """
 
@@ -25,10 +25,10 @@
 
 
 class Level(IntEnum):
-    """How much an event matters; the numbers are those of the standard library's logging."""
+    """Severity of an event; the numbers are those of the standard library's logging."""
 
     DETAIL = logging.DEBUG
-    """A step of a single request: kept for a sample of requests, apart from the rest."""
+    """A step of a single request: kept for a sample of requests, separately from other events."""
     DEBUG = DETAIL
     """The name that settings use."""
     INFO = logging.INFO
@@ -37,17 +37,17 @@
 
 
 class LineStream(Protocol):
-    """What log lines are written to."""
+    """Destination of log lines."""
 
     def write(self, data: bytes, /) -> int:
-        """Take a line."""
+        """Accept a line."""
 
     def flush(self) -> None:
-        """Write what was taken."""
+        """Write accepted lines."""
 
 
 class Recorder:
-    """Records events into the ring, and into the log from a level on."""
+    """Records events into the ring, and into the log at or above a level."""
 
     def __init__(
         self,
@@ -62,8 +62,8 @@
     ) -> None:
         """Record for `process`; without `stream` no lines are written.
 
-        `detail_share` (0 to 1) is the share of ids whose details are kept. It is decided by the
-        first id, so that all processes keep the details of the same ids.
+        `detail_share` (0 to 1) is the fraction of ids whose details are sampled. The decision is a
+        hash of the first id, so that all processes sample the same ids.
         """
         if not 0.0 <= detail_share <= 1.0:
             raise ValueError(f"detail_share: expected 0 to 1, got {detail_share}")
@@ -82,7 +82,7 @@
 
     @property
     def hybrid(self) -> HybridClock:
-        """The clock that stamps the events."""
+        """The clock that timestamps the events."""
         return self._hybrid
 
     def record(
@@ -95,7 +95,7 @@
         fields: Mapping[str, str] | None = None,
         level: Level = Level.INFO,
     ) -> None:
-        """Keep one event, and write its log line if the level asks for it; never fails."""
+        """Record one event, and write its log line if its level is enabled; never fails."""
         is_detail = level is Level.DETAIL
         if is_detail and subjects and self._is_sampled_out(subjects[0]):
             return
@@ -121,7 +121,7 @@
         cause: str = "",
         fields: dict[str, str] | None = None,
     ) -> None:
-        """Keep one step of a single request, if it is in the share whose details are kept."""
+        """Record one step of a single request, if the request is sampled."""
         if self._is_sampled_out(subject):
             return
         event = TimelineEvent(
@@ -138,7 +138,7 @@
             self._write(event, Level.DETAIL, None)
 
     def record_error(self, error: StepError, exception: BaseException | None = None) -> None:
-        """Keep a typed error as an event, with the traceback of the exception in its log line."""
+        """Record a typed error as an event, with the exception's traceback in its log line."""
         event = TimelineEvent(
             at=self._hybrid.tick(self._clock.wall()),
             process=self._process,
@@ -171,12 +171,12 @@
         try:
             self._log.log(int(level), event.step, **line)
         except OSError:
-            # A log that can't be written must not stop the work that it tells of.
+            # A failing log must not stop the work that it reports on.
             self._log = None
 
 
 def configure_logging(*, stream: BinaryIO, level: Level = Level.INFO) -> None:
-    """Write the libraries' log lines as JSON too; call once for a process."""
+    """Write the log lines of libraries as JSON too; call once per process."""
     formatter = structlog.stdlib.ProcessorFormatter(
         processors=[
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
@@ -202,7 +202,7 @@
 
 
 class _TextAdapter:
-    """The text side that the standard library's handler wants, over a byte stream."""
+    """Text interface over a byte stream, as the standard library's handler expects."""
 
     def __init__(self, stream: BinaryIO) -> None:
         self._stream = stream
--- a/src/galenastall/transport/metrics.py
+++ b/src/galenastall/transport/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics: cheap counters, gauges and histograms, read by OpenTelemetry when a page is asked for.
+"""Metrics: cheap counters, gauges and histograms, read by OpenTelemetry at each scrape.
 
-Recording through the SDK costs about ten microseconds a value, which a proxied request pays several
-times. So values are added up here in plain numbers, and the SDK observes the sums at each scrape.
+Recording through the SDK costs about ten microseconds per value, several times for each proxied
+request. Values are therefore summed here in plain numbers, which the SDK observes at each scrape.
 Nothing runs in the background.
 """
 
@@ -32,7 +32,7 @@
     30.0,
     60.0,
 )
-"""Upper bounds in seconds, for waiting and answer times."""
+"""Upper bounds in seconds, for wait and response times."""
 MAX_SERIES: Final = 1_000
 """Label sets of one metric; further ones are counted together as `other`."""
 
@@ -42,7 +42,7 @@
 
 
 class Counter:
-    """A sum that only grows, by label values."""
+    """A monotonic sum by label values."""
 
     __slots__ = ("_labels", "_sums")
 
@@ -70,14 +70,14 @@
 
 
 class Histogram:
-    """Counts of values below fixed bounds, by label values."""
+    """A histogram with fixed buckets, by label values."""
 
     __slots__ = ("_bound_texts", "_bounds", "_counts", "_labels", "_sums", "help_text", "name")
 
     def __init__(
         self, *, name: str, help_text: str, labels: Sequence[str], bounds: Sequence[float]
     ) -> None:
-        """Count below each of the ascending `bounds`."""
+        """Create buckets with the ascending upper `bounds`."""
         self.name = name
         self.help_text = help_text
         self._labels = tuple(labels)
@@ -103,8 +103,8 @@
     def lines(self) -> Iterator[str]:
         """Return the metric in Prometheus's text format.
 
-        The client library takes a hundred milliseconds for the buckets of a few hundred teams, on
-        the loop that serves requests; this takes a tenth of it.
+        The client library takes a hundred milliseconds for the buckets of a few hundred teams and
+        blocks the event loop meanwhile; this takes a tenth of that.
         """
         yield f"# HELP {self.name} {_escape(self.help_text)}"
         yield f"# TYPE {self.name} histogram"
@@ -122,17 +122,17 @@
 
 
 class Metrics:
-    """All metrics of one process, and the page that shows them."""
+    """All metrics of one process, and the page that exposes them."""
 
     def __init__(self) -> None:
-        """Create a page without metrics."""
+        """Create an empty set of metrics."""
         self._counters: list[tuple[str, str, Sequence[str], Counter]] = []
         self._gauges: list[tuple[str, str, Sequence[str], Reading]] = []
         self._export: MetricsExport | None = None
         self._histograms_by_name: dict[str, Histogram] = {}
 
     def counter(self, name: str, help_text: str, *, labels: Sequence[str] = ()) -> Counter:
-        """Return a new counter; it is shown as `<name>_total`."""
+        """Return a new counter; it is exported as `<name>_total`."""
         counter = Counter(labels=labels)
         self._counters.append((name, help_text, labels, counter))
         if self._export is not None:
@@ -142,7 +142,7 @@
     def gauge(
         self, name: str, help_text: str, reading: Reading, *, labels: Sequence[str] = ()
     ) -> None:
-        """Show what `reading` returns at each scrape."""
+        """Export the value that `reading` returns at each scrape."""
         self._gauges.append((name, help_text, labels, reading))
         if self._export is not None:
             self._export.add_gauge(name, help_text, labels, reading)
@@ -158,12 +158,12 @@
         """Return a new histogram."""
         histogram = Histogram(name=name, help_text=help_text, labels=labels, bounds=bounds)
         if name in self._histograms_by_name:
-            raise ValueError(f"histogram {name!r} is there already")
+            raise ValueError(f"histogram {name!r} already exists")
         self._histograms_by_name[name] = histogram
         return histogram
 
     async def page(self) -> bytes:
-        """Return the page in Prometheus's text format; lets others run between the metrics."""
+        """Return the page in Prometheus's text format; yields to other tasks between metrics."""
         parts: list[bytes] = []
         for family in self._exported().families():
             parts.append(family)
@@ -174,10 +174,10 @@
         return b"".join(parts)
 
     def _exported(self) -> "MetricsExport":
-        """Return the SDK's side, loaded at the first scrape.
+        """Return the SDK export, imported at the first scrape.
 
-        Its modules take 108 of 712 ms of a process's start, and 5 MB, and most processes are never
-        scraped.
+        Importing it takes 108 of the 712 ms of a process's start and 5 MB of memory, and most
+        processes are never scraped.
         """
         if self._export is None:
             from galenastall.transport.metrics_export import (  # noqa: PLC0415 - see above
--- a/src/galenastall/transport/metrics_export.py
+++ b/src/galenastall/transport/metrics_export.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry's side of the metrics: observes sums and readings at each scrape."""
+"""Export of the metrics through OpenTelemetry: observes sums and readings at each scrape."""
 
 from collections.abc import Iterable, Iterator, Sequence
 
@@ -12,7 +12,7 @@
 
 
 class MetricsExport:
-    """Meters with a registry of their own, so that processes can share tests."""
+    """Meters with a private registry, so that several processes can run in one test."""
 
     def __init__(self) -> None:
         """Create meters without instruments."""
@@ -26,7 +26,7 @@
     def add_counter(
         self, name: str, help_text: str, labels: Sequence[str], counter: Counter
     ) -> None:
-        """Show a counter as `<name>_total`."""
+        """Export a counter as `<name>_total`."""
 
         def observe(_: CallbackOptions) -> Iterable[Observation]:
             return _observations(counter.read(), labels)
@@ -34,7 +34,7 @@
         self._meter.create_observable_counter(name, callbacks=[observe], description=help_text)
 
     def add_gauge(self, name: str, help_text: str, labels: Sequence[str], reading: Reading) -> None:
-        """Show what `reading` returns at each scrape."""
+        """Export the value that `reading` returns at each scrape."""
 
         def observe(_: CallbackOptions) -> Iterable[Observation]:
             value = reading()
@@ -45,7 +45,7 @@
         self._meter.create_observable_gauge(name, callbacks=[observe], description=help_text)
 
     def families(self) -> Iterator[bytes]:
-        """Return the page's parts, one a metric."""
+        """Yield the parts of the page, one for each metric."""
         for family in self._registry.collect():
             yield generate_latest(_SingleFamilyRegistry(family))
 
--- a/src/galenastall/transport/peer_handlers.py
+++ b/src/galenastall/transport/peer_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of peer messages by type, and what their failures become for the asker."""
+"""Handlers of peer messages by type, and the conversion of their failures to typed errors."""
 
 import logging
 from collections.abc import Callable
@@ -15,25 +15,25 @@
 
 
 class PeerHandlers:
-    """One handler for each type of message."""
+    """Table with one handler for each message type."""
 
     def __init__(self, *, host_id: HostId, log_error: ErrorLog | None) -> None:
-        """Create an empty table of this entry host."""
+        """Create an empty table for this entry host."""
         self._host_id = host_id
         self._log_error = log_error or _log_to_stdlib
         self._handlers_by_type: dict[type[Any], PeerHandler] = {}
 
     def add(self, message_type: type[Any], handler: PeerHandler) -> None:
-        """File a handler; raises ValueError if the type has one."""
+        """Register a handler; raises ValueError if the type already has one."""
         if message_type in self._handlers_by_type:
-            raise ValueError(f"messages of type {message_type.__name__} have a handler")
+            raise ValueError(f"messages of type {message_type.__name__} already have a handler")
         self._handlers_by_type[message_type] = handler
 
     async def dispatch(self, sender: HostId, message: Any) -> Any:
         """Return the handler's answer, or a StepError if there is no handler or it raised."""
         handler = self._handlers_by_type.get(type(message))
         if handler is None:
-            return self.error(Reason.REFUSED, f"no handler of {type(message).__name__}")
+            return self.error(Reason.REFUSED, f"no handler for {type(message).__name__}")
         try:
             return await handler(sender, message)
         except Exception as error:
@@ -43,7 +43,7 @@
             return step_error
 
     def error(self, reason: Reason, detail: str) -> StepError:
-        """Return an error of handling at this entry host."""
+        """Return an error of message handling at this entry host."""
         return StepError(step="peer.handle", peer=self._host_id, reason=reason, detail=detail)
 
 
--- a/src/galenastall/transport/peer_inbox.py
+++ b/src/galenastall/transport/peer_inbox.py
@@ -1,4 +1,4 @@
-"""What comes from peers: the ROUTER socket, who sent each frame, and the way back."""
+"""Inbound side of the peer link: the ROUTER socket, sender checks and answer routing."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 _FRAMES: Final = 2
 
 OnRequest = Callable[[bytes, HostId, Envelope], None]
-"""Takes the way back, the sender and the envelope."""
+"""Takes the return route, the sender and the envelope."""
 
 OnForged = Callable[[str, str], None]
 """Takes the host id that a message claimed and the one that its key belongs to."""
 
 
 class PeerInbox:
-    """Reads calls and one-way messages, checks their sender, and sends answers back."""
+    """Receives calls and one-way messages, verifies their sender, and sends answers."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         await self._reader.run()
 
     def answer(self, return_route: bytes, caller: HostId, frame: bytes) -> None:
-        """Send an answer, or count it if the asker is gone or its queue is full."""
+        """Send an answer, or count it if the caller is gone or its queue is full."""
         try:
             self._socket.send_multipart([return_route, frame], zmq.NOBLOCK)
         except zmq.ZMQError:
@@ -67,7 +67,7 @@
             frames = self._socket.recv_multipart(zmq.NOBLOCK)
             self._accept_frames(frames, authenticated=None)
             return
-        # Only frames, not plain bytes, carry the host id that the authentication found.
+        # Only frames, not plain bytes, carry the host id that the authentication established.
         checked: list[Any] = self._socket.recv_multipart(zmq.NOBLOCK, copy=False)
         authenticated = checked[-1].get("User-Id")
         self._accept_frames([frame.bytes for frame in checked], authenticated=authenticated)
--- a/src/galenastall/transport/peer_link.py
+++ b/src/galenastall/transport/peer_link.py
@@ -1,8 +1,8 @@
 """Peer link over ZeroMQ: one ROUTER that peers connect to, one DEALER for each peer called.
 
-Answers come back on the connection of their call. A call is UNREACHABLE only if it was not handed
-to ZeroMQ, which takes messages only for connected peers; from then on it is TIMEOUT or CUT.
-Each message is handled in a task of its own, so handlers run in no promised order.
+Answers return on the connection of their call. A call fails as UNREACHABLE only if it was not
+passed to ZeroMQ, which accepts messages only for connected peers; later failures are TIMEOUT or
+CUT. Each message is handled in a separate task, so the order of handlers is not guaranteed.
 """
 
 import itertools
@@ -36,12 +36,12 @@
 M = TypeVar("M")
 
 MAX_CONCURRENT_MESSAGES: Final = 2_000
-"""Messages in the hands of handlers; calls beyond it are answered OVERLOADED."""
+"""Messages handled concurrently; further calls are answered OVERLOADED."""
 _STEP: Final = "peer.call"
 _MAX_REPORTED_FORGERIES: Final = 256
 
 OnRejectedPeer = Callable[[str, str], None]
-"""Takes who was kept out, by IP number or host id, and why; once for each."""
+"""Takes the rejected peer (IP address or host id) and the cause; called once for each."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
@@ -67,7 +67,7 @@
         log_error: ErrorLog | None = None,
         on_rejected_peer: OnRejectedPeer = lambda _peer, _why: None,
     ) -> None:
-        """Prepare the link; `run` binds it. With `curve` only hosts of its list get in.
+        """Prepare the link; `run` binds it. With `curve`, only hosts with listed keys may connect.
 
         `hybrid` should be the clock of the process's events: messages carry its time.
         """
@@ -84,7 +84,7 @@
         self._addresses_by_id: dict[HostId, str] = {}
         self._outboxes_by_id: dict[HostId, PeerOutbox] = {}
         self._pending_by_id: dict[int, _Pending] = {}
-        # Ids of two lives of a process differ, so that their calls can be told apart in logs.
+        # Ids differ between incarnations of a process, so that logs can distinguish their calls.
         first = xxhash.xxh32_intdigest(incarnation.encode()) << 24
         self._correlation_ids = itertools.count(first + 1)
         self._delays = DelayLine()
@@ -97,7 +97,7 @@
         """Messages and bytes by peer."""
         self._removed_counters = LinkCounters()
         self.dropped = DroppedCounters()
-        """Messages taken in and not used."""
+        """Counters of dropped messages."""
 
     @property
     def host_id(self) -> HostId:
@@ -106,12 +106,12 @@
 
     @property
     def address(self) -> str:
-        """`IP:port` really bound; empty before `run` has started."""
+        """Actual `IP:port` bound; empty before `run` has started."""
         return self._inbox.address if self._inbox else ""
 
     @property
     def totals(self) -> LinkCounters:
-        """Messages and bytes to and from all peers since the start, those gone included."""
+        """Messages and bytes to and from all peers since the start, removed peers included."""
         totals = LinkCounters()
         totals.add(self._removed_counters)
         for counters in self.counters_by_id.values():
@@ -125,7 +125,7 @@
 
     @property
     def refused_by_peer(self) -> dict[tuple[str, str], int]:
-        """The same by IP number and public key of the other side."""
+        """The same by IP address and public key of the peer."""
         return dict(self._zap.refused_by_peer) if self._zap else {}
 
     def set_peers(self, addresses_by_id: dict[HostId, str]) -> None:
@@ -139,7 +139,7 @@
             self._removed_counters.add(self.counters_by_id.pop(gone))
 
     def set_allowed_keys(self, allowed_by_host_id: dict[HostId, str]) -> None:
-        """Replace the list of public keys; connections that are up stay."""
+        """Replace the list of public keys; established connections stay open."""
         if self._curve is None or self._zap is None:
             raise ValueError("this link runs without CURVE keys")
         self._zap.set_allowed(allowed_by_host_id)
@@ -147,7 +147,7 @@
         self._curve.allowed_by_host_id.update(allowed_by_host_id)
 
     def handle(self, message_type: type[M], handler: PeerHandler) -> None:
-        """Route messages of this type to `handler`; raises ValueError if one is there."""
+        """Route messages of this type to `handler`; raises ValueError if one is set."""
         self._handlers.add(message_type, handler)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -183,12 +183,12 @@
     async def call(
         self, *, peer: HostId, message: object, timeout_s: float
     ) -> Result[Any, StepError]:
-        """Send and wait for the typed answer; see the protocol for the errors."""
+        """Send and wait for the typed answer; see `protocol.peers.PeerLink` for the errors."""
         if peer == self._host_id:
             return await self._call_locally(message, timeout_s)
         outbox = self._outbox_of(peer)
         if outbox is None:
-            return _failure(peer, Reason.UNREACHABLE, "not known, not allowed or cut off")
+            return _failure(peer, Reason.UNREACHABLE, "unknown, not allowed or isolated")
         correlation_id = next(self._correlation_ids)
         frame = self._request_frame(peer_wire.CALL, correlation_id, peer, message)
         if len(frame) > MAX_MESSAGE_BYTES:
@@ -196,7 +196,7 @@
         return await self._exchange(outbox, peer, correlation_id, frame, timeout_s)
 
     def send(self, *, peer: HostId, message: object) -> None:
-        """Send without an answer; lost silently if the peer can't be reached."""
+        """Send a one-way message; it is lost silently if the peer can't be reached."""
         if peer == self._host_id:
             if self._nursery is not None:
                 self._nursery.start_soon(self._handle, None, peer, 0, message)
@@ -237,7 +237,7 @@
         return True
 
     def _send_with_faults(self, peer: HostId, send: Callable[[], object]) -> None:
-        """Send now, later or never, as the faults have it."""
+        """Send, delay or drop, according to the injected faults."""
         if peer in self._faults.lossy or peer in self._faults.cut:
             return
         delay_s = self._faults.delay_s_by_peer.get(peer, 0.0)
@@ -287,7 +287,7 @@
         try:
             self._nursery.start_soon(outbox.run)
         except RuntimeError:
-            # The link has ended; a socket left open would hold up its context for ever.
+            # The link has ended; a socket left open would block the termination of its context.
             socket.close(linger=0)
             return None
         self._outboxes_by_id[peer] = outbox
--- a/src/galenastall/transport/peer_outbox.py
+++ b/src/galenastall/transport/peer_outbox.py
@@ -1,4 +1,4 @@
-"""What goes to one peer: its DEALER socket, and one-way messages that wait for the connection."""
+"""Outbound side for one peer: its DEALER socket, and one-way messages queued until connected."""
 
 from collections import deque
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 from galenastall.transport.zmq_sockets import Socket, SocketReader
 
 MAX_WAITING_ONE_WAY: Final = 64
-"""One-way messages that wait for a connection; the oldest gives way."""
+"""One-way messages queued for a connection; when full, the oldest is dropped."""
 ONE_WAY_TIMEOUT_S: Final = 1.0
-"""Seconds after which a one-way message that still waits is dropped."""
+"""Seconds after which a queued one-way message is dropped."""
 
 
 class PeerOutbox:
-    """Hands frames to one peer's socket; says truthfully whether it took them."""
+    """Passes frames to one peer's socket and reports whether the socket accepted them."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         clock: Clock,
         on_frame: Callable[[bytes], None],
     ) -> None:
-        """Take over the socket; `on_frame` gets each frame that the peer answers with."""
+        """Take ownership of the socket; `on_frame` receives each answer frame of the peer."""
         self.address = address
         self._socket = socket
         self._counters = counters
@@ -53,13 +53,13 @@
             self._writable.set()
 
     def close(self) -> None:
-        """End `run`; whoever waits to send is told."""
+        """End `run` and wake all tasks that wait to send."""
         self.is_closed = True
         self._writable.set()
         self._reader.stop()
 
     def try_send(self, frame: bytes) -> bool:
-        """Hand the frame over; False if not connected or the queue is full: nothing was taken."""
+        """Pass the frame to the socket; False, with nothing sent, if unconnected or queue full."""
         if self.is_closed or not self._enqueue(frame):
             return False
         while self._reader.drain():
@@ -67,7 +67,7 @@
         return True
 
     def send_or_queue(self, frame: bytes) -> None:
-        """Hand the frame over now or as soon as the peer is connected, within the patience."""
+        """Send the frame now, or queue it until the peer connects or the time-out expires."""
         if self.try_send(frame):
             return
         if len(self._waiting) == MAX_WAITING_ONE_WAY:
@@ -75,7 +75,7 @@
         self._waiting.append((self._clock.now() + ONE_WAY_TIMEOUT_S, frame))
 
     async def wait_writable(self) -> None:
-        """Return when sending is worth another try."""
+        """Wait until sending should be retried."""
         event = self._writable
         if event.is_set():
             event = self._writable = trio.Event()
--- a/src/galenastall/transport/peer_wire.py
+++ b/src/galenastall/transport/peer_wire.py
@@ -13,22 +13,22 @@
 from galenastall.state.timeline import HybridTime
 
 CALL: Final = 1
-"""Wants an answer."""
+"""Expects an answer."""
 ONE_WAY: Final = 2
 ANSWER: Final = 3
-"""Carries the handler's message."""
+"""Carries the message returned by the handler."""
 NO_MESSAGE: Final = 4
 """An answer whose handler returned nothing."""
 ERROR: Final = 5
-"""Carries the handler's StepError."""
+"""Carries the StepError returned by the handler."""
 
 NO_TIME: Final = HybridTime(wall_ms=0)
-"""The hybrid time of a process that keeps none."""
+"""Placeholder of a process without a hybrid clock."""
 _NOTHING: Final = msgspec.Raw(msgspec.msgpack.encode(None))
 
 
 class Envelope(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """What is around a message."""
+    """Header and body of a message."""
 
     kind: int
     correlation_id: int
@@ -36,12 +36,12 @@
     sender: str = ""
     """Host id of the sender; empty in answers."""
     target: int = 0
-    """Digest of the host id meant, since addresses are reused; 0 in answers."""
+    """Digest of the intended host id, since addresses are reused; 0 in answers."""
     name: str = ""
     """Wire name of the message."""
     body: msgspec.Raw = _NOTHING
     wall_ms: int = 0
-    """Hybrid time of the sender, so that the events of both ends keep their order."""
+    """Hybrid time of the sender, which keeps events of sender and receiver ordered."""
     counter: int = 0
 
 
@@ -50,7 +50,7 @@
 
 
 def host_digest(host: HostId) -> int:
-    """Return 32 bits that stand for a host id."""
+    """Return a 32-bit digest of a host id."""
     return xxhash.xxh32_intdigest(host.encode())
 
 
@@ -99,7 +99,7 @@
 
 
 def decode_answer(envelope: Envelope, *, peer: HostId) -> Result[Any, StepError]:
-    """Return what the peer's handler returned; an unreadable answer counts as cut."""
+    """Return the result of the peer's handler; an undecodable answer is a CUT error."""
     if envelope.kind == NO_MESSAGE:
         return Success(None)
     if envelope.kind == ANSWER:
--- a/src/galenastall/transport/platform_http.py
+++ b/src/galenastall/transport/platform_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP and JSON; filed in PLATFORM_ADAPTERS under `http`."""
+"""The platform over HTTP and JSON; registered in PLATFORM_ADAPTERS as `http`."""
 
 from typing import Final
 
@@ -26,8 +26,8 @@
 ) -> Platform:
     """Return the platform whose log and host list are at `address` (`IP:port`).
 
-    `timeout_s` bounds each call but those to upstreams, which last until their not-after time; a
-    read of the log may wait for its own time on top. `caller` names this entry host.
+    `timeout_s` bounds each call except those to upstreams, which last until their not-after time; a
+    log read may wait for its `wait_s` in addition. `caller` identifies this entry host.
     """
     headers = {CALLER: caller} if caller else {}
     json_caller = JsonCaller(client=client, timeout_s=timeout_s, headers=headers)
--- a/src/galenastall/transport/platform_http_call.py
+++ b/src/galenastall/transport/platform_http_call.py
@@ -1,4 +1,4 @@
-"""JSON calls of the platform's adapters, with typed answers and exact errors."""
+"""JSON calls of the platform's adapters, with typed responses and precise errors."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -17,7 +17,7 @@
 
 
 class JsonCaller:
-    """Calls whose answers are JSON of a given type."""
+    """Makes calls whose responses are JSON of a given type."""
 
     def __init__(self, *, client: HttpClient, timeout_s: float, headers: Mapping[str, str]) -> None:
         """Send `headers` with each call."""
@@ -29,7 +29,7 @@
     async def get(
         self, *, address: str, path: str, answer_type: type[T], step: str, wait_s: float = 0.0
     ) -> Result[T, StepError]:
-        """Get a typed answer; `wait_s` is added to the timeout."""
+        """Get a typed response; `wait_s` is added to the time-out."""
         answer = await self._client.request(
             method="GET",
             address=address,
@@ -43,7 +43,7 @@
     async def post(
         self, *, address: str, path: str, message: object, answer_type: type[T], step: str
     ) -> Result[T, StepError]:
-        """Post a JSON message and return the typed answer."""
+        """Post a JSON message and return the typed response."""
         answer = await self._client.request(
             method="POST",
             address=address,
@@ -62,7 +62,7 @@
     if answer.status // 100 != _OK_CLASS:
         error = error_from_response(answer, step=step, peer=peer)
         return Failure(replace(error, step=step, peer=peer))
-    # Success was said, so an answer that can't be read may stand for an effect.
+    # The server reported success, so a request with an unreadable response may have taken effect.
     return decode_json(answer.body, answer_type, step=step, peer=peer).alt(
         lambda error: replace(error, reason=Reason.CUT)
     )
--- a/src/galenastall/transport/platform_http_log.py
+++ b/src/galenastall/transport/platform_http_log.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AppendAnswer:
-    """Where the first text went."""
+    """Offset of the first appended text."""
 
     offset: Offset
 
@@ -37,7 +37,7 @@
     async def append(
         self, *, stream: StreamName, texts: Sequence[str]
     ) -> Result[Offset, StepError]:
-        """Append all texts as one; see LogService."""
+        """Append all texts atomically; see LogService."""
         answer = await self._caller.post(
             address=self._address,
             path=_path_of(stream),
@@ -74,7 +74,7 @@
         kind: HostKind | None = None,
         known_version: str | None = None,
     ) -> Result[HostListing, StepError]:
-        """Return the list as the platform now shows it; see HostListService."""
+        """Return the platform's current host list; see HostListService."""
         parameters = {"data_centre": data_centre, "kind": kind, "known_version": known_version}
         query = urlencode({name: value for name, value in parameters.items() if value})
         return await self._caller.get(
--- a/src/galenastall/transport/platform_http_upstreams.py
+++ b/src/galenastall/transport/platform_http_upstreams.py
@@ -1,4 +1,4 @@
-"""Calls to executors over HTTP: bodies streamed, answers matched by attempt, never guessed."""
+"""Calls to executors over HTTP, with streamed bodies and responses matched by attempt id."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import AbstractAsyncContextManager
@@ -33,7 +33,7 @@
     429: Reason.OVERLOADED,
     503: Reason.OVERLOADED,
 }
-"""What an executor that ran nothing means; anything else is REFUSED."""
+"""Reasons for a status with outcome NOT_RUN; any other status is REFUSED."""
 
 
 class HttpUpstreams:
@@ -48,9 +48,9 @@
     def call(
         self, *, address: str, call: UpstreamCall, body: AsyncIterator[bytes]
     ) -> AbstractAsyncContextManager[Result[UpstreamAnswer, StepError]]:
-        """Send a request and stream its answer; see UpstreamService.
+        """Send a request and stream its response; see UpstreamService.
 
-        The call lasts until its not-after time; one that is past it is not sent.
+        The call lasts until its not-after time; a call past that time is not sent.
         """
         return _OpenCall(service=self, address=address, call=call, body=body)
 
@@ -85,7 +85,7 @@
 
 
 class _OpenCall(AbstractAsyncContextManager[Result[UpstreamAnswer, StepError]]):
-    """One call; a class, as a generator's bookkeeping costs more than the call's own."""
+    """One call; a class, since a generator-based context manager would cost more than it."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
 def _interpret(
     answer: StreamedResponse, call: UpstreamCall, address: str
 ) -> Result[UpstreamAnswer, StepError]:
-    """Take an answer for what it says, and only if it names this attempt."""
+    """Interpret a response; it counts only if it names this attempt."""
     echoed = answer.headers.get(ATTEMPT_ID, "")
     if echoed != call.attempt_id:
         detail = f"status {answer.status} names attempt {echoed!r}, not {call.attempt_id!r}"
@@ -142,7 +142,7 @@
 
 
 def _outcome_of(answer: StreamedResponse) -> Outcome:
-    """Return the executor's word; without one a success is done and the rest is unknown."""
+    """Return the reported outcome; without one, a success status is DONE and others UNKNOWN."""
     outcome = _OUTCOMES_BY_VALUE.get(answer.headers.get(OUTCOME, ""))
     if outcome is not None:
         return outcome
@@ -161,7 +161,7 @@
 
 
 class _CheckedBody:
-    """Chunks of an answer's body, with a break told as UpstreamCutError."""
+    """Chunks of a response body; a truncation raises UpstreamCutError."""
 
     def __init__(self, chunks: AsyncIterator[bytes]) -> None:
         self._chunks = chunks
--- a/src/galenastall/transport/platform_http_workers.py
+++ b/src/galenastall/transport/platform_http_workers.py
@@ -30,7 +30,7 @@
     tasks: tuple[TaskId, ...]
     epoch: Epoch
     share: float = 1.0
-    """What a throttle leaves, 0 to 1."""
+    """Share of its speed that a throttled task keeps, 0 to 1."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -63,7 +63,7 @@
     async def throttle(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch, share: float
     ) -> Answers:
-        """Slow tasks down; see WorkerService."""
+        """Throttle tasks; see WorkerService."""
         message = TasksMessage(tasks=tuple(tasks), epoch=epoch, share=share)
         return await self._post(address, "throttle", message)
 
@@ -85,7 +85,7 @@
         )
 
     async def listing(self, *, address: str, since: str = "") -> Result[WorkerListing, StepError]:
-        """List what runs and what finished; see WorkerService."""
+        """List running and finished tasks; see WorkerService."""
         host, path = _split(address)
         query = f"?since={quote(since, safe='')}" if since else ""
         return await self._caller.get(
--- a/src/galenastall/transport/timeline_plot.py
+++ b/src/galenastall/transport/timeline_plot.py
@@ -1,6 +1,6 @@
-"""A time line as a picture: a row for each process, a mark for each event.
+"""Plots a time line: a row for each process, a marker for each event.
 
-Drawing needs matplotlib, which is an optional part of the installation.
+Plotting needs matplotlib, which is an optional dependency.
 """
 
 import io
@@ -14,7 +14,7 @@
 _WIDTH_INCHES: Final = 12.0
 _ROW_INCHES: Final = 0.9
 _LABELLED_EVENTS: Final = 40
-"""Up to this many events are labelled; more would cover each other."""
+"""Up to this many events are labelled; more labels would overlap."""
 
 
 class PlotUnavailableError(GalenastallError):
@@ -22,7 +22,7 @@
 
 
 def plot_timeline(timeline: MergedTimeline, *, image_format: PlotFormat = "svg") -> bytes:
-    """Return the picture; raises PlotUnavailableError without matplotlib."""
+    """Return the image; raises PlotUnavailableError without matplotlib."""
     try:
         from matplotlib.figure import Figure  # noqa: PLC0415 - optional, and slow to import
     except ImportError as error:
--- a/src/galenastall/transport/zap_server.py
+++ b/src/galenastall/transport/zap_server.py
@@ -1,8 +1,8 @@
-"""ZeroMQ's authentication hook (ZAP), answered on the trio loop without a thread of its own.
+"""ZeroMQ authentication (ZAP) served on the trio loop, without a separate thread.
 
-A connection whose public key is not on the list is refused in the handshake; for the others the
-host id that the key belongs to goes into the User-Id of each message, where the link checks it
-against the host id that the message claims.
+A connection whose public key is not on the list is refused in the handshake. For other
+connections, the User-Id of each message is the host id that owns the key; the link compares it
+with the host id that the message claims.
 """
 
 from collections.abc import Callable
@@ -19,15 +19,15 @@
 _VERSION: Final = b"1.0"
 _REQUEST_FRAMES: Final = 7
 _KEYS_KEPT: Final = 256
-"""Refused keys counted one by one; further ones are counted together."""
+"""Refused keys counted separately; further keys are counted together."""
 OTHER_KEYS: Final = "other"
 
 OnRefused = Callable[[str, str], None]
-"""Takes the other side's IP number and its public key in Z85, once for each."""
+"""Takes the IP address and the Z85 public key of a refused peer; called once for each."""
 
 
 class ZapServer:
-    """Says for each connecting key whose it is."""
+    """Maps each connecting public key to its host id."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         allowed: dict[HostId, str],
         on_refused: OnRefused = lambda _address, _key: None,
     ) -> None:
-        """Bind before any socket that asks; `allowed` gives Z85 public keys."""
+        """Bind; must precede any socket that authenticates. `allowed` holds Z85 public keys."""
         self._on_refused = on_refused
         self._hosts_by_key: dict[bytes, HostId] = {}
         self.refused = 0
         """Connections refused so far."""
         self.refused_by_peer: dict[tuple[str, str], int] = {}
-        """The same by IP number and public key."""
+        """The same by IP address and public key."""
         self.set_allowed(allowed)
         self._socket = context.socket(zmq.REP)
         self._socket.bind(_ENDPOINT)
@@ -58,7 +58,7 @@
         self._hosts_by_key = hosts_by_key
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Answer until cancelled."""
+        """Serve authentication requests until cancelled."""
         task_status.started()
         descriptor = int(self._socket.getsockopt(zmq.FD))
         try:
--- a/src/galenastall/transport/zmq_sockets.py
+++ b/src/galenastall/transport/zmq_sockets.py
@@ -1,7 +1,7 @@
-"""ZeroMQ sockets set up for peer links, and reading them from the trio loop.
+"""Creates ZeroMQ sockets for peer links and reads them from the trio loop.
 
-A socket's descriptor is edge-triggered: it tells of a change only once, and sending may consume
-that. So both a wake-up and a send are followed by reading until nothing is left.
+A socket's descriptor is edge-triggered: it signals a change only once, and sending may consume
+the signal. Both a wake-up and a send are therefore followed by reading until the socket is empty.
 """
 
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from galenastall.transport.zap_server import ZAP_DOMAIN
 
 MAX_MESSAGE_BYTES: Final = 4 * 1024 * 1024
-"""Larger messages are refused by the sender and end the connection at the receiver."""
+"""Larger messages are rejected by the sender and close the connection at the receiver."""
 QUEUE_MESSAGES: Final = 1000
-"""Messages queued for a peer, and from it, before sending waits."""
+"""Messages queued to and from a peer before sending blocks."""
 _UNACKNOWLEDGED_MS: Final = 10_000
-"""Milliseconds after which TCP gives up a connection whose bytes nobody acknowledges."""
+"""Milliseconds after which TCP closes a connection with unacknowledged data."""
 _RECONNECT_MS: Final = 100
 _RECONNECT_MAX_MS: Final = 400
-"""Longest pause before the next try: a host that is back after a takeover of 1 s must be heard."""
+"""Longest reconnect interval: a host that is back after a takeover of 1 s must be reachable."""
 _HEARTBEAT_MS: Final = 500
-"""Between two pings of a connection, so that one that has gone silent without a reset is ended."""
+"""Interval between pings, which detect a connection that went dead without a reset."""
 _HEARTBEAT_TIMEOUT_MS: Final = 1_500
 _KEEPALIVE_IDLE_S: Final = 30
 _CLOSE_LINGER_MS: Final = 200
@@ -35,18 +35,18 @@
 
 
 def check_curve_keys(curve: CurveKeys) -> None:
-    """Raise ValueError naming the key that is malformed or does not belong to the other."""
+    """Raise ValueError naming a key that is malformed or does not match its counterpart."""
     try:
         public_key = zmq.curve_public(curve.secret_key.encode())
     except (ValueError, zmq.ZMQError):
-        raise ValueError("curve.secret_key: is no CURVE key") from None
+        raise ValueError("curve.secret_key: is not a CURVE key") from None
     if public_key != curve.public_key.encode():
-        raise ValueError("curve.public_key: does not belong to curve.secret_key")
+        raise ValueError("curve.public_key: does not match curve.secret_key")
     for host, key in curve.allowed_by_host_id.items():
         try:
             z85.decode(key.encode())
         except (ValueError, KeyError):
-            raise ValueError(f"curve.allowed_by_host_id.{host}: is no CURVE key") from None
+            raise ValueError(f"curve.allowed_by_host_id.{host}: is not a CURVE key") from None
 
 
 def make_router(*, context: Context, bind: str, curve: CurveKeys | None) -> Socket:
@@ -102,7 +102,7 @@
 
 
 class SocketReader:
-    """Feeds a socket's messages to a callback on the loop."""
+    """Passes a socket's messages to a callback on the trio loop."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         on_readable: Callable[[], None],
         on_writable: Callable[[], None] | None = None,
     ) -> None:
-        """`on_readable` takes one message off the socket; neither callback may block."""
+        """Create a reader; `on_readable` receives one message, and neither callback may block."""
         self._socket = socket
         self._on_readable = on_readable
         self._on_writable = on_writable
@@ -119,7 +119,7 @@
         self._descriptor = int(socket.getsockopt(zmq.FD))
 
     def drain(self) -> bool:
-        """Read what is there, up to a bound; return whether more may be left."""
+        """Read pending messages, up to a bound; return whether more may be pending."""
         for _ in range(_READ_BATCH):
             events = int(self._socket.getsockopt(zmq.EVENTS))
             if events & zmq.POLLOUT and self._on_writable is not None:
