--- a/src/galenastall/node/cell/commit_loop.py
+++ b/src/galenastall/node/cell/commit_loop.py
@@ -1,4 +1,4 @@
-"""Group commit: one append under the term's token at a time, repeated until its fate is known."""
+"""Group commit: one append at a time under the term's token, retried until its outcome is known."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -13,29 +13,29 @@
 from galenastall.state.errors import Reason, StepError
 
 SHORTEST_TIMEOUT_S: Final = 0.25
-"""Least wait for an append's answer before the next try, which takes 7 ms; where answers get lost,
-each lost one holds up all work for this long."""
+"""Minimum wait for an append's answer before the next try. An append takes 7 ms; each lost answer
+delays all work by this much."""
 TIMEOUT_FACTOR: Final = 4.0
-"""The next try begins after this many times what appends took lately."""
-AGAIN_S: Final = 0.3
-"""Pause between further tries; a store that comes back is found out within it."""
+"""The next try begins after this many times the duration of the last answered append."""
+NEXT_TRY_AFTER_S: Final = 0.3
+"""Interval between further tries, and thus the longest delay until a recovered store is noticed."""
 ANSWER_WITHIN_S: Final = 1.5
-"""How long a try may take; a slow store takes up to 0.4 s."""
-MOST_UNDER_WAY: Final = 4
-"""Tries under way at once: half of the connections to the store."""
-REPEAT_S: Final = 0.05
-"""Pause before an append is repeated under its sequence number."""
+"""Time-out of a try; a slow store takes up to 0.4 s."""
+MAX_UNDER_WAY: Final = 4
+"""Limit of concurrent tries: half of the connections to the store."""
+RETRY_PAUSE_S: Final = 0.05
+"""Pause after a failed try before the append is retried under the same sequence number."""
 CONFIRM_KEY: Final = "confirm"
-"""Key that an idle leader rewrites."""
+"""Key that an idle leader rewrites to have the store confirm its term."""
 
 
-def parts_of(values_by_key: dict[str, bytes], *, most_bytes: int) -> list[dict[str, bytes]]:
-    """Split values into appends of at most so many bytes, in their order; a value stays whole."""
+def split_appends(values_by_key: dict[str, bytes], *, max_bytes: int) -> list[dict[str, bytes]]:
+    """Split values, in order, into appends of at most `max_bytes`; a value is never split."""
     parts: list[dict[str, bytes]] = [{}]
     size = 0
     for key, value in values_by_key.items():
         row_bytes = len(key.encode()) + len(value)
-        if parts[-1] and size + row_bytes > most_bytes:
+        if parts[-1] and size + row_bytes > max_bytes:
             parts.append({})
             size = 0
         parts[-1][key] = value
@@ -43,8 +43,8 @@
     return parts
 
 
-class _Appending:
-    """One append, tried until its fate is known."""
+class _PendingAppend:
+    """An append that is retried until its outcome is known."""
 
     def __init__(self, *, values_by_key: dict[str, bytes]) -> None:
         self.values_by_key = values_by_key
@@ -53,15 +53,15 @@
         self.is_over = False
         self.failure: StepError | None = None
         self.answered = trio.Event()
-        """Set, and replaced, whenever a try has ended."""
+        """Set and replaced whenever a try has ended."""
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         event, self.answered = self.answered, trio.Event()
         event.set()
 
 
 class CommitLoop:
-    """Writes the core's batches."""
+    """Makes the core's batches durable."""
 
     def __init__(
         self,
@@ -69,120 +69,123 @@
         context: TermContext,
         state: StatePort,
         timings: CellTimings,
-        read_anew: Callable[[], Awaitable[None]],
+        refresh_inputs: Callable[[], Awaitable[None]],
     ) -> None:
         """Write to `state` in the term of `context`.
 
-        `read_anew` brings what starts must keep to; it is called before the first starts of the
-        term, and after an outage.
+        `refresh_inputs` rereads the capacities and limits that bound starts; it is called before
+        the first starts of the term and after each outage.
         """
         self._context = context
         self._state = state
-        self._read_anew = read_anew
+        self._refresh_inputs = refresh_inputs
         self._timings = timings
         self._sequence = 0
-        self._wanted = trio.Event()
-        self._may_be_behind = True
-        """Whether no start has left since the term began, or since the store was away."""
+        self._requested = trio.Event()
+        self._inputs_may_be_stale = True
+        """Whether no start has been sent since the term began or the store last failed."""
         self.last_append_s = 0.0
-        """How long the last answered append took."""
+        """Duration of the last answered append."""
         self.failing_since: float | None = None
-        """When appends began to fail; None while they go through."""
+        """When appends began to fail; None while they succeed."""
         self.refused_since: float | None = None
-        """When the store began to refuse appends; None while they go through."""
+        """When the store began to refuse appends; None while they succeed."""
 
-    def want(self) -> None:
-        """Ask for an append soon."""
-        self._wanted.set()
+    def request(self) -> None:
+        """Request an append soon."""
+        self._requested.set()
 
     async def run(self, send: Callable[[list[StartOrder]], None]) -> None:
-        """Append until cancelled; starts that may leave go to `send`."""
+        """Append until cancelled; pass starts that have become durable to `send`."""
         begun_at = float("-inf")
         while True:
             with trio.move_on_after(self._timings.confirm_every_s):
-                await self._wanted.wait()
-            self._wanted = trio.Event()
+                await self._requested.wait()
+            self._requested = trio.Event()
             await trio.sleep_until(begun_at + self._timings.commit_every_s)
             begun_at = trio.current_time()
             send(await self.commit())
 
     async def commit(self) -> list[StartOrder]:
-        """Make all changes so far durable; return the starts that may leave.
+        """Make all changes so far durable; return the starts that may be sent.
 
-        Nothing is acted on before its last part is durable. Parts that a lost term leaves behind
-        hold assignments whose orders never left, which the next leader's first listings settle.
+        A batch takes effect only once its last part is durable. If the term is lost in between, the
+        written parts contain assignments whose orders were never sent; the next leader resolves
+        them with the first listings.
         """
         context = self._context
         batch = context.core.take_batch()
         values = batch.values_by_key or {CONFIRM_KEY: b"%d" % self._sequence}
-        # A store refuses an append above its limit as often as it is sent, and all work would stop.
-        for part in parts_of(values, most_bytes=self._state.append_bytes):
+        # The store refuses an append above its size limit on every retry, so all work would stop.
+        for part in split_appends(values, max_bytes=self._state.append_bytes):
             self._sequence += 1
             await self._append(part)
-        if batch.starts and self._may_be_behind:
-            # Capacities and limits may have shrunk meanwhile, and executors need not guard theirs.
-            await self._read_anew()
-            self._may_be_behind = False
+        if batch.starts and self._inputs_may_be_stale:
+            # Capacities and limits may have shrunk meanwhile, and executors do not have to enforce
+            # their own.
+            await self._refresh_inputs()
+            self._inputs_may_be_stale = False
         starts = context.core.commit(batch, wall=context.wall())
-        context.tell_committed()
+        context.notify_committed()
         context.wake()
         return starts
 
     async def _append(self, values_by_key: dict[str, bytes]) -> None:
-        """Append, and again beside a try that gets no answer, until one is answered.
+        """Append, with concurrent retries while earlier tries are unanswered, until one succeeds.
 
-        The store takes each sequence number once, so tries under way at once do no harm. With one
-        try a time a leader was found silent at the end of an outage, for the last one still hung.
+        The store applies each sequence number once, so concurrent tries are harmless. With a single
+        try at a time, a leader appeared unresponsive at the end of an outage because its last try
+        still hung.
         """
-        appending = _Appending(values_by_key=values_by_key)
-        # Each try keeps a slow store busy for some more 0.2 s, so the second waits longer there.
+        pending = _PendingAppend(values_by_key=values_by_key)
+        # Each try costs a slow store about 0.2 s more, so the second try waits longer there.
         pause_s = max(SHORTEST_TIMEOUT_S, TIMEOUT_FACTOR * self.last_append_s)
         async with trio.open_nursery() as nursery:
-            while not appending.is_over:
-                if appending.under_way < MOST_UNDER_WAY:
-                    nursery.start_soon(self._try, appending)
+            while not pending.is_over:
+                if pending.under_way < MAX_UNDER_WAY:
+                    nursery.start_soon(self._try, pending)
                 with trio.move_on_after(min(pause_s, ANSWER_WITHIN_S)):
-                    await appending.answered.wait()
-                    await trio.sleep(0.0 if appending.is_over else REPEAT_S)
-                self._judge(appending)
-                pause_s = AGAIN_S
+                    await pending.answered.wait()
+                    await trio.sleep(0.0 if pending.is_over else RETRY_PAUSE_S)
+                self._update_outage(pending)
+                pause_s = NEXT_TRY_AFTER_S
             nursery.cancel_scope.cancel()
 
-    async def _try(self, appending: "_Appending") -> None:
+    async def _try(self, pending: "_PendingAppend") -> None:
         context = self._context
         sent_at = trio.current_time()
-        appending.under_way += 1
+        pending.under_way += 1
         answer = await self._state.append(
             token=context.token,
             sequence=self._sequence,
-            values_by_key=appending.values_by_key,
+            values_by_key=pending.values_by_key,
             timeout_s=ANSWER_WITHIN_S,
         )
-        appending.under_way -= 1
+        pending.under_way -= 1
         if not isinstance(answer, Failure):
             context.confirmed_at = max(context.confirmed_at, sent_at)
             self.last_append_s = trio.current_time() - sent_at
             self.refused_since = None
-            appending.is_over = True
+            pending.is_over = True
         else:
-            appending.failure = answer.failure()
-            if self.refused_since is None and not appending.failure.may_have_taken_effect:
+            pending.failure = answer.failure()
+            if self.refused_since is None and not pending.failure.may_have_taken_effect:
                 self.refused_since = sent_at
-            if appending.failure.reason is Reason.CONFLICT:
-                context.lose(str(appending.failure))
-        appending.tell()
+            if pending.failure.reason is Reason.CONFLICT:
+                context.lose(str(pending.failure))
+        pending.notify()
 
-    def _judge(self, appending: "_Appending") -> None:
-        """Note that appends fail, or go through again."""
-        if appending.is_over:
+    def _update_outage(self, pending: "_PendingAppend") -> None:
+        """Record that appends fail, or succeed again."""
+        if pending.is_over:
             self._note_regained()
         elif self.failing_since is None:
-            self.failing_since = appending.begun_at
-            cause = str(appending.failure) if appending.failure else "no answer yet"
+            self.failing_since = pending.begun_at
+            cause = str(pending.failure) if pending.failure else "no answer yet"
             self._context.note("store.lost", cause=cause)
 
     def _note_regained(self) -> None:
         if self.failing_since is not None:
             self.failing_since = None
-            self._may_be_behind = True
+            self._inputs_may_be_stale = True
             self._context.note("store.regained")
--- a/src/galenastall/node/cell/leader_desk.py
+++ b/src/galenastall/node/cell/leader_handler.py
@@ -1,4 +1,4 @@
-"""Answers entry hosts' calls about jobs in the leader's name."""
+"""The leader's handlers for entry hosts' calls about jobs."""
 
 from collections.abc import Callable
 from typing import Final
@@ -22,75 +22,75 @@
 from galenastall.state.errors import Reason, StepError
 
 BEGIN_WITHIN_S: Final = 0.7
-"""A submission whose writing has not begun by then is withdrawn and answered as not run."""
+"""A submission whose append has not begun by then is withdrawn and answered as not run."""
 SHARE_OF_PATIENCE: Final = 0.4
-"""Of the time that a caller waits, at most this much is spent before it is told that its job is
-not stored or that this is not known: it can still ask again."""
-STORE_AWAY_S: Final = 0.5
-"""Once appends have failed for longer, submissions are refused at once: they would only wait."""
+"""Largest share of a caller's time after which it is answered that its job is not stored, or that
+the outcome is unknown, so that it can still retry."""
+STORE_OUTAGE_S: Final = 0.5
+"""Once appends have failed for longer, submissions are refused at once instead of waiting."""
 
 
-class LeaderDesk:
+class LeaderHandler:
     """Serves calls during one term."""
 
     def __init__(
         self, *, term: LeaderTerm, host_id: str, has_followers: Callable[[], bool]
     ) -> None:
-        """Answer from the core of `term`; `has_followers` says whether most hosts follow it."""
+        """Answer from the core of `term`; `has_followers`: whether most hosts follow it."""
         self._term = term
         self._host_id = host_id
         self._has_followers = has_followers
 
     async def submit(self, message: SubmitJob) -> SubmitAnswer | StepError:
-        """Take a job in, and answer once its fate is known or the caller's patience ends."""
+        """Accept a job; answer once the outcome is known or the caller's time share is used up."""
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
         term = self._term
-        if term.store_away_s > STORE_AWAY_S and message.job.job_id not in term.core.jobs_by_id:
-            return self._not_taken()
+        if term.store_outage_s > STORE_OUTAGE_S and message.job.job_id not in term.core.jobs_by_id:
+            return self._not_stored()
         run = term.core.submit(message.job, wall=term.context.wall())
         if not may_access(owner=run.job.workspace, workspace=message.job.workspace):
             return SubmitAnswer(verdict=SubmitVerdict.TAKEN, cause="another workspace has this id")
-        term.want_commit()
-        patience_s = SHARE_OF_PATIENCE * message.patience_s
-        await self._wait_durable(run, min(patience_s, BEGIN_WITHIN_S))
+        term.request_commit()
+        timeout_s = SHARE_OF_PATIENCE * message.patience_s
+        await self._wait_durable(run, min(timeout_s, BEGIN_WITHIN_S))
         if run.is_durable:
             return SubmitAnswer(verdict=SubmitVerdict.ACCEPTED)
         if term.core.withdraw(message.job.job_id):
             if term.loss:
                 return self._error(Reason.NOT_OWNER, term.loss)
-            term.context.note("job.withdrawn", message.job.job_id, cause="the store is away")
-            return self._not_taken()
-        await self._wait_durable(run, max(patience_s - BEGIN_WITHIN_S, 0.0))
+            term.context.note("job.withdrawn", message.job.job_id, cause="the store is unavailable")
+            return self._not_stored()
+        await self._wait_durable(run, max(timeout_s - BEGIN_WITHIN_S, 0.0))
         if run.is_durable:
             return SubmitAnswer(verdict=SubmitVerdict.ACCEPTED)
         return SubmitAnswer(verdict=SubmitVerdict.UNKNOWN, cause="no answer from the store")
 
-    def _not_taken(self) -> SubmitAnswer:
-        """Answer for a job that this leader has not stored, while the store is away.
+    def _not_stored(self) -> SubmitAnswer:
+        """Answer for a job that this leader has not stored while the store is unavailable.
 
-        While most hosts follow this leader there is no other, so no one else has stored it either.
+        While most hosts follow this leader there is no other, so no other can have stored the job.
         """
-        cause = "the store is away"
+        cause = "the store is unavailable"
         if self._has_followers():
             return SubmitAnswer(verdict=SubmitVerdict.NOT_RUN, cause=cause)
         cause += ", and so are most hosts"
         return SubmitAnswer(verdict=SubmitVerdict.UNKNOWN, cause=cause)
 
     async def _wait_durable(self, run: JobRun, timeout_s: float) -> None:
-        """Wait until a job's acceptance is durable, the time is over or the term has ended."""
+        """Wait until a job's acceptance is durable, the time is up or the term has ended."""
         with trio.move_on_after(timeout_s):
             while not run.is_durable and not self._term.loss:
                 await self._term.context.committed.wait()
 
-    async def ask(self, message: GetJob) -> JobAnswer | StepError:
+    async def query(self, message: GetJob) -> JobAnswer | StepError:
         """Return a job's durable phase."""
         if not await self._is_ready(message.patience_s):
             return self._error(Reason.NOT_OWNER, "not leading yet")
         run = self._find(message)
         if run is not None and run.is_durable:
             return JobAnswer(phase=run.shown_phase)
-        # Only a leader whom the store confirms after the question may say that a job is unknown.
+        # Only a leader confirmed by the store after the query arrived may call a job unknown.
         if not await self._confirm(message.patience_s):
             return self._error(Reason.UNAVAILABLE, "the store does not confirm this leader")
         run = self._find(message)
@@ -108,38 +108,38 @@
                 return self._error(Reason.UNAVAILABLE, "the store does not confirm this leader")
             return JobAnswer(phase=None)
         term.core.cancel(message.job_id, wall=term.context.wall())
-        term.want_commit()
+        term.request_commit()
         term.context.wake()
         with trio.move_on_after(message.patience_s):
             while run.shown_phase is not run.phase and not term.loss:
                 await term.context.committed.wait()
         if run.shown_phase in ENDED_PHASES:
             return JobAnswer(phase=run.shown_phase)
-        return self._error(Reason.TIMEOUT, "cancelled, and not yet durable")
+        return self._error(Reason.TIMEOUT, "cancelled, but not yet durable")
 
     def _find(self, message: GetJob | CancelJob) -> JobRun | None:
-        """Return the job that is asked for; None if the caller's workspace has none of that id."""
+        """Return the requested job; None if the caller's workspace has no job with this id."""
         run = self._term.core.jobs_by_id.get(message.job_id)
         if run is None or not may_access(owner=run.job.workspace, workspace=message.workspace):
             return None
         return run
 
     async def count_pending(self, message: CountPending) -> PendingAnswer | StepError:
-        """Return how many jobs of a queue wait for their first start."""
+        """Return how many accepted jobs of a queue wait for their first start."""
         if not self._term.ready.is_set():
             return self._error(Reason.NOT_OWNER, "not leading yet")
         return PendingAnswer(count=self._term.core.pending_of(message.queue_name))
 
-    async def _is_ready(self, patience_s: float) -> bool:
-        with trio.move_on_after(patience_s):
+    async def _is_ready(self, timeout_s: float) -> bool:
+        with trio.move_on_after(timeout_s):
             await self._term.ready.wait()
         return self._term.ready.is_set() and not self._term.loss
 
-    async def _confirm(self, patience_s: float) -> bool:
-        """Whether the store confirms the term by a call sent from now on."""
+    async def _confirm(self, timeout_s: float) -> bool:
+        """Whether the store confirms the term by a call sent after this point."""
         asked_at = trio.current_time()
-        self._term.want_commit()
-        with trio.move_on_after(patience_s):
+        self._term.request_commit()
+        with trio.move_on_after(timeout_s):
             while self._term.context.confirmed_at < asked_at and not self._term.loss:
                 await self._term.context.committed.wait()
         return self._term.context.confirmed_at >= asked_at
--- a/src/galenastall/platform/standin/server.py
+++ b/src/galenastall/platform/standin/server.py
@@ -11,7 +11,7 @@
 from galenastall.platform.standin.log_store import StandinStore
 from galenastall.protocol.clock import Clock
 from galenastall.standin.cell.executors import Executor
-from galenastall.standin.cell.live_world import LiveWorld
+from galenastall.standin.cell.live_simulation import LiveSimulation
 from galenastall.state.cell.executor_ids import (
     executor_name,
     make_executor_id,
@@ -71,7 +71,7 @@
     def __init__(self, *, plan: StandinPlan, clock: Clock) -> None:
         """Build the parts; `run` starts the executors of `plan` and serves everything."""
         self.store = StandinStore()
-        self.simulation = LiveWorld()
+        self.simulation = LiveSimulation()
         self.advisor = AdvisorRoutes()
         self.store_address = ""
         self.advisor_address = ""
@@ -114,14 +114,14 @@
         """Restart an executor under its name; it loses its state."""
         earlier = self.simulation.executors[name]
         self.simulation.crash(earlier)
-        self.simulation.earlier.append(earlier)
+        self.simulation.earlier_incarnations.append(earlier)
         self._start_executor(name, replace(earlier.info, executor_id=self._new_id(name)))
 
     def _new_id(self, name: str) -> str:
         return make_executor_id(name, int(self._clock.wall() * 1000))
 
     def _start_executor(self, name: str, info: ExecutorInfo) -> None:
-        executor = Executor(world=self.simulation, info=info)
+        executor = Executor(simulation=self.simulation, info=info)
         self.simulation.executors[name] = executor
         self._register(executor, 0)
 
--- a/tests/cell/world.py
+++ b/tests/cell/simulation.py
@@ -1,7 +1,7 @@
-"""A platform in memory for cell hosts: store, executors, links and faults, all on trio's clock.
+"""An in-memory platform for cell hosts: store, executors, links and faults, all on trio's clock.
 
-It plays what the platform promises and no more: calls may be refused, cut off, left unanswered
-after they were carried out, or carried out seconds later. It watches for what must never happen.
+It guarantees only what the platform guarantees: calls may be refused, lost, carried out without an
+answer, or carried out seconds later. It checks invariants while it runs.
 """
 
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from cell.world_hosts import CAPACITY, Hosts
-from cell.world_store import Store
+from cell.simulation_hosts import CAPACITY, Hosts
+from cell.simulation_store import Store
 from galenastall.coordination.cell.commands import StartOrder, StopOrder, ThrottleOrder
 from galenastall.coordination.cell.executors import ExecutorInfo
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
 from galenastall.protocol.cell.config import CellConfig, QueueRoute
 from galenastall.protocol.cell.executor_port import ListingAnswer, OrderAnswer, StartVerdict
 from galenastall.protocol.cell.ports import LeaderRecord, StoreView
-from galenastall.standin.cell.executors import Executor, ExecutorWorld, Run
+from galenastall.standin.cell.executors import Executor, ExecutorSimulation, Run
 from galenastall.state.cell.executor_ids import executor_name, make_executor_id
 from galenastall.state.cell.hosts import MaintenanceWave, PoolHost
 from galenastall.state.cell.jobs import CellJob, Queue, Step, TaskKey
@@ -32,27 +32,27 @@
 
 @dataclass(kw_only=True)
 class Faults:
-    """What goes wrong now; changed by tests while hosts run."""
+    """The faults in effect; tests change them while hosts run."""
 
     cut: set[tuple[str, str]] = field(default_factory=set)
-    """Pairs of caller and callee between which calls get lost."""
+    """Pairs of caller and callee between which calls are lost."""
     answers_cut: set[tuple[str, str]] = field(default_factory=set)
-    """Pairs of caller and callee between which calls arrive and answers get lost."""
+    """Pairs of caller and callee between which calls arrive but answers are lost."""
     store_refuses: set[str] = field(default_factory=set)
-    """Hosts that the store turns away."""
+    """Hosts whose calls the store refuses."""
     lost: float = 0.0
-    """Share of calls that are carried out and not answered."""
+    """Share of calls that are carried out but not answered."""
     late: float = 0.0
-    """Share of calls that are not answered and carried out late."""
+    """Share of calls that are not answered and are carried out late."""
     late_s: tuple[float, float] = (2.0, 6.0)
-    """How much later, at least and at most."""
+    """Minimum and maximum delay of late calls."""
     slow_s: float = 0.0
-    """Added to each answer of the store."""
+    """Delay added to each answer of the store."""
     load_bytes_per_s: dict[str, float] = field(default_factory=dict)
-    """How fast a host's link carries the state; hosts that are not named load at once."""
+    """Rate at which a host loads the state; hosts without an entry load at once."""
 
     def clear(self) -> None:
-        """End all trouble."""
+        """End all faults."""
         self.cut.clear()
         self.answers_cut.clear()
         self.store_refuses.clear()
@@ -60,8 +60,8 @@
         self.lost = self.late = self.slow_s = 0.0
 
 
-class World(ExecutorWorld):
-    """Everything outside the hosts, and the watch over what must hold."""
+class Simulation(ExecutorSimulation):
+    """Everything outside the hosts, with the checks of the invariants."""
 
     def __init__(
         self, *, rng: Random, nursery: trio.Nursery, executors: int = 4, keeps_ids: bool = False
@@ -70,10 +70,10 @@
         self.rng = rng
         self.nursery = nursery
         self.keeps_ids = keeps_ids
-        """Whether an executor that starts again on a host has the id that it had there."""
+        """Whether an executor that restarts on a host keeps its id."""
         self.faults = Faults()
         self.store = Store()
-        self.hosts = Hosts(world=self)
+        self.hosts = Hosts(simulation=self)
         self.links: dict[str, MemoryLink] = {}
         self.listed: dict[str, ExecutorInfo] = {}
         self.jobs: dict[str, CellJob] = {}
@@ -83,16 +83,16 @@
         )
         self.fail_share = 0.05
         self.run_lasts_s = (0.2, 2.5)
-        self.away_s = (1.0, 3.0)
-        """How long a host that a task has crashed stays away."""
+        self.crash_downtime_s = (1.0, 3.0)
+        """Minimum and maximum downtime of a host that a task has crashed."""
         self._started = 0
         self.renewals = 0
-        """Calls for a listing so far."""
+        """Number of polls for a listing so far."""
         for number in range(executors):
             self.start_executor(f"host-{number}")
 
     def start_executor(self, host: str) -> Executor:
-        """Start an executor on a host, unless one is up there."""
+        """Start an executor on a host, or return the one that is up there."""
         living = (e for e in self.executors.values() if e.is_up and e.info.host == host)
         if (executor := next(living, None)) is not None:
             return executor
@@ -108,15 +108,15 @@
             capacity=CAPACITY,
             labels=("a",),
         )
-        executor = Executor(world=self, info=info, rate=self.rng.choice([1.0, 0.98, 0.99]))
+        executor = Executor(simulation=self, info=info, rate=self.rng.choice([1.0, 0.98, 0.99]))
         if name in self.executors:
-            self.earlier.append(self.executors[name])
+            self.earlier_incarnations.append(self.executors[name])
         self.executors[name] = executor
         self.listed[name] = executor.info
         return executor
 
     def _name_on(self, host: str) -> str:
-        """Return the id of an executor that starts on a host now."""
+        """Return the id for an executor that starts on a host now."""
         names = (name for name, executor in self.executors.items() if executor.info.host == host)
         known = next(names, None) if self.keeps_ids else None
         return known or f"executor-{self._started}"
@@ -132,11 +132,11 @@
 
     async def _come_back(self, executor: Executor) -> None:
         self.nursery.start_soon(self._delist, executor)
-        await trio.sleep(self.rng.uniform(*self.away_s))
+        await trio.sleep(self.rng.uniform(*self.crash_downtime_s))
         self.start_executor(executor.info.host)
 
     async def _delist(self, executor: Executor) -> None:
-        """Remove an entry after three heartbeats of silence."""
+        """Remove an entry after three missed heartbeats."""
         await trio.sleep(self.rng.uniform(3.0, 4.5))
         self.delist(executor)
 
@@ -151,7 +151,7 @@
         return self.jobs[task.job].workspace
 
     def set_workspaces(self, *workspaces: Workspace) -> None:
-        """Have the operator write a version with these workspaces."""
+        """Write a new configuration version with these workspaces, as the operator would."""
         version = self.config.version + 1
         self.config = replace(self.config, version=version, workspaces=workspaces)
         self.quotas.set_workspaces(workspaces)
@@ -171,34 +171,36 @@
 
 
 class HostView:
-    """The platform's ports as one host reaches them."""
+    """The platform's ports as seen from one host."""
 
-    def __init__(self, *, world: World, host_id: str) -> None:
-        self.world = world
+    def __init__(self, *, simulation: Simulation, host_id: str) -> None:
+        self.simulation = simulation
         self.host_id = host_id
 
     async def _call(self, callee: str, timeout_s: float, act: Any) -> Result[Any, StepError]:
-        """Carry a call out, or what the faults make of it."""
-        world, faults = self.world, self.world.faults
-        await trio.sleep(world.rng.uniform(0.001, 0.004))
+        """Carry out a call, subject to the current faults."""
+        simulation, faults = self.simulation, self.simulation.faults
+        await trio.sleep(simulation.rng.uniform(0.001, 0.004))
         if callee == "store" and self.host_id in faults.store_refuses:
             return self._failure(callee, Reason.UNAVAILABLE)
         if (self.host_id, callee) in faults.cut:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
-        if world.rng.random() < faults.late:
-            world.nursery.start_soon(self._act_late, act, world.rng.uniform(*faults.late_s))
+        if simulation.rng.random() < faults.late:
+            simulation.nursery.start_soon(
+                self._act_late, act, simulation.rng.uniform(*faults.late_s)
+            )
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
         found = act()
         if (self.host_id, callee) in faults.answers_cut:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
-        if world.rng.random() < faults.lost:
+        if simulation.rng.random() < faults.lost:
             await trio.sleep(timeout_s)
             return self._failure(callee, Reason.TIMEOUT)
         slow_s = faults.slow_s if callee == "store" else 0.0
-        await trio.sleep(world.rng.uniform(0.001, 0.004) + slow_s)
+        await trio.sleep(simulation.rng.uniform(0.001, 0.004) + slow_s)
         return Success(found)
 
     async def _act_late(self, act: Any, after_s: float) -> None:
@@ -210,12 +212,12 @@
 
     @property
     def append_bytes(self) -> int:
-        return self.world.store.append_bytes
+        return self.simulation.store.append_bytes
 
     async def claim(
         self, *, host_id: str, address: str, weight: float, log_end: int
     ) -> Result[int, StepError]:
-        store = self.world.store
+        store = self.simulation.store
         answer = await self._call(
             "store", 1.0, lambda: store.claim(host_id, address, weight, log_end)
         )
@@ -224,13 +226,13 @@
         return answer
 
     async def fence(self, *, token: int) -> Result[None, StepError]:
-        answer = await self._call("store", 1.0, lambda: self.world.store.fence(token))
+        answer = await self._call("store", 1.0, lambda: self.simulation.store.fence(token))
         return self._checked(answer)
 
     async def append(
         self, *, token: int, sequence: int, values_by_key: dict[str, bytes], timeout_s: float
     ) -> Result[None, StepError]:
-        store = self.world.store
+        store = self.simulation.store
         size = sum(len(key) + len(value) for key, value in values_by_key.items())
         store.largest_append = max(store.largest_append, size)
         if size > store.append_bytes:
@@ -249,17 +251,17 @@
         return Success(None)
 
     async def load(self) -> Result[dict[str, bytes], StepError]:
-        answer = await self._call("store", 1.0, lambda: dict(self.world.store.values))
-        rate = self.world.faults.load_bytes_per_s.get(self.host_id)
+        answer = await self._call("store", 1.0, lambda: dict(self.simulation.store.values))
+        rate = self.simulation.faults.load_bytes_per_s.get(self.host_id)
         if rate is not None:
-            await trio.sleep(self.world.store.size / rate)
+            await trio.sleep(self.simulation.store.size / rate)
         return answer
 
     async def poll(self) -> Result[StoreView, StepError]:
         return await self._call("store", 1.0, self._view)
 
     def _view(self) -> StoreView:
-        store = self.world.store
+        store = self.simulation.store
         leader = None
         if store.claims:
             host_id, address = store.claims[-1]
@@ -269,28 +271,28 @@
                 address=address,
                 weight=store.claimed_weight,
             )
-        return StoreView(leader=leader, log_end=store.tip)
+        return StoreView(leader=leader, log_end=store.log_end)
 
     async def read(self) -> Result[tuple[ExecutorInfo, ...], StepError]:
-        return await self._call("store", 1.0, lambda: tuple(self.world.listed.values()))
+        return await self._call("store", 1.0, lambda: tuple(self.simulation.listed.values()))
 
     async def wait(self) -> Result[CellConfig | None, StepError]:
         await trio.sleep(0.5)
-        return await self._call("store", 1.0, lambda: self.world.config)
+        return await self._call("store", 1.0, lambda: self.simulation.config)
 
     async def newest(self) -> Result[CellConfig | None, StepError]:
-        return await self._call("store", 1.0, lambda: self.world.config)
+        return await self._call("store", 1.0, lambda: self.simulation.config)
 
     def waves(self) -> tuple[MaintenanceWave, ...]:
-        return tuple(self.world.hosts.waves)
+        return tuple(self.simulation.hosts.waves)
 
     async def list_hosts(self) -> Result[tuple[PoolHost, ...], StepError]:
-        return await self._call("hosts", 1.0, self.world.hosts.list_all)
+        return await self._call("hosts", 1.0, self.simulation.hosts.list_all)
 
     async def order(
         self, order: HostOrder, *, holder: str, token: int
     ) -> Result[HostOutcome, StepError]:
-        answer = await self._call("hosts", 1.0, lambda: self.world.hosts.order(order, token))
+        answer = await self._call("hosts", 1.0, lambda: self.simulation.hosts.order(order, token))
         if isinstance(answer, Success) and answer.unwrap() is None:
             return self._failure("hosts", Reason.CONFLICT)
         return answer
@@ -298,15 +300,15 @@
     async def report_wave(
         self, number: int, *, is_completed: bool, token: int, sequence: int
     ) -> Result[None, StepError]:
-        hosts = self.world.hosts
+        hosts = self.simulation.hosts
         answer = await self._call(
-            "store", 1.0, lambda: hosts.tell(number, is_completed, token, sequence)
+            "store", 1.0, lambda: hosts.report_wave(number, is_completed, token, sequence)
         )
         return self._checked(answer)
 
     def _executor(self, executor_id: str) -> Executor | None:
-        """Return whichever incarnation of an executor is up: calls name no other."""
-        executor = self.world.executors.get(executor_name(executor_id))
+        """Return the incarnation of an executor that is up, if any: calls reach no other."""
+        executor = self.simulation.executors.get(executor_name(executor_id))
         return executor if executor is not None and executor.is_up else None
 
     async def start(
@@ -334,7 +336,7 @@
             return self._failure(executor_id, Reason.TIMEOUT)
 
         def carry_out() -> OrderAnswer | None:
-            self.world.sweep()
+            self.simulation.sweep()
             executor = self._executor(executor_id)
             if executor is None:
                 return None
@@ -356,7 +358,7 @@
         token: int,
         timeout_s: float,
     ) -> Result[ListingAnswer, StepError]:
-        self.world.renewals += 1
+        self.simulation.renewals += 1
         answer = await self._order(
             executor_id, timeout_s, lambda e: e.hold(deadline_ms, noted, token)
         )
@@ -374,21 +376,21 @@
             with trio.move_on_after(min(0.05, until - trio.current_time())):
                 await executor.changed.wait()
         callee = executor_name(executor_id)
-        if not executor.is_up or (self.host_id, callee) in self.world.faults.cut:
+        if not executor.is_up or (self.host_id, callee) in self.simulation.faults.cut:
             await trio.sleep(0.5)
             return self._failure(executor_id, Reason.TIMEOUT)
         listing = executor.listing()
-        await trio.sleep(self.world.rng.uniform(0.001, 0.003))
+        await trio.sleep(self.simulation.rng.uniform(0.001, 0.003))
         return Success(
             ListingAnswer(verdict=verdict, executor_id=executor.info.executor_id, listing=listing)
         )
 
 
 class MemoryLink:
-    """A peer link in memory; messages pass unless the pair is cut."""
+    """An in-memory peer link; messages pass unless the pair is cut."""
 
-    def __init__(self, *, world: World, host_id: str) -> None:
-        self.world = world
+    def __init__(self, *, simulation: Simulation, host_id: str) -> None:
+        self.simulation = simulation
         self._host_id = HostId(host_id)
         self._handlers: dict[type[Any], Any] = {}
         self._nursery: trio.Nursery | None = None
@@ -407,14 +409,14 @@
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self.world.links[self._host_id] = self
+            self.simulation.links[self._host_id] = self
             task_status.started()
             await trio.sleep_forever()
 
     def _reach(self, peer: str) -> "MemoryLink | None":
-        is_cut = (self._host_id, peer) in self.world.faults.cut
+        is_cut = (self._host_id, peer) in self.simulation.faults.cut
         known = peer == self._host_id or peer in self._peers
-        return self.world.links.get(peer) if known and not is_cut else None
+        return self.simulation.links.get(peer) if known and not is_cut else None
 
     async def call(self, *, peer: HostId, message: object, timeout_s: float) -> Any:
         target = self._reach(peer)
@@ -425,8 +427,8 @@
         with trio.move_on_after(timeout_s):
             await trio.sleep(0.001)
             answer = await target._handlers[type(message)](self._host_id, message)
-            is_answered = (peer, self._host_id) not in self.world.faults.cut
-            if is_answered and self.world.links.get(peer) is target:
+            is_answered = (peer, self._host_id) not in self.simulation.faults.cut
+            if is_answered and self.simulation.links.get(peer) is target:
                 return Failure(answer) if isinstance(answer, StepError) else Success(answer)
             await trio.sleep_forever()
         return Failure(StepError(step="world.peer", peer=peer, reason=Reason.TIMEOUT))
