--- a/src/galenastall/transport/http_app.py
+++ b/src/galenastall/transport/http_app.py
@@ -238,12 +238,12 @@
 
 
 async def _read_all(body: AsyncIterator[bytes]) -> bytes:
-    whole = bytearray()
+    buffer = bytearray()
     async for chunk in body:
-        whole += chunk
-        if len(whole) > _BUFFER_LIMIT_BYTES:
+        buffer += chunk
+        if len(buffer) > _BUFFER_LIMIT_BYTES:
             raise ValueError(f"body over {_BUFFER_LIMIT_BYTES} bytes for an HTTP/1.0 client")
-    return bytes(whole)
+    return bytes(buffer)
 
 
 def _headers_of(pairs: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
--- a/src/galenastall/transport/http_client.py
+++ b/src/galenastall/transport/http_client.py
@@ -273,15 +273,15 @@
 
 
 def _typed(
-    answer: Result[BufferedResponse, StepError], wanted: type[T], *, step: str, peer: str
+    answer: Result[BufferedResponse, StepError], value_type: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
     if isinstance(answer, Failure):
         return answer
-    whole = answer.unwrap()
-    if whole.status // 100 != _SUCCESS_CLASS:
-        return Failure(error_from_response(whole, step=step, peer=peer))
+    response = answer.unwrap()
+    if response.status // 100 != _SUCCESS_CLASS:
+        return Failure(error_from_response(response, step=step, peer=peer))
     # The server reported success, so a request with an unreadable response may have taken effect.
-    return decode_json(whole.body, wanted, step=step, peer=peer).alt(
+    return decode_json(response.body, value_type, step=step, peer=peer).alt(
         lambda error: replace(error, reason=Reason.CUT)
     )
 
--- a/src/galenastall/transport/http_json.py
+++ b/src/galenastall/transport/http_json.py
@@ -52,19 +52,19 @@
 
 
 async def parse_json(
-    request: HttpRequest, wanted: type[T], *, limit_bytes: int = JSON_LIMIT_BYTES
+    request: HttpRequest, value_type: type[T], *, limit_bytes: int = JSON_LIMIT_BYTES
 ) -> Result[T, StepError]:
     """Return the typed body, or INVALID naming the field and its value."""
     body = await request.read_body(limit_bytes)
     if isinstance(body, Failure):
         return body
-    return decode_json(body.unwrap(), wanted, step="http.parse_json", peer=request.client)
+    return decode_json(body.unwrap(), value_type, step="http.parse_json", peer=request.client)
 
 
-def decode_json(text: bytes, wanted: type[T], *, step: str, peer: str) -> Result[T, StepError]:
+def decode_json(text: bytes, value_type: type[T], *, step: str, peer: str) -> Result[T, StepError]:
     """Return the typed value, or INVALID naming the field and its value."""
     try:
-        return Success(msgspec.json.decode(text, type=wanted))
+        return Success(msgspec.json.decode(text, type=value_type))
     except msgspec.MsgspecError as error:
         detail = f"{error}{_offending_value(text, str(error))}"
         return Failure(StepError(step=step, peer=peer, reason=Reason.INVALID, detail=detail))
--- a/src/galenastall/transport/platform_http_call.py
+++ b/src/galenastall/transport/platform_http_call.py
@@ -38,7 +38,7 @@
             headers=self._headers,
             step=step,
         )
-        return answer.bind(lambda whole: _typed(whole, answer_type, step=step, peer=address))
+        return answer.bind(lambda response: _typed(response, answer_type, step=step, peer=address))
 
     async def post(
         self, *, address: str, path: str, message: object, answer_type: type[T], step: str
@@ -53,7 +53,7 @@
             body=msgspec.json.encode(message),
             step=step,
         )
-        return answer.bind(lambda whole: _typed(whole, answer_type, step=step, peer=address))
+        return answer.bind(lambda response: _typed(response, answer_type, step=step, peer=address))
 
 
 def _typed(
--- a/tests/http_support.py
+++ b/tests/http_support.py
@@ -12,11 +12,11 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RawAnswer:
+class RawResponse:
     status: int
     headers: dict[str, str]
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 class RawClient:
@@ -32,14 +32,16 @@
         sent += self.connection.send(h11.EndOfMessage()) or b""
         await self.stream.send_all(sent)
 
-    async def receive(self) -> RawAnswer:
+    async def receive(self) -> RawResponse:
         status, body = 0, bytearray()
         headers: dict[str, str] = {}
         while True:
             try:
                 event = self.connection.next_event()
             except h11.RemoteProtocolError:
-                return RawAnswer(status=status, headers=headers, body=bytes(body), is_whole=False)
+                return RawResponse(
+                    status=status, headers=headers, body=bytes(body), is_complete=False
+                )
             if event is h11.NEED_DATA:
                 self.connection.receive_data(await self.stream.receive_some(65536))
             elif isinstance(event, h11.Response):
@@ -50,11 +52,15 @@
             elif isinstance(event, h11.EndOfMessage):
                 if self.connection.our_state is h11.DONE:
                     self.connection.start_next_cycle()
-                return RawAnswer(status=status, headers=headers, body=bytes(body), is_whole=True)
+                return RawResponse(
+                    status=status, headers=headers, body=bytes(body), is_complete=True
+                )
             else:
-                return RawAnswer(status=status, headers=headers, body=bytes(body), is_whole=False)
+                return RawResponse(
+                    status=status, headers=headers, body=bytes(body), is_complete=False
+                )
 
-    async def ask(self, method: str, path: str, *, body: bytes = b"") -> RawAnswer:
+    async def request(self, method: str, path: str, *, body: bytes = b"") -> RawResponse:
         await self.send(method, path, body=body)
         return await self.receive()
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -119,12 +119,12 @@
     ) -> None:
         reasons: list[object] = []
 
-        async def ask(address: str) -> None:
+        async def record_call(address: str) -> None:
             client = HttpClient(clock=TrioClock())
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async with scripted(sends(sent_first)) as (address, script), trio.open_nursery() as nursery:
-            nursery.start_soon(ask, address)
+            nursery.start_soon(record_call, address)
             await script.seen.wait()
             await trio.testing.wait_all_tasks_blocked(0.01)
             mock_clock.jump(6.0)
@@ -181,7 +181,7 @@
     ) -> None:
         reasons: list[object] = []
 
-        async def ask(client: HttpClient, address: str) -> None:
+        async def record_call(client: HttpClient, address: str) -> None:
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async with scripted(sends(b"")) as (address, script):
@@ -189,7 +189,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(get, client, address)
                 await script.seen.wait()
-                nursery.start_soon(ask, client, address)
+                nursery.start_soon(record_call, client, address)
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 mock_clock.jump(6.0)
                 while not reasons:
@@ -205,7 +205,7 @@
         third = trio.Event()
         reasons: list[object] = []
 
-        async def ask(client: HttpClient, address: str) -> None:
+        async def record_call(client: HttpClient, address: str) -> None:
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async def behave(stream: trio.SocketStream, number: int) -> None:
@@ -225,7 +225,7 @@
                     nursery.start_soon(get, client, address)
             assert script.connections == 2
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, client, address)
+                nursery.start_soon(record_call, client, address)
                 await third.wait()
                 mock_clock.jump(6.0)
             assert reasons == [Reason.TIMEOUT]
--- a/tests/test_http_requests.py
+++ b/tests/test_http_requests.py
@@ -143,15 +143,15 @@
         async with open_harness() as harness, serving(Caller(harness)) as server:
             harness.set_faults(ExecutorFaults(answer_bytes=3_000_000, cut=cut))
             client = await connect(server.address)
-            answer = await client.ask("GET", "/ask")
+            answer = await client.request("GET", "/ask")
             assert answer.status == 200
-            assert answer.is_whole is (cut == 0.0)
+            assert answer.is_complete is (cut == 0.0)
             assert (len(answer.body) == 3_000_000) is (cut == 0.0)
             assert harness.hosts[HostId("e1")].permits.held == 0
 
     async def test_a_small_answer_that_breaks_is_an_error_status(self) -> None:
         async with open_harness() as harness, serving(Caller(harness)) as server:
             harness.set_faults(ExecutorFaults(cut=1.0))
-            answer = await (await connect(server.address)).ask("GET", "/ask")
-            assert (answer.status, answer.is_whole) == (504, True)
+            answer = await (await connect(server.address)).request("GET", "/ask")
+            assert (answer.status, answer.is_complete) == (504, True)
             assert answer.headers["galenastall-outcome"] == "unknown"
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -14,7 +14,7 @@
 from galenastall.transport.http_messages import BodyStream, HttpRequest, HttpResponse
 from galenastall.transport.http_routes import RouteTable, route
 from galenastall.transport.http_server import KEEP_ALIVE_S
-from http_support import RawAnswer, connect, serving
+from http_support import RawResponse, connect, serving
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -87,13 +87,15 @@
 class TestRoutes:
     async def test_decodes_placeholders_and_query(self) -> None:
         async with serving(Handlers()) as server:
-            answer = await (await connect(server.address)).ask("GET", "/v1/jobs/a%2Fb?x=1&y=")
+            answer = await (await connect(server.address)).request("GET", "/v1/jobs/a%2Fb?x=1&y=")
         assert msgspec.json.decode(answer.body) == {"job": "a/b", "q": {"x": "1", "y": ""}}
 
     async def test_rest_of_path_and_body_come_through(self) -> None:
         async with serving(Handlers()) as server:
             client = await connect(server.address)
-            answers = [await client.ask("POST", "/v1/call/a/b%20c", body=b"x") for _ in range(3)]
+            answers = [
+                await client.request("POST", "/v1/call/a/b%20c", body=b"x") for _ in range(3)
+            ]
         assert [answer.body for answer in answers] == [b"x"] * 3
         assert answers[0].headers["x-operation"] == "a/b c"
 
@@ -109,7 +111,7 @@
         self, method: str, path: str, status: int, reason: str
     ) -> None:
         async with serving(Handlers()) as server:
-            answer = await (await connect(server.address)).ask(method, path)
+            answer = await (await connect(server.address)).request(method, path)
         assert answer.status == status
         assert msgspec.json.decode(answer.body)["reason"] == reason
 
@@ -122,8 +124,8 @@
     async def test_handler_exception_is_a_typed_500_and_the_connection_lives(self) -> None:
         async with serving(Handlers()) as server:
             client = await connect(server.address)
-            answer = await client.ask("GET", "/broken")
-            after = await client.ask("GET", "/stream")
+            answer = await client.request("GET", "/broken")
+            after = await client.request("GET", "/stream")
         error = msgspec.json.decode(answer.body)
         assert (answer.status, error["step"], error["reason"]) == (500, "http.handle", "cut")
         assert error["peer"].startswith("127.0.0.1:")
@@ -132,14 +134,14 @@
     @pytest.mark.parametrize("path", ["/cut/chunked", "/cut/length", "/short"])
     async def test_cut_body_is_never_whole(self, path: str) -> None:
         async with serving(Handlers()) as server:
-            answer = await (await connect(server.address)).ask("GET", path)
+            answer = await (await connect(server.address)).request("GET", path)
         assert answer.status == 200
-        assert not answer.is_whole
+        assert not answer.is_complete
 
     async def test_large_unread_body_does_not_hold_the_answer(self) -> None:
         async with serving(Handlers()) as server:
             client = await connect(server.address)
-            answer = await client.ask("POST", "/ignores-body", body=b"x" * 2_000_000)
+            answer = await client.request("POST", "/ignores-body", body=b"x" * 2_000_000)
         assert answer.status == 413
 
     async def test_body_over_its_limit_is_refused(self) -> None:
@@ -172,7 +174,7 @@
     ) -> None:
         async with serving(Handlers()) as server:
             client = await connect(server.address)
-            assert (await client.ask("GET", "/stream")).is_whole
+            assert (await client.request("GET", "/stream")).is_complete
             assert server.open_connections == 1
             await client.stream.aclose()
             while server.open_connections:
@@ -183,11 +185,11 @@
     ) -> None:
         async with serving(Handlers()) as server:
             client = await connect(server.address)
-            assert (await client.ask("GET", "/stream")).is_whole
+            assert (await client.request("GET", "/stream")).is_complete
             for _ in range(2):
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 mock_clock.jump(KEEP_ALIVE_S - 1)
-                assert (await client.ask("GET", "/stream")).is_whole
+                assert (await client.request("GET", "/stream")).is_complete
             await trio.testing.wait_all_tasks_blocked(0.01)
             mock_clock.jump(KEEP_ALIVE_S + 1)
             assert await client.stream.receive_some() == b""
@@ -201,7 +203,7 @@
             mock_clock.jump(KEEP_ALIVE_S * 2)
             await trio.testing.wait_all_tasks_blocked(0.01)
             handlers.release.set()
-            assert (await client.receive()).is_whole
+            assert (await client.receive()).is_complete
 
 
 class TestDrain:
@@ -209,7 +211,7 @@
         handlers = Handlers()
         async with serving(handlers) as server:
             busy, idle = await connect(server.address), await connect(server.address)
-            assert (await idle.ask("GET", "/stream")).is_whole
+            assert (await idle.request("GET", "/stream")).is_complete
             await busy.send("GET", "/held")
             await handlers.entered.wait()
             still_open: list[int] = []
@@ -220,7 +222,7 @@
                     await connect(server.address)
                 handlers.release.set()
                 answer = await busy.receive()
-        assert answer.is_whole
+        assert answer.is_complete
         assert answer.headers["connection"] == "close"
         assert still_open == [0]
 
@@ -229,20 +231,20 @@
             client = await connect(server.address)
             nursery.start_soon(server.drain, 10.0)
             await trio.testing.wait_all_tasks_blocked()
-            answer = await client.ask("GET", "/stream")
-            assert answer.is_whole
+            answer = await client.request("GET", "/stream")
+            assert answer.is_complete
             assert answer.headers["connection"] == "close"
             nursery.cancel_scope.cancel()
 
     async def test_clients_that_heed_the_close_lose_nothing(
         self, mock_clock: trio.testing.MockClock
     ) -> None:
-        answers: list[RawAnswer] = []
+        answers: list[RawResponse] = []
 
         async def ask_until_told_to_close(address: str) -> None:
             client = await connect(address)
             while True:
-                answers.append(await client.ask("GET", "/stream"))
+                answers.append(await client.request("GET", "/stream"))
                 if answers[-1].headers.get("connection") == "close":
                     return
 
@@ -256,7 +258,7 @@
                         await trio.lowlevel.checkpoint()
                     nursery.start_soon(_drain_into, server, still_open)
                 mock_clock.jump(6.0)
-        assert all(answer.is_whole for answer in answers)
+        assert all(answer.is_complete for answer in answers)
         assert still_open == [0]
 
     async def test_reports_what_the_timeout_cut_off(self) -> None:
@@ -266,7 +268,7 @@
             await client.send("GET", "/held")
             await handlers.entered.wait()
             assert await server.drain(0.0) == 1
-            assert not (await client.receive()).is_whole
+            assert not (await client.receive()).is_complete
 
 
 async def _drain_into(server: object, counts: list[int]) -> None:
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -190,11 +190,11 @@
             b.recorder.record("job.placed", subjects=("k",))
             async with serving(a.ops) as server:
                 client = await connect(server.address)
-                line = msgspec.json.decode((await client.ask("GET", "/v1/timeline/j/1")).body)
-                text = (await client.ask("GET", "/v1/timeline/j/1?format=text")).body.decode()
-                told = msgspec.json.decode((await client.ask("GET", "/v1/explain/j%2F1")).body)
-                image = await client.ask("GET", "/v1/timeline/j/1?format=svg")
-                odd = await client.ask("GET", "/v1/timeline/j/1?format=gif")
+                line = msgspec.json.decode((await client.request("GET", "/v1/timeline/j/1")).body)
+                text = (await client.request("GET", "/v1/timeline/j/1?format=text")).body.decode()
+                told = msgspec.json.decode((await client.request("GET", "/v1/explain/j%2F1")).body)
+                image = await client.request("GET", "/v1/timeline/j/1?format=svg")
+                odd = await client.request("GET", "/v1/timeline/j/1?format=gif")
             nursery.cancel_scope.cancel()
         assert {event["step"] for event in line["events"]} == {"job.accepted", "job.placed"}
         assert line["unreachable"] == ["entry-gone"]
@@ -225,11 +225,11 @@
         node = Node("entry-a")
         async with serving(node.ops) as server:
             client = await connect(server.address)
-            ready = await client.ask("GET", "/readyz")
+            ready = await client.request("GET", "/readyz")
             node.reasons = ["the settings were not read yet"]
-            waiting = await client.ask("GET", "/readyz")
-            health = await client.ask("GET", "/healthz")
-            metrics = await client.ask("GET", "/metrics")
+            waiting = await client.request("GET", "/readyz")
+            health = await client.request("GET", "/healthz")
+            metrics = await client.request("GET", "/metrics")
         assert (ready.status, waiting.status, health.status) == (200, 503, 200)
         assert msgspec.json.decode(waiting.body)["reasons"] == ["the settings were not read yet"]
         assert metrics.headers["content-type"].startswith("text/plain")
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -121,11 +121,11 @@
     """Call B once; advance the clock whenever all tasks are blocked, so that a lost call ends."""
     results: list[Any] = []
 
-    async def ask() -> None:
+    async def record_call() -> None:
         results.append(await link.call(peer=B, message=message, timeout_s=3.0))
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(ask)
+        nursery.start_soon(record_call)
         while not results:
             await trio.testing.wait_all_tasks_blocked(0.05)
             mock_clock.jump(1.0)
@@ -208,14 +208,14 @@
             await made.add(B)
             answers: dict[int, Any] = {}
 
-            async def ask(number: int) -> None:
+            async def record_call(number: int) -> None:
                 answers[number] = await link.call(
                     peer=B, message=Ping(number=number), timeout_s=FAR_S
                 )
 
             async with trio.open_nursery() as nursery:
                 for number in range(100, 600):
-                    nursery.start_soon(ask, number)
+                    nursery.start_soon(record_call, number)
         assert answers == {n: Success(Pong(number=n, sender=A)) for n in range(100, 600)}
         assert link.counters_by_id[B].messages_out == 500
         assert link.counters_by_id[B].messages_in == 500
@@ -293,11 +293,11 @@
             link.set_peers({B: "127.0.0.1:1"})
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked()
                 mock_clock.jump(4.0)
         assert reason_of(results[0]) is Reason.UNREACHABLE
@@ -333,11 +333,11 @@
             await made.add(B)
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked()
                 mock_clock.jump(4.0)
         assert reason_of(results[0]) is Reason.TIMEOUT
@@ -352,11 +352,11 @@
             echo.release = trio.Event()
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(number=1), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await echo.arrived.wait()
                 mock_clock.jump(4.0)
             assert reason_of(results[0]) is Reason.TIMEOUT
@@ -372,14 +372,14 @@
             link = await made.add(A)
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(number=1), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
                 async with trio.open_nursery() as life:
                     first = await made.add(B, nursery=life)
                     made.echoes[B].release = trio.Event()
-                    nursery.start_soon(ask)
+                    nursery.start_soon(record_call)
                     await made.echoes[B].arrived.wait()
                     life.cancel_scope.cancel()
                 mock_clock.jump(4.0)
@@ -479,12 +479,12 @@
             unlisted_link = await made.add(C, curve=unlisted_keys)
             results: list[Any] = []
 
-            async def ask(peer: HostId) -> None:
+            async def record_call(peer: HostId) -> None:
                 results.append(await unlisted_link.call(peer=peer, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, A)
-                nursery.start_soon(ask, B)
+                nursery.start_soon(record_call, A)
+                nursery.start_soon(record_call, B)
                 await until(lambda: all(made.links[h].refused_connections for h in (A, B)))
                 mock_clock.jump(10.0)
         assert [reason_of(result) for result in results] == [Reason.UNREACHABLE] * 2
@@ -498,11 +498,11 @@
             unlisted_link = await made.add(C)
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await unlisted_link.call(peer=A, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked(0.05)
                 mock_clock.jump(10.0)
         assert reason_of(results[0]) is Reason.UNREACHABLE
