--- a/src/galenastall/coordination/cell/crashes.py
+++ b/src/galenastall/coordination/cell/crashes.py
@@ -1,10 +1,10 @@
-"""To which tasks the crash of an executor is put down, and how heavily.
+"""Attributes the crash of an executor to the tasks that ran there, with weights.
 
-Answers this load: now and then a task crashes each executor that starts it, just after its start,
-with some ten runs of others beside it; other executors crash by themselves, several at a time. A
-task at fault is to be given up once three executors have crashed under it, and none that was only
-there. So a crash weighs on what had just begun, most on a task that alone had; a task suspected
-like that begins its next run where nothing else has just begun (`probation.py`).
+Occasionally a task crashes every executor that starts it, right after its start, along with some
+ten runs of other tasks; other executors crash on their own, several at a time. A faulty task should
+be given up once three executors have crashed under it, and no task that merely ran there should be.
+So a crash is attributed to tasks that were starting, with the highest weight if there was only one;
+such a suspect starts its next run where nothing else is starting (`probation.py`).
 """
 
 from collections import deque
@@ -18,169 +18,180 @@
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.jobs import StepKey, TaskKey
 
-PROVEN_S: Final = 0.5
-"""A run that was seen at work for as long has not just begun; a task that crashes its executor does
-so within 0.01 s of its start."""
-SUSPECT_PROVEN_S: Final = 0.1
-"""The same for a suspect, whose executor is asked that often while it begins."""
+STARTUP_S: Final = 0.5
+"""A run is starting until listings have shown it in progress for this long; a task that crashes
+its executor does so within 0.01 s of its start."""
+SUSPECT_STARTUP_S: Final = 0.1
+"""The same for a suspect, whose executor is polled at this interval while it starts."""
 SETTLED_S: Final = 10.0
-"""A crash under a run that was seen at work for as long is not put down to it."""
+"""A crash is not attributed to a run that was in progress for at least this long."""
 ALONE_WEIGHT: Final = 24
-"""For a task that alone had just begun, or alone of these was suspected before."""
+"""For the only task that was starting, or the only suspect among several that were."""
 SHARED_WEIGHT: Final = 15
-"""For each of several that had just begun, for a task of which that is not known, and for all that
-had just begun where other executors crashed at the same time."""
+"""For each of several tasks that were starting, for a task of which that is not known, and for all
+that were starting if other executors crashed at the same time."""
 AT_WORK_WEIGHT: Final = 12
-"""For a task that was at work."""
-LEAST_AT_WORK_WEIGHT: Final = 3
-"""For a task at work however often executors crash by themselves: 20 crashes end it."""
-MOST_WEIGHT: Final = 60
-"""A task with as much is given up: after three crashes at the earliest, for a task that is only
-there may be under two by chance, and after five where others do not crash by themselves."""
+"""For a task that was in progress and past its startup."""
+MIN_AT_WORK_WEIGHT: Final = 3
+"""Minimum for a task in progress, however often executors crash on their own: it is given up after
+20 crashes."""
+MAX_WEIGHT: Final = 60
+"""A task with this total weight is given up: after three crashes at the earliest, since a task may
+be under two by chance, and after five while in progress if executors rarely crash on their own."""
 LISTING_AGE_S: Final = 1.2
-"""A listing tells what was so up to so long ago; an executor that crashes may have run on."""
+"""Maximum age of the last listing when an executor crashes; its runs may have gone on since."""
 FULL_WEIGHT_CHANCE: Final = 0.01
-"""A crash at work counts in full if executors crash by themselves no more often than this in the
-time that the run was there, and the less, the likelier that is."""
+"""A crash under a task in progress has full weight if the chance of a spontaneous crash while the
+run was there is at most this; the weight falls as that chance rises."""
 RATE_WINDOW_S: Final = 30.0
-"""Crashes of the other executors within this time tell how often they crash by themselves."""
-TOGETHER_S: Final = 1.5
-"""Executors that fall silent within this time of each other may have one cause: each is heard once
-in 1.2 s."""
-OTHERS_TOGETHER: Final = 3
-"""So many others that fall silent with an executor make a cause outside of it likely."""
+"""Window of crashes from which the rate of spontaneous crashes is estimated."""
+CONCURRENT_S: Final = 1.5
+"""Executors that stop answering within this time of each other may have a common cause: each sends
+a listing every 1.2 s."""
+MIN_CONCURRENT: Final = 3
+"""If this many other executors stop answering at the same time, an external cause is likely."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Victim:
+class AffectedRun:
     """A run that was, or may have been, on an executor that has crashed."""
 
     task: TaskKey
     unit: TaskKey | StepKey
-    """What is suspected as one: a task, or all members of a gang, which begin together."""
+    """What is suspected as a unit: a task, or all members of a gang, which start together."""
     at_work_s: float | None
-    """For how long it was seen at work; None if this leader does not know."""
+    """How long listings showed it in progress; None if this leader does not know."""
     is_confirmed: bool = True
-    """Whether the executor has said that it started; else it may have crashed before."""
+    """Whether the executor has confirmed the start; otherwise it may have crashed before it."""
     is_suspect: bool = False
-    """Whether it was suspected before."""
+    """Whether the task was already a suspect."""
     chance: float = 0.0
-    """How likely it is that its executor crashed by itself while the run was there."""
+    """Probability of a spontaneous crash of the executor while the run was there."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Blame:
-    """What a crash means for a task that was there."""
+class Attribution:
+    """The share of a crash attributed to a task that ran on the executor."""
 
     weight: int
     is_suspect: bool
-    """Whether its next run is to begin apart from others."""
+    """Whether its next run has to start where no other run is starting."""
 
 
-NO_BLAME: Final = Blame(weight=0, is_suspect=False)
+NO_ATTRIBUTION: Final = Attribution(weight=0, is_suspect=False)
 
 
-def blame_for_crash(victims: Iterable[Victim], *, is_alone: bool) -> dict[TaskKey, Blame]:
-    """Return what a crash means for each task that was there.
+def attribute_crash(
+    affected_runs: Iterable[AffectedRun], *, is_isolated: bool
+) -> dict[TaskKey, Attribution]:
+    """Return the attribution of a crash for each task that ran on the executor.
 
-    `is_alone` tells that hardly any other executor crashed at the same time.
+    `is_isolated` means that hardly any other executor crashed at the same time.
     """
-    victims = list(victims)
-    begun = [victim for victim in victims if _has_just_begun(victim)]
-    culprit = _only_unit(begun) or _only_unit([victim for victim in begun if victim.is_suspect])
+    affected_runs = list(affected_runs)
+    starting = [affected_run for affected_run in affected_runs if _is_starting(affected_run)]
+    sole_suspect = _sole_unit(starting) or _sole_unit(
+        [affected_run for affected_run in starting if affected_run.is_suspect]
+    )
     return {
-        victim.task: (
-            _blame_begun(is_sure=is_alone and victim.is_confirmed and victim.unit == culprit)
-            if _has_just_begun(victim)
-            else _blame_at_work(victim)
+        affected_run.task: (
+            _attribute_starting(
+                is_certain=is_isolated
+                and affected_run.is_confirmed
+                and affected_run.unit == sole_suspect
+            )
+            if _is_starting(affected_run)
+            else _attribute_at_work(affected_run)
         )
-        for victim in victims
+        for affected_run in affected_runs
     }
 
 
-def blame_for_silence(victims: Iterable[Victim], *, is_listed: bool) -> dict[TaskKey, Blame]:
-    """Return what it means for tasks that their executor fell silent and their leases have ended.
+def attribute_lost_contact(
+    affected_runs: Iterable[AffectedRun], *, is_listed: bool
+) -> dict[TaskKey, Attribution]:
+    """Return the attribution for tasks whose leases expired after their executor stopped answering.
 
-    It has crashed, or is cut off: from its callers alone if the platform's list still names it
-    (`is_listed`), and then only a task that had just begun may have to do with it.
+    The executor has crashed or is cut off. If the platform still lists it (`is_listed`), it is cut
+    off from its callers only, and at most a task that was starting can be the cause.
     """
     return {
-        victim.task: (
-            Blame(weight=SHARED_WEIGHT, is_suspect=True)
-            if _has_just_begun(victim)
-            else NO_BLAME if is_listed else _blame_at_work(victim)
+        affected_run.task: (
+            Attribution(weight=SHARED_WEIGHT, is_suspect=True)
+            if _is_starting(affected_run)
+            else NO_ATTRIBUTION if is_listed else _attribute_at_work(affected_run)
         )
-        for victim in victims
+        for affected_run in affected_runs
     }
 
 
-def _only_unit(victims: Iterable[Victim]) -> TaskKey | StepKey | None:
-    """Return what all of them belong to, if that is one task or one gang."""
-    units = {victim.unit for victim in victims}
+def _sole_unit(affected_runs: Iterable[AffectedRun]) -> TaskKey | StepKey | None:
+    """Return the unit of all runs if they share one, a task or a gang."""
+    units = {affected_run.unit for affected_run in affected_runs}
     return units.pop() if len(units) == 1 else None
 
 
-def _has_just_begun(victim: Victim) -> bool:
-    if victim.at_work_s is None:
+def _is_starting(affected_run: AffectedRun) -> bool:
+    if affected_run.at_work_s is None:
         return False
-    return victim.at_work_s < (SUSPECT_PROVEN_S if victim.is_suspect else PROVEN_S)
+    return affected_run.at_work_s < (SUSPECT_STARTUP_S if affected_run.is_suspect else STARTUP_S)
 
 
-def _blame_begun(*, is_sure: bool) -> Blame:
-    return Blame(weight=ALONE_WEIGHT if is_sure else SHARED_WEIGHT, is_suspect=True)
+def _attribute_starting(*, is_certain: bool) -> Attribution:
+    return Attribution(weight=ALONE_WEIGHT if is_certain else SHARED_WEIGHT, is_suspect=True)
 
 
-def _blame_at_work(victim: Victim) -> Blame:
-    if victim.at_work_s is None:
-        return Blame(weight=SHARED_WEIGHT, is_suspect=True)
-    if victim.at_work_s < SETTLED_S:
-        return Blame(weight=weight_at_work(victim.chance), is_suspect=False)
-    return NO_BLAME
+def _attribute_at_work(affected_run: AffectedRun) -> Attribution:
+    if affected_run.at_work_s is None:
+        return Attribution(weight=SHARED_WEIGHT, is_suspect=True)
+    if affected_run.at_work_s < SETTLED_S:
+        return Attribution(weight=weight_at_work(affected_run.chance), is_suspect=False)
+    return NO_ATTRIBUTION
 
 
 def weight_at_work(chance: float) -> int:
-    """Return what a crash weighs on a task at work, by the chance that it was only there."""
+    """Return the weight of a crash for a task in progress, by the chance of a spontaneous one."""
     if chance <= FULL_WEIGHT_CHANCE:
         return AT_WORK_WEIGHT
     weight = round(AT_WORK_WEIGHT * log(chance) / log(FULL_WEIGHT_CHANCE))
-    return max(weight, LEAST_AT_WORK_WEIGHT)
+    return max(weight, MIN_AT_WORK_WEIGHT)
 
 
-class CrashJudge:
-    """Finds who was there when an executor crashed, in the leader's tables."""
+class CrashAttributor:
+    """Attributes crashes to the tasks that ran on the executor, from the leader's tables."""
 
     def __init__(self, *, state: CellState) -> None:
         """Read these tables."""
         self._state = state
-        self._silent_since: deque[float] = deque(maxlen=64)
-        """Leader's times at which executors that have crashed were last heard."""
+        self._unresponsive_since: deque[float] = deque(maxlen=64)
+        """Leader's times of the last listings of executors that have crashed."""
         self._crashed: deque[tuple[float, frozenset[TaskKey]]] = deque()
-        """Crashes within RATE_WINDOW_S, each with the tasks that were there."""
+        """Crashes within RATE_WINDOW_S, each with the tasks that ran on the executor."""
 
-    def on_crash(self, executor: Executor) -> dict[TaskKey, Blame]:
-        """Return what the end of an incarnation means for the tasks that were there."""
-        if executor.was_to_leave:
+    def on_crash(self, executor: Executor) -> dict[TaskKey, Attribution]:
+        """Return the attribution of an incarnation's end to the tasks that ran there."""
+        if executor.has_planned_departure:
             return {}
-        is_alone = self._count_together(executor) < OTHERS_TOGETHER
+        is_isolated = self._count_concurrent(executor) < MIN_CONCURRENT
         if executor.answered_at is not None:
-            self._silent_since.append(executor.answered_at)
-        blames = blame_for_crash(self._victims(executor), is_alone=is_alone)
+            self._unresponsive_since.append(executor.answered_at)
+        attributions = attribute_crash(self._affected_runs(executor), is_isolated=is_isolated)
         self._crashed.append((self._state.now, frozenset(executor.runs_by_task)))
-        return blames
+        return attributions
 
-    def on_lapsed(self, executor: Executor) -> dict[TaskKey, Blame]:
-        """Return what it means for tasks that their leases ended before the executor answered."""
-        if executor.was_to_leave:
+    def on_lapsed(self, executor: Executor) -> dict[TaskKey, Attribution]:
+        """Return the attribution for tasks whose leases expired before the executor answered."""
+        if executor.has_planned_departure:
             return {}
-        return blame_for_silence(self._victims(executor), is_listed=executor.is_listed)
+        return attribute_lost_contact(self._affected_runs(executor), is_listed=executor.is_listed)
 
-    def _count_together(self, executor: Executor) -> int:
-        """Count the other executors that fell silent at the same time, and are or were silent."""
+    def _count_concurrent(self, executor: Executor) -> int:
+        """Count other executors, ended or still listed, that stopped answering at the same time."""
         at = executor.answered_at
         if at is None:
             return 0
         reach_s = self._state.timings.reach_s
-        silent_now = [
+        unresponsive_now = [
             other.answered_at
             for other in self._state.executors_by_id.values()
             if other is not executor
@@ -188,19 +199,19 @@
             and other.answered_at is not None
             and not other.has_answered(now=self._state.now, reach_s=reach_s)
         ]
-        since = [*self._silent_since, *silent_now]
-        return sum(1 for other_at in since if abs(other_at - at) <= TOGETHER_S)
+        since = [*self._unresponsive_since, *unresponsive_now]
+        return sum(1 for other_at in since if abs(other_at - at) <= CONCURRENT_S)
 
-    def _victims(self, executor: Executor) -> list[Victim]:
-        victims: list[Victim] = []
+    def _affected_runs(self, executor: Executor) -> list[AffectedRun]:
+        affected_runs: list[AffectedRun] = []
         self._forget_crashes()
         for key in executor.runs_by_task:
             found = self._state.find(key)
-            if found is None or not _may_have_been_there(executor, found[2]):
+            if found is None or not _may_have_reached_executor(executor, found[2]):
                 continue
             unit = key.step_key if found[1].step.is_gang else key
-            victims.append(
-                Victim(
+            affected_runs.append(
+                AffectedRun(
                     task=key,
                     unit=unit,
                     at_work_s=_at_work_s(found[2]),
@@ -209,7 +220,7 @@
                     chance=self._chance_without(key, _at_work_s(found[2])),
                 )
             )
-        return victims
+        return affected_runs
 
     def _forget_crashes(self) -> None:
         oldest = self._state.now - RATE_WINDOW_S
@@ -217,7 +228,7 @@
             self._crashed.popleft()
 
     def _chance_without(self, task: TaskKey, at_work_s: float | None) -> float:
-        """Return how likely an executor crashes in so long, by the crashes without the task."""
+        """Return the chance of a crash in that time, estimated from crashes without the task."""
         crashes = sum(1 for _, there in self._crashed if task not in there)
         executors = max(len(self._state.executors_by_id), 1)
         watched_s = min(max(self._state.now - self._state.fenced_at, 1.0), RATE_WINDOW_S)
@@ -225,8 +236,8 @@
         return 1.0 - exp(-rate_per_s * ((at_work_s or 0.0) + LISTING_AGE_S))
 
 
-def _may_have_been_there(executor: Executor, task: TaskRun) -> bool:
-    """Whether a run's order may have come to its executor before that fell silent."""
+def _may_have_reached_executor(executor: Executor, task: TaskRun) -> bool:
+    """Whether a run's order may have reached its executor before it stopped answering."""
     if task.state is StartState.WRITING:
         return False
     if executor.lost_at is None or task.state is StartState.INHERITED:
--- a/src/galenastall/coordination/cell/reservation_plan.py
+++ b/src/galenastall/coordination/cell/reservation_plan.py
@@ -122,7 +122,7 @@
         """Return how many tasks of a step, up to `most`, may start on an executor now."""
         if executor.executor_id in self._closed_ids:
             return 0
-        fitting = executor.room_for(step.need, most)
+        fitting = executor.count_fitting(step.need, most)
         reservation = self._reservations_by_id.get(executor.executor_id)
         if reservation is None or fitting == 0:
             return fitting
--- a/src/galenastall/coordination/cell/scheduler.py
+++ b/src/galenastall/coordination/cell/scheduler.py
@@ -14,8 +14,8 @@
     StopOrder,
     ThrottleOrder,
 )
-from galenastall.coordination.cell.crashes import CrashJudge
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.crashes import CrashAttributor
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.executors import Executor, ExecutorInfo
 from galenastall.coordination.cell.fleet import Fleet
 from galenastall.coordination.cell.host_operations import HostOperations
@@ -26,7 +26,7 @@
 from galenastall.coordination.cell.listings import Listing, ListingReader
 from galenastall.coordination.cell.load_report import closed_by_id, report_load
 from galenastall.coordination.cell.mechanisms import ALL_ON, DisabledMechanisms
-from galenastall.coordination.cell.orders import OrderBook, StartOutcome
+from galenastall.coordination.cell.orders import OrderOutcomes, StartOutcome
 from galenastall.coordination.cell.placer import Placer
 from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.run_ends import RunEnds
@@ -60,11 +60,11 @@
         """Create the core of a leader that has been fenced at the store since `fenced_at`."""
         self._state = CellState(timings=timings, fenced_at=fenced_at, without=without)
         self._advice = AdviceTable()
-        self._doubts = Doubts(state=self._state)
-        self._ends = RunEnds(state=self._state, doubts=self._doubts)
+        self._doubts = ExecutorHealth(state=self._state)
+        self._ends = RunEnds(state=self._state, health=self._doubts)
         self._listings = ListingReader(state=self._state, ends=self._ends)
-        self._orders = OrderBook(
-            state=self._state, ends=self._ends, advice=self._advice, doubts=self._doubts
+        self._orders = OrderOutcomes(
+            state=self._state, ends=self._ends, advice=self._advice, health=self._doubts
         )
         self.inherited_advice = InheritedAdvice(state=self._state, advice=self._advice)
         """Advice that earlier leaders requested."""
@@ -75,12 +75,12 @@
             observations=self._placer.observations,
             plan=self.plan,
         )
-        crashes = CrashJudge(state=self._state)
+        crashes = CrashAttributor(state=self._state)
         self._incarnations = Incarnations(state=self._state, ends=self._ends, crashes=crashes)
         self._fleet = Fleet(
             state=self._state, ends=self._ends, crashes=crashes, incarnations=self._incarnations
         )
-        self._moves = RunMoves(state=self._state, ends=self._ends, doubts=self._doubts)
+        self._moves = RunMoves(state=self._state, ends=self._ends, health=self._doubts)
         self._throttling = Throttling(state=self._state)
         self.hosts = HostOperations(state=self._state, ends=self._ends)
         self._batches = Batches(
@@ -366,7 +366,7 @@
         wanted = sorted(
             executor_id
             for executor_id in self._state.wanted_listings
-            if executor_id in executors_by_id and executors_by_id[executor_id].wants_look
+            if executor_id in executors_by_id and executors_by_id[executor_id].needs_listing
         )
         self._state.wanted_listings = set(wanted)
         return wanted
--- a/tests/test_cell_core.py
+++ b/tests/test_cell_core.py
@@ -389,9 +389,9 @@
         orders = self.start(harness, make_step(1))
         harness.end(orders[0], RunEnd.DONE, 7)
         executor = harness.core.executors_by_id["e1"]
-        assert (executor.noted, executor.durable) == (7, 0)
+        assert (executor.applied_position, executor.durable_position) == (7, 0)
         harness.commit()
-        assert executor.durable == 7
+        assert executor.durable_position == 7
 
     def test_a_failed_run_is_tried_again_up_to_the_limit(self) -> None:
         harness = Harness(make_info("e1"))
@@ -529,7 +529,7 @@
         harness.core.on_start(first, StartOutcome.UNKNOWN, now=harness.now, wall=harness.wall)
         harness.submit(make_job(make_step(1), job_id="b" * 16))
         assert harness.step() == []
-        assert harness.core.executors_by_id["e1"].wants_look
+        assert harness.core.executors_by_id["e1"].needs_listing
         harness.now += 0.01
         harness.listing("e1")
         assert len(harness.step()) == 1
--- a/tests/test_cell_quotas.py
+++ b/tests/test_cell_quotas.py
@@ -6,10 +6,10 @@
 import trio
 
 from cell.cluster import Cluster
+from cell.mutations import replaced
 from cell.rig import JOB, TIMINGS, Harness, make_info, make_job, make_step
 from cell.scenarios import changing_quotas_with_faults, run_scenario, submit_jobs
 from cell.simulation import Simulation
-from cell.weakenings import replaced
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.orders import StartOutcome
 from galenastall.coordination.cell.scheduler import CellScheduler
--- a/tests/test_cell_standstill.py
+++ b/tests/test_cell_standstill.py
@@ -1,13 +1,12 @@
-"""Runs that a leader stops for standing still: who is blamed, and that it comes to an end.
-
-An accepted gang of 22 tasks was stopped by its leader at the same point of its work in run after
-run: after 12.7, 12.7 and 12.9 s, a second gang after 16.3, 16.9 and 16.2 s, each time on other
-executors, and neither ever completed. What ended such runs on a day that brings the same about was
-the leader's own rule that a run whose progress stands still for 3 s is stopped: it judged members
-that only waited for the others of their gang, 39 times as "no progress for 3 s at 100%".
-A rule like that has to give way to a run that it has stopped before, or the job never ends; and
-while a gang waits, the executors of the members that wait have done nothing wrong, so pausing them
-takes room from everybody (a gang that waited for one member closed the executors of all of them).
+"""Runs that a leader stops as stalled: which executors are at fault, and that jobs end.
+
+A gang of 22 tasks was stopped by its leader at the same point in every run: after 12.7, 12.7 and
+12.9 s, a second gang after 16.3, 16.9 and 16.2 s, each time on other executors, and neither ever
+completed. In a reproduction the leader's own rule ended such runs, which stops a run without
+progress for 3 s: it applied to members that only waited for others of their gang, 39 times as "no
+progress for 3 s at 100%". Such a rule has to tolerate more from a run that it has stopped before,
+or the job never ends. And executors of waiting members are not at fault, so pausing them withholds
+capacity from all jobs (a gang that waited for one member closed the executors of all of them).
 """
 
 import pytest
@@ -23,7 +22,7 @@
 
 
 def paused(rig: Harness) -> set[str]:
-    """Return the executors that get nothing new for now."""
+    """Return the executors that are paused now."""
     return {i for i, e in rig.core.executors_by_id.items() if e.paused_until > rig.now}
 
 
@@ -35,14 +34,14 @@
 
 
 def watch(rig: Harness, percents_by_order: dict[StartOrder, tuple[int, int]]) -> None:
-    """List runs for some seconds; each has a progress and what it gains by a listing."""
+    """List runs for some seconds; each has an initial progress and a gain per listing."""
     for turn in range(LISTED_TIMES):
         rig.now += LISTED_EVERY_S
         show(rig, {o: begin + turn * gain for o, (begin, gain) in percents_by_order.items()})
         rig.stops()
 
 
-class TestStandstillOfAGang:
+class TestGangStalls:
     def start(self, *, members: int = 3) -> tuple[Harness, list[StartOrder]]:
         rig = Harness(*(make_info(f"e{number}") for number in range(members + 1)))
         rig.submit(make_job(make_step(members, cores=4000, is_gang=True)))
@@ -55,14 +54,14 @@
         watch(rig, dict.fromkeys(orders[:2], (0, 0)))
         assert paused(rig) == set()
 
-    def test_members_that_all_stand_still_are_not_blamed(self) -> None:
+    def test_members_that_all_stall_are_not_blamed(self) -> None:
         rig, orders = self.start()
         rig.confirm_starts(orders)
         watch(rig, dict.fromkeys(orders, (40, 0)))
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
         assert paused(rig) == set()
 
-    def test_a_member_that_stands_still_while_the_others_go_on_is_blamed(self) -> None:
+    def test_a_member_that_stalls_while_the_others_progress_is_blamed(self) -> None:
         rig, orders = self.start()
         rig.confirm_starts(orders)
         watch(rig, {orders[0]: (40, 0), orders[1]: (40, 1), orders[2]: (45, 1)})
@@ -83,13 +82,13 @@
         assert all(task.is_stopping for task in rig.core.jobs_by_id[JOB].assigned())
 
 
-class TestStandstillRunAfterRun:
-    """A task that shows no progress for longer than others, on sound executors."""
+class TestRepeatedStalls:
+    """A task that shows no progress for longer than others, on healthy executors."""
 
     def stopped_after(
         self, rig: Harness, order: StartOrder, *, most_s: float = 200.0
     ) -> float | None:
-        """Show a run at 40% until it is stopped; return the seconds, None if it is not."""
+        """List a run at 40% until it is stopped; return the seconds, or None if it is not."""
         began_at = rig.now
         while rig.now - began_at < most_s:
             show(rig, {order: 40})
@@ -124,7 +123,7 @@
                 show(rig, {order: percent})
                 assert rig.stops() == []
 
-    def test_a_run_whose_pace_has_shown_is_given_the_time_of_its_next_percents(self) -> None:
+    def test_a_run_of_known_speed_is_given_the_time_of_its_next_percents(self) -> None:
         rig = Harness(make_info("e1"))
         rig.submit(make_job(make_step(1, estimate_s=1.0)))
         order = rig.step()[0]
