--- a/src/galenastall/node/entry_host.py
+++ b/src/galenastall/node/entry_host.py
@@ -12,8 +12,8 @@
 from galenastall.node.http_drain import OUTAGE_WARNING, HttpDrain
 from galenastall.node.http_ops import HttpOps
 from galenastall.node.http_status import HostStatus, HttpStatus, LogStatus, WorkStatus
-from galenastall.node.jobs.job_side import JobSide
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.jobs.job_subsystem import JobSubsystem
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.memory_watch import MemoryWatch
 from galenastall.node.ownership.ownables import ShardCounts
 from galenastall.node.ownership.ownership_service import OwnershipService
@@ -55,7 +55,7 @@
 
 SHARDS: Final = ShardCounts()
 """The same on every entry host: it decides which shard a key or a job is in."""
-LAST_ANSWERS_S: Final = 2.0
+MIN_RESPONSE_GRACE_S: Final = 2.0
 """Least time for answers on their way when a drain ends, in seconds."""
 
 
@@ -95,13 +95,13 @@
             faults=link_faults,
             hybrid=self.recorder.hybrid,
             log_error=self.recorder.record_error,
-            on_intruder=self._on_intruder,
+            on_intruder=self._on_rejected_peer,
         )
         self._peer_ids: tuple[HostId, ...] = ()
         self._seeds = {HostId(name): address for name, address in settings.seeds.items()}
         self._set_peers(self._seeds)
         own_stream = data_centre_stream(self.data_centre)
-        self.log_side = LogSide(
+        self.log_client = LogClient(
             log=platform.log,
             clock=clock,
             rng=rng,
@@ -121,12 +121,12 @@
             events=self.recorder,
         )
         self.host_list.subscribe(self._on_listing)
-        appender = self.log_side.appender
+        appender = self.log_client.appender
         self.shared = SettingsService(
             clock=clock,
             rng=rng,
             appender=appender,
-            follower=self.log_side.followers_by_stream[SETTINGS_STREAM],
+            follower=self.log_client.followers_by_stream[SETTINGS_STREAM],
             peers=self.link,
             peer_ids=lambda: self._peer_ids,
             find_problem=find_problem,
@@ -134,7 +134,7 @@
         )
         self.shared.on_change(self._on_settings)
         self._request_settings = make_request_settings(self.shared.current, settings.memory)
-        follower = self.log_side.followers_by_stream[own_stream]
+        follower = self.log_client.followers_by_stream[own_stream]
         self.ownership = OwnershipService(
             host_id=self.host_id,
             incarnation=incarnation,
@@ -162,7 +162,7 @@
             events=self.recorder,
         )
         self.host_list.subscribe(self.request_side.set_hosts)
-        self.job_side = JobSide(
+        self.job_subsystem = JobSubsystem(
             data_centre=self.data_centre,
             incarnation=incarnation,
             shards=SHARDS.jobs,
@@ -188,16 +188,16 @@
             timeline=self.timeline,
             not_ready_reasons=self.not_ready_reasons,
             present=PresentState(
-                jobs=self.job_side.intake, requests=self.request_side.requests.request_table
+                jobs=self.job_subsystem.intake, requests=self.request_side.requests.request_table
             ).describe,
         )
         register_host_metrics(
             metrics=self.metrics,
             link=self.link,
-            log_side=self.log_side,
+            log_client=self.log_client,
             ownership=self.ownership,
             request_side=self.request_side,
-            job_side=self.job_side,
+            job_subsystem=self.job_subsystem,
             memory=self.memory,
         )
         self.drain_route = HttpDrain(is_log_up=lambda: appender.is_log_up)
@@ -209,7 +209,7 @@
                 HttpStatus(describe=self.status),
                 HttpSettings(service=self.shared),
                 self.request_side.routes,
-                self.job_side.routes,
+                self.job_subsystem.routes,
             ),
             clock=clock,
             bind=settings.http_bind,
@@ -233,11 +233,11 @@
             task_status.started()
             await nursery.start(self.memory.run)
             await nursery.start(self.host_list.run)
-            await nursery.start(self.log_side.run)
+            await nursery.start(self.log_client.run)
             await nursery.start(self.shared.run)
             await nursery.start(self.ownership.run)
             await nursery.start(self.request_side.run)
-            await nursery.start(self.job_side.run)
+            await nursery.start(self.job_subsystem.run)
 
     async def drain(self) -> int:
         """Finish what is in progress, hand over, leave; return how many requests were cut off.
@@ -246,7 +246,7 @@
         """
         self._is_draining = True
         deadline = self._clock.now() + self.settings.drain_timeout_seconds
-        is_log_up = self.log_side.appender.is_log_up
+        is_log_up = self.log_client.appender.is_log_up
         self.recorder.record(
             "node.drain",
             subjects=(self.host_id,),
@@ -254,11 +254,11 @@
             level=Level.INFO if is_log_up else Level.WARNING,
         )
         with trio.move_on_after(self.settings.drain_timeout_seconds):
-            await self.job_side.drain()
+            await self.job_subsystem.drain()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.request_side.drain)
                 nursery.start_soon(self.ownership.drain)
-        cut_off = await self.server.drain(max(LAST_ANSWERS_S, deadline - self._clock.now()))
+        cut_off = await self.server.drain(max(MIN_RESPONSE_GRACE_S, deadline - self._clock.now()))
         self.recorder.record(
             "node.drained", subjects=(self.host_id,), fields={"cut_off": str(cut_off)}
         )
@@ -301,18 +301,18 @@
         )
 
     def _log_status(self) -> LogStatus:
-        appender = self.log_side.appender
-        followers = self.log_side.followers_by_stream.items()
+        appender = self.log_client.appender
+        followers = self.log_client.followers_by_stream.items()
         return LogStatus(
             is_up=appender.is_log_up,
-            is_fresh=self.ownership.has_log_leg,
+            is_fresh=self.ownership.has_log_confirmation,
             next_offset_by_stream={name: int(each.next_offset) for name, each in followers},
             queued=appender.queued,
             unresolved=len(appender.unresolved),
         )
 
     def _work_status(self) -> WorkStatus:
-        summary = self.job_side.core.summary()
+        summary = self.job_subsystem.core.summary()
         return WorkStatus(
             requests_waiting=self.request_side.requests.waiting,
             requests_in_progress=self.request_side.requests.in_progress,
@@ -328,22 +328,22 @@
             fields={"http": self.server.address, "peer": self.link.address},
         )
 
-    def _on_intruder(self, peer: str, why: str) -> None:
+    def _on_rejected_peer(self, peer: str, why: str) -> None:
         self.recorder.record("peer.kept_out", peer=peer, cause=why, level=Level.WARNING)
 
     def _on_settings(self, current: SharedSettings) -> None:
         self._request_settings = make_request_settings(current, self.settings.memory)
         self.ownership.apply_timings(make_ownership_timings(current))
-        self.log_side.appender.set_settle(current.log.settle_s)
-        self.job_side.apply_settings(
+        self.log_client.appender.set_settle_time(current.log.settle_s)
+        self.job_subsystem.apply_settings(
             placement=make_placement_settings(current),
             timings=make_worker_timings(current),
             drained=current.drained_ids,
         )
-        if self.host_id in current.drained_ids and not self.drain_route.asked.is_set():
+        if self.host_id in current.drained_ids and not self.drain_route.requested.is_set():
             cause = "the shared settings list it under drains"
             self.recorder.record("node.drain_asked", subjects=(self.host_id,), cause=cause)
-            self.drain_route.asked.set()
+            self.drain_route.requested.set()
 
     def _on_listing(self, listing: HostListing, fetched_at: float) -> None:
         self._set_peers({**self._seeds, **peer_addresses(listing, own=self.host_id)})
--- a/src/galenastall/node/host_list_service.py
+++ b/src/galenastall/node/host_list_service.py
@@ -18,7 +18,7 @@
 DEFAULT_POLL_S: Final = 2.0
 """Bounds how long a leaving host goes unnoticed beyond the platform's own lag."""
 JITTER: Final = 0.1
-ENTRY_HOSTS_EVERY_S: Final = 10.0
+ENTRY_HOSTS_POLL_S: Final = 10.0
 """How often entry hosts of other data centres are looked up; only links to them need these."""
 
 ListingCallback = Callable[[HostListing, float], None]
@@ -44,8 +44,8 @@
         fetched: the whole list is two orders of magnitude beyond what a host may spend.
         """
         self._data_centre = data_centre
-        self._own = _Cut(data_centre=data_centre)
-        self._entry_hosts = _Cut(kind=HostKind.ENTRY)
+        self._own = _Subset(data_centre=data_centre)
+        self._entry_hosts = _Subset(kind=HostKind.ENTRY)
         self._entry_hosts_due_at = clock.now()
         self._service = service
         self._clock = clock
@@ -91,24 +91,24 @@
             return
         known = self._entry_hosts.listing
         if await self._refresh(self._entry_hosts):
-            self._entry_hosts_due_at = sent_at + ENTRY_HOSTS_EVERY_S
+            self._entry_hosts_due_at = sent_at + ENTRY_HOSTS_POLL_S
             if self._entry_hosts.listing is not known:
                 self._publish(sent_at)
 
-    async def _refresh(self, cut: "_Cut") -> bool:
+    async def _refresh(self, subset: "_Subset") -> bool:
         """Fetch a cut unless it is as it was; return whether the platform answered."""
-        known = cut.listing
+        known = subset.listing
         fetched = await self._service.fetch(
-            data_centre=cut.data_centre,
-            kind=cut.kind,
+            data_centre=subset.data_centre,
+            kind=subset.kind,
             known_version=known.version or None if known else None,
         )
         match fetched:
             case Success(listing) if not listing.is_unchanged:
-                cut.listing = listing
-                cut.as_of = listing.as_of
+                subset.listing = listing
+                subset.as_of = listing.as_of
             case Success(listing):
-                cut.as_of = listing.as_of
+                subset.as_of = listing.as_of
             case Failure(error):
                 if self.last_error is None:
                     self._events.record("host_list.down", peer=error.peer, cause=str(error))
@@ -135,7 +135,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Cut:
+class _Subset:
     """A part of the list and what is known of it."""
 
     data_centre: DataCentre | None = None
--- a/src/galenastall/node/host_metrics.py
+++ b/src/galenastall/node/host_metrics.py
@@ -4,8 +4,8 @@
 from functools import partial
 from typing import Final
 
-from galenastall.node.jobs.job_side import JobSide
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.jobs.job_subsystem import JobSubsystem
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.memory_watch import MemoryWatch
 from galenastall.node.ownership.ownership_service import OwnershipService
 from galenastall.node.requests.request_side import RequestSide
@@ -22,18 +22,18 @@
     *,
     metrics: Metrics,
     link: ZmqPeerLink,
-    log_side: LogSide,
+    log_client: LogClient,
     ownership: OwnershipService,
     request_side: RequestSide,
-    job_side: JobSide,
+    job_subsystem: JobSubsystem,
     memory: MemoryWatch,
 ) -> None:
     """Show what the services count; the guide's page on metrics says what each means."""
     _register_link(metrics, link)
-    _register_log(metrics, log_side)
+    _register_log(metrics, log_client)
     _register_ownership(metrics, ownership)
     _register_requests(metrics, request_side)
-    _register_jobs(metrics, job_side)
+    _register_jobs(metrics, job_subsystem)
     metrics.gauge(
         "galenastall_resident_mb", "resident memory in mebibytes", lambda: memory.resident_mb
     )
@@ -78,31 +78,31 @@
         )
 
 
-def _register_log(metrics: Metrics, log_side: LogSide) -> None:
+def _register_log(metrics: Metrics, log_client: LogClient) -> None:
     def offsets() -> dict[Labels, float]:
-        followers = log_side.followers_by_stream
+        followers = log_client.followers_by_stream
         return {(stream,): float(each.next_offset) for stream, each in followers.items()}
 
     metrics.gauge("galenastall_log_next_offset", "next offset to fold", offsets, labels=("stream",))
     metrics.gauge(
         "galenastall_log_appends",
         "appends to the log since start",
-        lambda: float(log_side.appender.appends),
+        lambda: float(log_client.appender.appends),
     )
     metrics.gauge(
         "galenastall_log_queued",
         "records that wait for an append",
-        lambda: float(log_side.appender.queued),
+        lambda: float(log_client.appender.queued),
     )
     metrics.gauge(
         "galenastall_log_unresolved",
         "records sent of which nobody knows yet whether they were appended",
-        lambda: float(len(log_side.appender.unresolved)),
+        lambda: float(len(log_client.appender.unresolved)),
     )
     metrics.gauge(
         "galenastall_log_up",
         "1 if the last call to the log succeeded",
-        lambda: float(log_side.appender.is_log_up),
+        lambda: float(log_client.appender.is_log_up),
     )
 
 
@@ -117,7 +117,7 @@
     metrics.gauge(
         "galenastall_log_leg",
         "1 if the log's tip was read recently enough to act on",
-        lambda: float(ownership.has_log_leg),
+        lambda: float(ownership.has_log_confirmation),
     )
 
 
@@ -157,7 +157,7 @@
         )
 
 
-def _register_jobs(metrics: Metrics, side: JobSide) -> None:
+def _register_jobs(metrics: Metrics, side: JobSubsystem) -> None:
     def waiting() -> dict[Labels, float]:
         by_class = side.core.summary().waiting_by_class
         return {(name,): float(count) for name, count in by_class.items()}
--- a/src/galenastall/node/http_drain.py
+++ b/src/galenastall/node/http_drain.py
@@ -30,12 +30,12 @@
     def __init__(self, *, is_log_up: Callable[[], bool]) -> None:
         """`is_log_up` decides about the warning."""
         self._is_log_up = is_log_up
-        self.asked = trio.Event()
+        self.requested = trio.Event()
         """Set once a drain was asked for."""
 
     @route("POST", "/v1/drain")
     async def drain(self, request: HttpRequest) -> HttpResponse:
         """Begin to drain, as SIGTERM does; the answer comes at once."""
-        self.asked.set()
+        self.requested.set()
         warning = "" if self._is_log_up() else OUTAGE_WARNING
         return json_response(202, DrainAnswer(draining=True, warning=warning))
--- a/src/galenastall/node/jobs/http_jobs.py
+++ b/src/galenastall/node/jobs/http_jobs.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from galenastall.node.jobs.job_intake import JobIntake
-from galenastall.node.jobs.job_requests import MOST_TASKS, JobRequest, check_request
+from galenastall.node.jobs.job_requests import MAX_TASKS, JobRequest, check_request
 from galenastall.node.placement.worker_service import WorkerService
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.job_messages import JobView, TaskView
@@ -21,7 +21,7 @@
 from galenastall.transport.http_routes import route
 
 DEFAULT_COUNT: Final = 100
-MOST_LISTED: Final = 1000
+MAX_LISTED: Final = 1000
 ACCEPTED: Final = 201
 KNOWN: Final = 200
 
@@ -114,16 +114,16 @@
         body = await parse_json(request, JobRequest)
         if isinstance(body, Failure):
             return error_response(body.failure())
-        asked = body.unwrap()
+        submission = body.unwrap()
         checked = check_request(
-            asked,
+            submission,
             job_id=self._intake.make_job_id(),
             now=self._clock.wall(),
             peer=request.client,
         )
         if isinstance(checked, Failure):
             return error_response(checked.failure())
-        result = await self._intake.submit(checked.unwrap(), durability=asked.durability)
+        result = await self._intake.submit(checked.unwrap(), durability=submission.durability)
         match result:
             case Success(accepted):
                 return json_response(KNOWN if accepted.was_known else ACCEPTED, accepted)
@@ -144,29 +144,29 @@
             if not team or job.spec.team == team or job.spec.team.startswith(f"{team}/")
         ]
         jobs.sort(key=lambda job: (-job.spec.submitted_at, job.spec.job_id))
-        shown = tuple(_answer(job, None) for job in jobs[: limit.unwrap()])
+        shown = tuple(_job_answer(job, None) for job in jobs[: limit.unwrap()])
         return json_response(200, JobsAnswer(jobs=shown))
 
     @route("GET", "/v1/jobs/{job_id}")
     async def show(self, request: HttpRequest) -> HttpResponse:
         """Show how a job stands."""
         job_id = JobId(request.path_params["job_id"])
-        found = await self._intake.find_surely(job_id)
+        found = await self._intake.find_confirmed(job_id)
         if isinstance(found, Failure):
             return error_response(found.failure())
         view = await self._intake.view(job_id)
-        return json_response(200, _answer(found.unwrap(), view))
+        return json_response(200, _job_answer(found.unwrap(), view))
 
     @route("GET", "/v1/jobs/{job_id}/tasks")
     async def show_tasks(self, request: HttpRequest) -> HttpResponse:
         """Show `count` tasks from `first` on: where each stands."""
         job_id = JobId(request.path_params["job_id"])
-        first = _number(request.query, "first", 0, most=MOST_TASKS)
+        first = _number(request.query, "first", 0, maximum=MAX_TASKS)
         count = _number(request.query, "count", DEFAULT_COUNT)
         for each in (first, count):
             if isinstance(each, Failure):
                 return error_response(each.failure())
-        found = await self._intake.find_surely(job_id)
+        found = await self._intake.find_confirmed(job_id)
         if isinstance(found, Failure):
             return error_response(found.failure())
         view = await self._intake.view(job_id, first=first.unwrap(), count=count.unwrap())
@@ -222,7 +222,7 @@
         return json_response(200, ExplainAnswer(subject=subject, sentences=sentences))
 
 
-def _answer(state: JobState, view: JobView | None) -> JobAnswer:
+def _job_answer(state: JobState, view: JobView | None) -> JobAnswer:
     spec = state.spec
     counts: dict[str, int] = view.counts if view else {}
     return JobAnswer(
@@ -241,12 +241,12 @@
 
 
 def _number(
-    query: Mapping[str, str], name: str, default: int, *, most: int = MOST_LISTED
+    query: Mapping[str, str], name: str, default: int, *, maximum: int = MAX_LISTED
 ) -> Result[int, StepError]:
     text = query.get(name, str(default))
-    if text.isdecimal() and int(text) <= most:
+    if text.isdecimal() and int(text) <= maximum:
         return Success(int(text))
-    detail = f"{name}: {text!r}; allowed: a whole number from 0 to {most}"
+    detail = f"{name}: {text!r}; allowed: a whole number from 0 to {maximum}"
     return Failure(StepError(step="http.query", peer="", reason=Reason.INVALID, detail=detail))
 
 
--- a/src/galenastall/node/jobs/job_intake.py
+++ b/src/galenastall/node/jobs/job_intake.py
@@ -39,9 +39,9 @@
 from galenastall.state.job_records import JobAccepted, JobCancelled
 from galenastall.state.work import JobSpec, TaskPhase
 
-KNOWN_WITHIN_S: Final = 2.0
+LOOKUP_TIMEOUT_S: Final = 2.0
 """How long a question about a job unknown here may take; a read of the log takes 20 ms."""
-UNSURE_RETRY_S: Final = 1.0
+LOOKUP_RETRY_S: Final = 1.0
 """When to come back after it could not be told whether a job is known, in seconds."""
 OUTAGE_RETRY_S: Final = 5.0
 """When to come back after the log could not take a job, in seconds."""
@@ -129,7 +129,7 @@
             return Failure(refusal)
         known = self._fold.get(spec.job_id) or self._jobs.held(spec.job_id)
         if known is not None:
-            return self._answer_known(spec, known)
+            return self._resubmission_result(spec, known)
         spec = replace(spec, home=self._data_centre, submitted_at=self._clock.wall())
         result = await self._appender.append(
             stream=self._follower.stream,
@@ -148,7 +148,7 @@
         """Cancel a job; NOT_FOUND if it is not known here, CONFLICT if it had ended."""
         if self._fold.is_ended(job_id):
             return Failure(self._error("job.cancel", Reason.CONFLICT, f"{job_id} has ended"))
-        found = await self.find_surely(job_id)
+        found = await self.find_confirmed(job_id)
         if isinstance(found, Failure):
             return Failure(replace(found.failure(), step="job.cancel"))
         counts = await self._cancel_at_owner(job_id)
@@ -162,7 +162,7 @@
             if counts is None:
                 return Failure(replace(result.failure(), step="job.cancel"))
             durability = Durability.DATA_CENTRE
-            self._jobs.cancel_later(job_id, cause)
+            self._jobs.log_cancellation_later(job_id, cause)
         self._events.record(
             "job.cancel", subjects=(job_id,), cause=cause, fields={"durability": durability.value}
         )
@@ -183,7 +183,7 @@
         """Return a job as the log, or an entry host in an outage, has it."""
         return self._fold.get(job_id) or self._jobs.held(job_id)
 
-    async def find_surely(self, job_id: JobId) -> Result[JobState, StepError]:
+    async def find_confirmed(self, job_id: JobId) -> Result[JobState, StepError]:
         """Return a job; NOT_FOUND only if no entry host accepted it before this was called.
 
         The log may hold it and not have been read here yet, and in an outage of the log it may be
@@ -192,19 +192,19 @@
         state = self.find(job_id)
         if state is not None:
             return Success(state)
-        with trio.move_on_after(KNOWN_WITHIN_S):
+        with trio.move_on_after(LOOKUP_TIMEOUT_S):
             caught_up = await self._follower.catch_up()
             state = self.find(job_id)
             if state is not None:
                 return Success(state)
-            if isinstance(caught_up, Success) and await self._nobody_holds(job_id):
+            if isinstance(caught_up, Success) and await self._is_held_nowhere(job_id):
                 detail = f"job {job_id!r} is not known in this data centre"
                 return Failure(self._error("job.show", Reason.NOT_FOUND, detail))
         detail = f"job {job_id!r} is not known here, and it is not known whether it was accepted"
         error = self._error("job.show", Reason.UNAVAILABLE, detail)
-        return Failure(replace(error, retry_after_s=UNSURE_RETRY_S))
+        return Failure(replace(error, retry_after_s=LOOKUP_RETRY_S))
 
-    async def _nobody_holds(self, job_id: JobId) -> bool:
+    async def _is_held_nowhere(self, job_id: JobId) -> bool:
         """Whether all other entry hosts say that they do not have a job."""
         for host in sorted(self._ownership.roster() - {self._link.host_id}):
             match await self._link.call(host, JobAsk(job_id=job_id, first=0, count=0)):
@@ -217,7 +217,7 @@
         """Return sentences on a job, or on a task given as `<job>/<index>`."""
         if "/" in subject:
             return await self._explain_task(TaskId(subject))
-        found = await self.find_surely(JobId(subject))
+        found = await self.find_confirmed(JobId(subject))
         if isinstance(found, Failure):
             return (f"{found.failure().detail}.",)
         state = found.unwrap()
@@ -263,9 +263,11 @@
             return self._error("job.submit", Reason.REFUSED, f"it can never run: {obstacle}")
         return None
 
-    def _answer_known(self, spec: JobSpec, known: JobState) -> Result[AcceptedJob, StepError]:
-        asked = replace(spec, home=known.spec.home, submitted_at=known.spec.submitted_at)
-        if asked != known.spec:
+    def _resubmission_result(
+        self, spec: JobSpec, known: JobState
+    ) -> Result[AcceptedJob, StepError]:
+        resubmitted = replace(spec, home=known.spec.home, submitted_at=known.spec.submitted_at)
+        if resubmitted != known.spec:
             detail = f"job_id {spec.job_id!r} is another job's"
             return Failure(self._error("job.submit", Reason.CONFLICT, detail))
         is_logged = known.accepted_at is not None
--- a/src/galenastall/node/jobs/job_link.py
+++ b/src/galenastall/node/jobs/job_link.py
@@ -21,8 +21,8 @@
         """Use `peers` for other hosts; calls end after `timeout_s`."""
         self._peers = peers
         self._timeout_s = timeout_s
-        self._handlers: dict[type[Any], Callable[[HostId, Any], Awaitable[Any]]] = {}
-        self._takers: dict[type[Any], Callable[[HostId, Any], None]] = {}
+        self._call_handlers: dict[type[Any], Callable[[HostId, Any], Awaitable[Any]]] = {}
+        self._message_handlers: dict[type[Any], Callable[[HostId, Any], None]] = {}
 
     @property
     def host_id(self) -> HostId:
@@ -31,15 +31,15 @@
 
     def answer(self, message_type: type[M], handler: Callable[[HostId, M], Awaitable[Any]]) -> None:
         """Answer calls of this type, from here or from peers."""
-        self._handlers[message_type] = handler
+        self._call_handlers[message_type] = handler
         self._peers.handle(message_type, handler)
 
-    def take(self, message_type: type[M], taker: Callable[[HostId, M], None]) -> None:
+    def on_message(self, message_type: type[M], handler: Callable[[HostId, M], None]) -> None:
         """Take one-way messages of this type, from here or from peers."""
-        self._takers[message_type] = taker
+        self._message_handlers[message_type] = handler
 
         async def handle(sender: HostId, message: Any) -> None:
-            taker(sender, message)
+            handler(sender, message)
 
         self._peers.handle(message_type, handle)
 
@@ -47,17 +47,17 @@
         """Return the answer of `host`, which may be this one."""
         if host != self.host_id:
             return await self._peers.call(peer=host, message=message, timeout_s=self._timeout_s)
-        answer = await self._handlers[type(message)](host, message)
+        answer = await self._call_handlers[type(message)](host, message)
         return Failure(answer) if isinstance(answer, StepError) else Success(answer)
 
     def send(self, host: HostId, message: object) -> None:
         """Send one way to `host`, which may be this one."""
         if host == self.host_id:
-            self._takers[type(message)](host, message)
+            self._message_handlers[type(message)](host, message)
             return
         self._peers.send(peer=host, message=message)
 
 
-def nothing_sent(error: StepError) -> bool:
+def had_no_effect(error: StepError) -> bool:
     """Return whether the call provably had no effect at the peer."""
     return error.reason in (Reason.UNREACHABLE, Reason.REFUSED, Reason.NOT_OWNER, Reason.CONFLICT)
--- a/src/galenastall/node/jobs/job_upkeep.py
+++ b/src/galenastall/node/jobs/job_maintenance.py
@@ -16,7 +16,7 @@
 from galenastall.state.job_records import JobAccepted, JobCancelled
 
 
-class JobUpkeep:
+class JobMaintenance:
     """Retries until the log has what it must keep."""
 
     def __init__(
--- a/src/galenastall/node/jobs/job_requests.py
+++ b/src/galenastall/node/jobs/job_requests.py
@@ -12,8 +12,8 @@
 from galenastall.state.resources import Resources
 from galenastall.state.work import JobSpec, Urgency, Workload
 
-MOST_TASKS: Final = 100_000
-MOST_PAYLOAD_CHARS: Final = 65_536
+MAX_TASKS: Final = 100_000
+MAX_PAYLOAD_CHARS: Final = 65_536
 _JOB_ID: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 _TEAM: Final = re.compile(r"[^/\s]+(/[^/\s]+)*")
 
@@ -84,14 +84,14 @@
         return f"job_id: {request.job_id!r}; allowed: 1 to 100 letters, digits, '.', '_', '-'"
     if not _TEAM.fullmatch(request.team):
         return f"team: {request.team!r}; allowed: names joined by '/', without blanks"
-    if not 1 <= request.tasks <= MOST_TASKS:
-        return f"tasks: {request.tasks}; allowed: 1 to {MOST_TASKS}"
+    if not 1 <= request.tasks <= MAX_TASKS:
+        return f"tasks: {request.tasks}; allowed: 1 to {MAX_TASKS}"
     if request.run_s is not None and not request.run_s > 0:
         return f"run_s: {request.run_s}; allowed: more than 0"
     if request.deadline is not None and not request.deadline > now:
         return f"deadline: {request.deadline}; allowed: seconds since 1970, after {now:.0f}"
-    if len(request.payload) > MOST_PAYLOAD_CHARS:
-        return f"payload: {len(request.payload)} characters; allowed: {MOST_PAYLOAD_CHARS}"
+    if len(request.payload) > MAX_PAYLOAD_CHARS:
+        return f"payload: {len(request.payload)} characters; allowed: {MAX_PAYLOAD_CHARS}"
     return _find_resource_problem(request.resources)
 
 
--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -11,8 +11,8 @@
 from galenastall.coordination.placement.placement_commands import CapacitySummary
 from galenastall.coordination.placement.team_gossip import TeamGossip
 from galenastall.node.jobs.job_link import JobLink
+from galenastall.node.jobs.job_maintenance import JobMaintenance
 from galenastall.node.jobs.job_timings import JobTimings
-from galenastall.node.jobs.job_upkeep import JobUpkeep
 from galenastall.node.jobs.job_views import view_run, view_state
 from galenastall.node.jobs.shard_driver import ShardDriver
 from galenastall.node.placement.known_workers import KnownWorkers
@@ -93,7 +93,7 @@
         self._events = events or NullEventSink()
         self._nursery: trio.Nursery | None = None
         self._summaries: dict[HostId, CapacitySummary] = {}
-        self._heard_at: dict[HostId, float] = {}
+        self._last_seen_at: dict[HostId, float] = {}
         self._incarnations: dict[HostId, str] = {}
         self._void_at: dict[HostId, float] = {}
         self._held: dict[JobId, JobState] = {}
@@ -105,7 +105,7 @@
             clock=clock,
             vanished_s=self._timings.vanished_s,
         )
-        self._upkeep = JobUpkeep(
+        self._maintenance = JobMaintenance(
             fold=fold,
             known_workers=self._known_workers,
             drivers=lambda: list(self.drivers_by_shard.values()),
@@ -123,7 +123,7 @@
         link.answer(JobHold, self._on_hold)
         link.answer(JobCancel, self._on_cancel)
         link.answer(JobAsk, self._on_ask)
-        link.take(JobBeat, self._on_beat)
+        link.on_message(JobBeat, self._on_heartbeat)
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
 
@@ -133,12 +133,14 @@
             self._nursery = nursery
             for driver in self.drivers_by_shard.values():
                 nursery.start_soon(driver.run)
-            nursery.start_soon(self._upkeep.run)
+            nursery.start_soon(self._maintenance.run)
             task_status.started()
             while True:
-                self._beat()
+                self._send_heartbeat()
                 peers = len(self._ownership.roster())
-                await trio.sleep(self._timings.beat_s + self._timings.beat_s_per_peer * peers)
+                await trio.sleep(
+                    self._timings.heartbeat_s + self._timings.heartbeat_s_per_peer * peers
+                )
 
     async def drain(self) -> None:
         """Give out nothing more; what is decided and not yet logged is logged first."""
@@ -187,7 +189,7 @@
         fresh = {
             host: summary
             for host, summary in self._summaries.items()
-            if now <= self._heard_at.get(host, 0.0) + self._timings.silent_s
+            if now <= self._last_seen_at.get(host, 0.0) + self._timings.silent_s
         }
         fresh[self._link.host_id] = self._own_summary()
         return fresh
@@ -203,7 +205,7 @@
             driver.core.add_job(state, is_fresh=False, now=self._clock.wall())
             driver.wake()
 
-    def cancel_later(self, job_id: JobId, cause: str) -> None:
+    def log_cancellation_later(self, job_id: JobId, cause: str) -> None:
         """Log a cancellation when the log is back."""
         self._cancels_to_log[job_id] = cause
 
@@ -288,72 +290,72 @@
         if driver is not None:
             driver.cancel()
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self._clock.wall()
         self._known_workers.note(now)
         first = self.drivers_by_shard.get(0)
         if first is not None and first.may_act and self._nursery is not None:
-            self._nursery.start_soon(self._upkeep.log_workers)
+            self._nursery.start_soon(self._maintenance.log_workers)
         shards = tuple(
             ShardEpoch(shard=shard, epoch=driver.core.epoch)
             for shard, driver in self.drivers_by_shard.items()
             if driver.may_act
         )
-        told = self._teams.tell(self._workers.core.reserved_by_team())
-        beat = JobBeat(
+        team_updates = self._teams.tell(self._workers.core.reserved_by_team())
+        heartbeat = JobBeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
             summary=pack_summary(self._own_summary()),
             renewing=self._workers.helper.renewing(),
-            reserved_by_team={team: pack_amount(amount) for team, amount in told.items()},
+            reserved_by_team={team: pack_amount(amount) for team, amount in team_updates.items()},
         )
         self._workers.core.set_reserved_elsewhere(self._teams.elsewhere())
         # Without shards it keeps nothing valid that the host may have queued.
-        silent = replace(beat, shards=(), valid_until=0.0)
+        without_shards = replace(heartbeat, shards=(), valid_until=0.0)
         me = self._link.host_id
-        self._workers.hear_beat(me, beat)
+        self._workers.hear_beat(me, heartbeat)
         roster = self._ownership.roster()
         for host in roster - {me}:
-            is_silent = now > self._heard_at.get(host, 0.0) + self._timings.silent_s
-            self._link.send(host, silent if is_silent else beat)
-            if is_silent:
-                self._on_silent(host, now)
+            is_unresponsive = now > self._last_seen_at.get(host, 0.0) + self._timings.silent_s
+            self._link.send(host, without_shards if is_unresponsive else heartbeat)
+            if is_unresponsive:
+                self._on_unresponsive(host, now)
             else:
                 self._void_at.pop(host, None)
-        for host in self._heard_at.keys() - roster:
+        for host in self._last_seen_at.keys() - roster:
             self._forget_host(host)
 
-    def _on_silent(self, host: HostId, now: float) -> None:
+    def _on_unresponsive(self, host: HostId, now: float) -> None:
         """Stop keeping a silent host's queued tasks valid; once they are void, doubt them."""
         void_at = self._void_at.setdefault(host, now + self._timings.valid_s + self._timings.skew_s)
         if now > void_at:
             self._void_at[host] = now + self._timings.valid_s + self._timings.skew_s
-            self._doubt(host)
+            self._mark_unconfirmed(host)
 
     def _forget_host(self, host: HostId) -> None:
-        self._heard_at.pop(host, None)
+        self._last_seen_at.pop(host, None)
         self._summaries.pop(host, None)
         self._incarnations.pop(host, None)
         self._void_at.pop(host, None)
         self._teams.forget(host)
-        self._doubt(host)
+        self._mark_unconfirmed(host)
 
-    def _doubt(self, host: HostId) -> None:
+    def _mark_unconfirmed(self, host: HostId) -> None:
         for driver in self.drivers_by_shard.values():
             if driver.core.on_assignee_gone(host):
                 driver.wake()
 
-    def _on_beat(self, sender: HostId, beat: JobBeat) -> None:
+    def _on_heartbeat(self, sender: HostId, heartbeat: JobBeat) -> None:
         now = self._clock.wall()
-        if self._incarnations.get(sender, beat.incarnation) != beat.incarnation:
-            self._doubt(sender)
-        self._incarnations[sender] = beat.incarnation
-        self._heard_at[sender] = now
-        self._summaries[sender] = unpack_summary(beat.summary)
-        heard = {team: unpack_amount(row) for team, row in beat.reserved_by_team.items()}
-        self._teams.hear(sender, heard)
-        self._workers.hear_beat(sender, beat)
+        if self._incarnations.get(sender, heartbeat.incarnation) != heartbeat.incarnation:
+            self._mark_unconfirmed(sender)
+        self._incarnations[sender] = heartbeat.incarnation
+        self._last_seen_at[sender] = now
+        self._summaries[sender] = unpack_summary(heartbeat.summary)
+        reserved = {team: unpack_amount(row) for team, row in heartbeat.reserved_by_team.items()}
+        self._teams.hear(sender, reserved)
+        self._workers.hear_beat(sender, heartbeat)
 
     async def _on_events(self, sender: HostId, message: TaskEvents) -> Any:
         driver = self.drivers_by_shard.get(message.shard)
--- a/src/galenastall/node/jobs/job_side.py
+++ b/src/galenastall/node/jobs/job_subsystem.py
@@ -26,7 +26,7 @@
 from galenastall.state.work import JobSpec
 
 
-class JobSide:
+class JobSubsystem:
     """Everything of an entry host that jobs need."""
 
     def __init__(
--- a/src/galenastall/node/jobs/job_timings.py
+++ b/src/galenastall/node/jobs/job_timings.py
@@ -13,9 +13,9 @@
     """Longest time between decisions."""
     decide_limit: int = 1024
     """Most tasks that one decision of a shard gives out."""
-    beat_s: float = 1.0
+    heartbeat_s: float = 1.0
     """Least time between two beats to the other entry hosts."""
-    beat_s_per_peer: float = 0.3
+    heartbeat_s_per_peer: float = 0.3
     """Further time between beats for each peer, so that traffic does not grow with them."""
     valid_s: float = 6.0
     """How long a beat keeps queued tasks valid; several beats long."""
--- a/src/galenastall/node/jobs/job_views.py
+++ b/src/galenastall/node/jobs/job_views.py
@@ -8,7 +8,7 @@
 from galenastall.state.job_fold import CODES_BY_PHASE, JobState
 from galenastall.state.work import TaskPhase
 
-MOST_TASKS_TOLD: Final = 1000
+MAX_TASKS_PER_VIEW: Final = 1000
 """Tasks in one answer; ask again from a later index for more."""
 
 
@@ -19,7 +19,7 @@
         phase = run.phase_of(index)
         if phase is not TaskPhase.WAITING and run.is_open(index):
             counts[phase.value] = counts.get(phase.value, 0) + 1
-    tasks = tuple(_view_task(run, index) for index in _asked(run.state, ask))
+    tasks = tuple(_view_task(run, index) for index in _requested_range(run.state, ask))
     reason = run.detail or run.waiting_reason or run.history()
     return JobView(
         is_known=True, counts=_with_waiting(run.state, counts), reason=reason, tasks=tasks
@@ -34,7 +34,7 @@
             task_id=make_task_id(job_id, index),
             phase=state.phase_of(index) or TaskPhase.WAITING,
         )
-        for index in _asked(state, ask)
+        for index in _requested_range(state, ask)
     )
     counts = _with_waiting(state, _ended_counts(state))
     reason = state.end.detail if state.end else ""
@@ -51,9 +51,9 @@
     return {**counts, TaskPhase.WAITING.value: waiting} if waiting > 0 else counts
 
 
-def _asked(state: JobState, ask: JobAsk) -> range:
+def _requested_range(state: JobState, ask: JobAsk) -> range:
     first = max(ask.first, 0)
-    last = min(first + min(max(ask.count, 0), MOST_TASKS_TOLD), state.spec.tasks)
+    last = min(first + min(max(ask.count, 0), MAX_TASKS_PER_VIEW), state.spec.tasks)
     return range(first, last)
 
 
--- a/src/galenastall/node/jobs/shard_driver.py
+++ b/src/galenastall/node/jobs/shard_driver.py
@@ -18,7 +18,7 @@
 )
 from galenastall.coordination.placement.placement_commands import CapacitySummary
 from galenastall.coordination.placement.task_reports import HostCensus, TaskAttempt
-from galenastall.node.jobs.job_link import JobLink, nothing_sent
+from galenastall.node.jobs.job_link import JobLink, had_no_effect
 from galenastall.node.jobs.job_timings import JobTimings
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink
@@ -84,8 +84,8 @@
         self._census: Census | None = None
         self._needs_barrier = False
         self._is_at_barrier = False
-        self._is_giving = False
-        self._asking: set[HostId] = set()
+        self._is_logging_intents = False
+        self._queried_hosts: set[HostId] = set()
 
     def cancel(self) -> None:
         """Stop, since the shard has another owner."""
@@ -117,7 +117,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._log_ends)
                 while True:
-                    with trio.move_on_after(self._timings.tick_s * self._pace):
+                    with trio.move_on_after(self._timings.tick_s * self._ticks_per_wait):
                         await self._wake.wait()
                         await trio.sleep(self._timings.window_s)
                     self._wake = trio.Event()
@@ -125,7 +125,7 @@
                         self._step(nursery)
 
     @property
-    def _pace(self) -> int:
+    def _ticks_per_wait(self) -> int:
         """Return how many ticks may pass at once: a shard without jobs has nothing to time."""
         core = self.core
         is_busy = core.runs_by_id or core.needs_census or core.ends or core.intents or self._stops
@@ -153,8 +153,8 @@
             nursery.start_soon(self._call_gang, call)
         if self.core.ends:
             self._logging.set()
-        if self.core.intents and not self._is_giving:
-            self._is_giving = True
+        if self.core.intents and not self._is_logging_intents:
+            self._is_logging_intents = True
             nursery.start_soon(self._log_intents)
 
     async def _assign(self, batch: AssignBatch) -> None:
@@ -182,7 +182,7 @@
                     self.core.on_tasks_refused(batch, refused, self._clock.wall())
                 case Success(JobWord(ok=False)):
                     answer = AssignAnswer.REFUSED
-                case Failure(error) if nothing_sent(error) and not is_repeat:
+                case Failure(error) if had_no_effect(error) and not is_repeat:
                     answer = AssignAnswer.REFUSED
             if answer is not AssignAnswer.UNKNOWN:
                 self.core.on_assign_answer(batch, answer, self._clock.wall())
@@ -257,10 +257,10 @@
         if is_complete:
             self._end_census(nursery)
             return
-        for host in roster - self._asking:
+        for host in roster - self._queried_hosts:
             if host in census.missing_hosts(roster) or census.missing_workers(expected):
-                self._asking.add(host)
-                nursery.start_soon(self._ask, host, census)
+                self._queried_hosts.add(host)
+                nursery.start_soon(self._query_host, host, census)
 
     def _begin_census(self) -> None:
         void_at = self._clock.wall() + self._timings.valid_s + self._timings.skew_s
@@ -277,7 +277,7 @@
         if self._needs_barrier:
             if not self._is_at_barrier:
                 self._is_at_barrier = True
-                nursery.start_soon(self._pass_barrier, self._census)
+                nursery.start_soon(self._append_barrier, self._census)
             return
         count = self.core.resolve_unconfirmed(
             self._clock.wall(), may_have_lost_ends=self._may_have_lost_ends
@@ -289,7 +289,7 @@
             cause=f"{count} tasks in doubt are nowhere",
         )
 
-    async def _pass_barrier(self, census: Census | None) -> None:
+    async def _append_barrier(self, census: Census | None) -> None:
         """Read back a record of our own.
 
         A worker forgets an end only after its record was read back, so an end that the census could
@@ -305,7 +305,7 @@
         self._is_at_barrier = False
         self.wake()
 
-    async def _ask(self, host: HostId, census: Census) -> None:
+    async def _query_host(self, host: HostId, census: Census) -> None:
         message = ShardRecover(
             shard=self.core.shard, epoch=self.core.epoch, valid_until=self.valid_until()
         )
@@ -317,7 +317,7 @@
                 self.core.on_reports(host, reports, now)
                 census.on_answer(HostCensus(host_id=host, reports=reports, workers=answer.workers))
         await trio.sleep(self._timings.resend_s)
-        self._asking.discard(host)
+        self._queried_hosts.discard(host)
         self.wake()
 
     async def _log_ends(self) -> None:
@@ -333,7 +333,7 @@
                     await trio.sleep(self._timings.log_retry_s)
                     self._logging.set()
                     continue
-                self._tell_settled(self.core.ends.logged(record))
+                self._notify_settled(self.core.ends.logged(record))
             async with trio.open_nursery() as nursery:
                 for job in jobs:
                     nursery.start_soon(self._log_job_end, job)
@@ -349,7 +349,7 @@
             self.core.on_given(record, is_logged=is_logged)
         elif record is not None:
             self.core.on_given(record, is_logged=False)
-        self._is_giving = False
+        self._is_logging_intents = False
         self.wake()
 
     async def _log_job_end(self, job: JobEnded) -> None:
@@ -363,7 +363,7 @@
             await trio.sleep(self._timings.log_retry_s)
             self._logging.set()
 
-    def _tell_settled(self, settled: Iterable[ReportSource]) -> None:
+    def _notify_settled(self, settled: Iterable[ReportSource]) -> None:
         attempts_by_host: dict[HostId, list[TaskAttempt]] = {}
         for each in settled:
             attempt = TaskAttempt(task_id=each.task_id, attempt=each.attempt)
--- a/src/galenastall/node/log/group_commit.py
+++ b/src/galenastall/node/log/group_commit.py
@@ -40,7 +40,7 @@
 DEFAULT_SETTLE_S: Final = 30.0
 RETRY_MIN_S: Final = 0.5
 RETRY_MAX_S: Final = 5.0
-REMEMBERED_IDS: Final = 4096
+MAX_REMEMBERED_OUTCOMES: Final = 4096
 """Own records whose fate is remembered, for callers that ask again with the same id."""
 
 STEP: Final = "log.append"
@@ -57,23 +57,23 @@
     """Runtime seconds; None while it is queued."""
     offset: Offset | None = None
     """Where the log's answer put it; None as long as there was none."""
-    fate: Result[Offset, StepError] | None = None
+    outcome: Result[Offset, StepError] | None = None
     decided: trio.Event = field(default_factory=trio.Event)
 
-    def decide(self, fate: Result[Offset, StepError]) -> None:
-        if self.fate is None:
-            self.fate = fate
+    def decide(self, outcome: Result[Offset, StepError]) -> None:
+        if self.outcome is None:
+            self.outcome = outcome
             self.decided.set()
 
 
 class _ReadBack:
     """Fold that shows the appender every record of one stream."""
 
-    def __init__(self, *, seen: Callable[[LoggedRecord], None]) -> None:
-        self._seen = seen
+    def __init__(self, *, on_record: Callable[[LoggedRecord], None]) -> None:
+        self._on_record = on_record
 
     def apply(self, logged: LoggedRecord) -> None:
-        self._seen(logged)
+        self._on_record(logged)
 
 
 class _StreamQueue:
@@ -151,22 +151,22 @@
         self._is_budget_short = False
         self._pending_by_id: dict[RecordId, _Pending] = {}
         self._unanswered_by_id: dict[RecordId, _Pending] = {}
-        self._fates_by_id: OrderedDict[RecordId, Result[Offset, StepError]] = OrderedDict()
+        self._outcomes_by_id: OrderedDict[RecordId, Result[Offset, StepError]] = OrderedDict()
         self._queues_by_stream: dict[StreamName, _StreamQueue] = {}
         self.appends = 0
         """Append calls sent so far, for metrics."""
         for follower in followers:
             self._queues_by_stream[follower.stream] = _StreamQueue(follower=follower)
-            follower.subscribe(_ReadBack(seen=self._saw))
-            follower.on_tip(self._settle_unseen)
-            follower.on_gap(partial(self._passed_over, follower.stream))
+            follower.subscribe(_ReadBack(on_record=self._on_read_back))
+            follower.on_end_reached(self._resolve_missing)
+            follower.on_gap(partial(self._on_skipped, follower.stream))
 
     @property
     def queued(self) -> int:
         """Records that wait to be sent."""
         return sum(len(queue.waiting) for queue in self._queues_by_stream.values())
 
-    def set_settle(self, settle_s: float) -> None:
+    def set_settle_time(self, settle_s: float) -> None:
         """Take the platform's word on how long an unanswered append may still take effect."""
         self._settle_s = settle_s
 
@@ -193,8 +193,8 @@
         UNAVAILABLE and OVERLOADED: it was not appended. TIMEOUT: it may have been, or still be.
         """
         record_id = record_id or RecordId(f"{self._writer}-{next(self._numbers)}")
-        known = self._fates_by_id.get(record_id)
-        if known is not None and not _is_absent(known):
+        known = self._outcomes_by_id.get(record_id)
+        if known is not None and not _was_not_appended(known):
             return known
         pending = self._pending_by_id.get(record_id)
         if pending is None:
@@ -207,7 +207,7 @@
             self._queues_by_stream[stream].put(pending)
         with trio.move_on_after(self._answer_timeout_s):
             await pending.decided.wait()
-        return pending.fate or self._still_open(pending)
+        return pending.outcome or self._undecided_result(pending)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Append until cancelled."""
@@ -227,14 +227,14 @@
             await queue.wait_nonempty()
             now = self._clock.now()
             limits, live_hosts = self._limits(), self._live_hosts()
-            self._watch_spacing(limits, live_hosts)
+            self._check_spacing(limits, live_hosts)
             send_at = self._window.reserve(now=now, limits=limits, live_hosts=live_hosts)
             await trio.sleep(max(0.0, send_at - now))
             batch = queue.take_batch()
             if batch:
                 await self._append_batch(stream, queue, batch)
 
-    def _watch_spacing(self, limits: WindowLimits, live_hosts: int) -> None:
+    def _check_spacing(self, limits: WindowLimits, live_hosts: int) -> None:
         spacing_s = self._window.spacing_s(limits=limits, live_hosts=live_hosts)
         is_short = spacing_s > limits.max_window_s
         if is_short and not self._is_budget_short:
@@ -253,28 +253,28 @@
             case Success(first):
                 self._note_appended()
                 for index, pending in enumerate(batch):
-                    self._answered(queue, pending, Offset(first + index))
+                    self._on_answer(queue, pending, Offset(first + index))
             case Failure(error) if error.may_have_taken_effect:
                 self._note_failed(error)
-                undecided = {found.record_id: found for found in batch if found.fate is None}
+                undecided = {found.record_id: found for found in batch if found.outcome is None}
                 self._unanswered_by_id.update(undecided)
                 self._fail_queued(queue, error)
             case Failure(error) if error.reason is Reason.OVERLOADED:
-                self._unsend(batch)
+                self._mark_unsent(batch)
                 queue.put_back(batch)
                 await trio.sleep(error.retry_after_s or self._rng.uniform(0.0, RETRY_MIN_S))
             case Failure(error):
                 self._note_failed(error)
-                self._unsend(batch)
+                self._mark_unsent(batch)
                 queue.put_back(batch)
                 self._fail_queued(queue, error)
 
-    def _answered(self, queue: _StreamQueue, pending: _Pending, offset: Offset) -> None:
+    def _on_answer(self, queue: _StreamQueue, pending: _Pending, offset: Offset) -> None:
         pending.offset = offset
         if queue.follower.next_offset > offset:
             self._decide(pending, Success(offset))
 
-    def _unsend(self, batch: list[_Pending]) -> None:
+    def _mark_unsent(self, batch: list[_Pending]) -> None:
         for pending in batch:
             pending.sent_at = None
 
@@ -282,14 +282,14 @@
         while queue.waiting:
             self._decide(queue.waiting.popleft(), Failure(self._unavailable(error.detail)))
 
-    def _saw(self, logged: LoggedRecord) -> None:
+    def _on_read_back(self, logged: LoggedRecord) -> None:
         pending = self._pending_by_id.get(logged.record_id)
         if pending is not None and pending.stream == logged.stream:
             self._decide(pending, Success(logged.offset))
             return
-        fate = self._fates_by_id.get(logged.record_id)
-        if fate is not None and _is_absent(fate):
-            self._fates_by_id[logged.record_id] = Success(logged.offset)
+        outcome = self._outcomes_by_id.get(logged.record_id)
+        if outcome is not None and _was_not_appended(outcome):
+            self._outcomes_by_id[logged.record_id] = Success(logged.offset)
             self._events.record(
                 "log.late_append",
                 peer=logged.stream,
@@ -297,7 +297,7 @@
                 cause=f"landed at {logged.offset} after it was taken for not appended",
             )
 
-    def _settle_unseen(self) -> None:
+    def _resolve_missing(self) -> None:
         for pending in list(self._unanswered_by_id.values()):
             tip_read_at = self._queues_by_stream[pending.stream].follower.tip_read_at
             if pending.sent_at is None or tip_read_at is None:
@@ -305,7 +305,7 @@
             if tip_read_at >= pending.sent_at + self._settle_s:
                 self._decide(pending, Failure(self._unavailable("its answer was lost")))
 
-    def _passed_over(self, stream: StreamName, start: Offset) -> None:
+    def _on_skipped(self, stream: StreamName, start: Offset) -> None:
         """Decide what can no longer be read back, as the log dropped records unread."""
         for pending in list(self._pending_by_id.values()):
             if pending.stream != stream or pending.sent_at is None:
@@ -316,15 +316,15 @@
                 detail = "its answer was lost and the log dropped records unread"
                 self._decide(pending, Failure(self._error(Reason.TIMEOUT, detail)))
 
-    def _decide(self, pending: _Pending, fate: Result[Offset, StepError]) -> None:
+    def _decide(self, pending: _Pending, outcome: Result[Offset, StepError]) -> None:
         self._pending_by_id.pop(pending.record_id, None)
         self._unanswered_by_id.pop(pending.record_id, None)
-        pending.decide(fate)
+        pending.decide(outcome)
         if pending.sent_at is None:
             return
-        self._fates_by_id[pending.record_id] = fate
-        while len(self._fates_by_id) > REMEMBERED_IDS:
-            self._fates_by_id.popitem(last=False)
+        self._outcomes_by_id[pending.record_id] = outcome
+        while len(self._outcomes_by_id) > MAX_REMEMBERED_OUTCOMES:
+            self._outcomes_by_id.popitem(last=False)
 
     def _refusal(self, stream: StreamName) -> StepError | None:
         queue = self._queues_by_stream.get(stream)
@@ -337,12 +337,12 @@
             return self._error(Reason.OVERLOADED, detail, retry_after_s=RETRY_MIN_S)
         return None
 
-    def _still_open(self, pending: _Pending) -> Result[Offset, StepError]:
+    def _undecided_result(self, pending: _Pending) -> Result[Offset, StepError]:
         queue = self._queues_by_stream[pending.stream]
         if pending.sent_at is None and pending in queue.waiting:
             queue.waiting.remove(pending)
             self._decide(pending, Failure(self._unavailable("it waited too long")))
-            return pending.fate or Failure(self._unavailable(""))
+            return pending.outcome or Failure(self._unavailable(""))
         detail = "no answer, and not read back yet"
         if pending.offset is not None:
             detail = f"appended at {pending.offset}, but not read back yet"
@@ -371,6 +371,6 @@
         )
 
 
-def _is_absent(fate: Result[Offset, StepError]) -> bool:
+def _was_not_appended(outcome: Result[Offset, StepError]) -> bool:
     """Return whether the record was taken for not appended."""
-    return isinstance(fate, Failure) and not fate.failure().may_have_taken_effect
+    return isinstance(outcome, Failure) and not outcome.failure().may_have_taken_effect
--- a/src/galenastall/node/log/log_service.py
+++ b/src/galenastall/node/log/log_service.py
@@ -17,10 +17,10 @@
 from galenastall.protocol.platform import LogService
 from galenastall.state.ids import StreamName
 
-__all__ = ["GroupCommitAppender", "LogHealth", "LogSide", "LogStreamFollower"]
+__all__ = ["GroupCommitAppender", "LogClient", "LogHealth", "LogStreamFollower"]
 
 
-class LogSide:
+class LogClient:
     """Followers by stream and the one appender that reads back through them."""
 
     def __init__(
--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -18,11 +18,11 @@
 from galenastall.state.records import LoggedRecord, RecordFold, UnknownRecord
 
 PAGE_RECORDS: Final = 1000
-RECORDS_A_TURN: Final = 32
+RECORDS_PER_CHECKPOINT: Final = 32
 """Records folded before other tasks get a turn; a settings change takes milliseconds."""
 DEFAULT_POLL_WAIT_S: Final = 1.0
 """Also the age that `tip_read_at` reaches in quiet times, so well below the READ setting."""
-READ_GAP_S: Final = 0.2
+MIN_READ_INTERVAL_S: Final = 0.2
 """Least time between two reads that brought records; each append wakes all followers at once."""
 RETRY_MIN_S: Final = 0.1
 RETRY_MAX_S: Final = 2.0
@@ -60,14 +60,14 @@
         self._events = events or NullEventSink()
         self._poll_wait_s = poll_wait_s
         self._next = Offset(0)
-        self._answered = False
+        self._last_read_succeeded = False
         self._tip_read_at: float | None = None
         self._folds: list[RecordFold] = []
         self._gap_callbacks: list[Callable[[Offset], None]] = []
-        self._tip_callbacks: list[Callable[[], None]] = []
+        self._end_callbacks: list[Callable[[], None]] = []
         self._waiters: list[tuple[int, int, trio.Event]] = []
         self._waiter_count = itertools.count()
-        self._awaited = trio.Event()
+        self._waiter_added = trio.Event()
         """Set by a waiter; ends the pause between two reads."""
         self._retry_s = RETRY_MIN_S
 
@@ -98,9 +98,9 @@
         """
         self._gap_callbacks.append(callback)
 
-    def on_tip(self, callback: Callable[[], None]) -> None:
+    def on_end_reached(self, callback: Callable[[], None]) -> None:
         """Call back after each read that reached the tip, once its records were folded."""
-        self._tip_callbacks.append(callback)
+        self._end_callbacks.append(callback)
 
     async def wait_for(self, offset: Offset) -> None:
         """Return once the record at `offset` has been folded."""
@@ -109,7 +109,7 @@
             return
         folded = trio.Event()
         heapq.heappush(self._waiters, (offset, next(self._waiter_count), folded))
-        self._awaited.set()
+        self._waiter_added.set()
         await folded.wait()
 
     async def catch_up(self) -> Result[None, StepError]:
@@ -131,7 +131,7 @@
     async def _read_once(self) -> None:
         """Read a page; at the start and after a failure without a long poll, to find out soon."""
         sent_at = self._clock.now()
-        wait_s = self._poll_wait_s if self._answered else 0.0
+        wait_s = self._poll_wait_s if self._last_read_succeeded else 0.0
         read = await self._log.read(
             stream=self._stream, start=self._next, limit=PAGE_RECORDS, wait_s=wait_s
         )
@@ -139,7 +139,7 @@
             case Success(page):
                 await self._take_page(page, sent_at)
                 if page.entries and self._next >= page.end:
-                    await self._pause(sent_at + READ_GAP_S)
+                    await self._pause(sent_at + MIN_READ_INTERVAL_S)
             case Failure(error) if error.reason is Reason.TRIMMED and error.detail.isdecimal():
                 self._skip_to(Offset(int(error.detail)))
             case Failure(error):
@@ -150,9 +150,9 @@
         left_s = until - self._clock.now()
         if left_s <= 0 or self._waiters:
             return
-        self._awaited = trio.Event()
+        self._waiter_added = trio.Event()
         with trio.move_on_after(left_s):
-            await self._awaited.wait()
+            await self._waiter_added.wait()
 
     async def _take_page(self, page: LogPage, sent_at: float) -> None:
         if page.end < self._next:
@@ -162,16 +162,16 @@
         if not self._health.is_up:
             self._events.record("log.up", subjects=(self._stream,))
         self._health.is_up = True
-        self._answered = True
+        self._last_read_succeeded = True
         self._retry_s = RETRY_MIN_S
         for index, entry in enumerate(page.entries, start=1):
             self._fold(entry)
-            if index % RECORDS_A_TURN == 0:
+            if index % RECORDS_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
         self._wake_waiters()
         if self._next >= page.end:
             self._tip_read_at = sent_at
-            for callback in self._tip_callbacks:
+            for callback in self._end_callbacks:
                 callback()
 
     def _fold(self, entry: LogEntry) -> None:
@@ -215,7 +215,7 @@
         if self._health.is_up:
             self._events.record("log.down", subjects=(self._stream,), cause=str(error))
         self._health.is_up = False
-        self._answered = False
+        self._last_read_succeeded = False
         await trio.sleep(self._retry_s * self._rng.uniform(0.5, 1.0))
         self._retry_s = min(RETRY_MAX_S, 2 * self._retry_s)
 
--- a/src/galenastall/node/memory_watch.py
+++ b/src/galenastall/node/memory_watch.py
@@ -50,10 +50,10 @@
         """Look until cancelled."""
         task_status.started()
         while True:
-            self.look()
+            self.check()
             await trio.sleep(CHECK_S)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Measure now, and record an event if the limit was crossed."""
         self.resident_mb = self._measure()
         is_above = self.resident_mb > self._limit_mb
--- a/src/galenastall/node/ownership/ownables.py
+++ b/src/galenastall/node/ownership/ownables.py
@@ -36,20 +36,22 @@
         self._data_centre = data_centre
         self._shards = shards.ownables()
         self._lag_s = lag_s
-        self._shown_at: dict[OwnableId, float] = {}
+        self._last_listed_at: dict[OwnableId, float] = {}
 
     def update(self, listing: HostListing, now: float) -> frozenset[OwnableId]:
         """Return what should have an owner after a listing fetched at `now` (runtime seconds)."""
         for host in listing.by_id.values():
             kind = _KIND_BY_HOST_KIND.get(host.kind)
             if kind and host.data_centre == self._data_centre and host.state is not HostState.GONE:
-                self._shown_at[make_ownable_id(kind, host.host_id)] = now
-        shown_at = self._shown_at
-        self._shown_at = {o: at for o, at in shown_at.items() if now - at <= self._lag_s}
-        return self._shards.union(self._shown_at)
+                self._last_listed_at[make_ownable_id(kind, host.host_id)] = now
+        last_listed_at = self._last_listed_at
+        self._last_listed_at = {
+            o: at for o, at in last_listed_at.items() if now - at <= self._lag_s
+        }
+        return self._shards.union(self._last_listed_at)
 
 
-def shown_entry_hosts(listing: HostListing, *, data_centre: DataCentre) -> frozenset[HostId]:
+def listed_entry_hosts(listing: HostListing, *, data_centre: DataCentre) -> frozenset[HostId]:
     """Return the data centre's entry hosts that a listing shows live or leaving."""
     return frozenset(
         host.host_id
--- a/src/galenastall/node/ownership/ownership_service.py
+++ b/src/galenastall/node/ownership/ownership_service.py
@@ -30,7 +30,7 @@
 from galenastall.coordination.ownership.ownership_tail import RecordTail
 from galenastall.coordination.ownership.ownership_timings import OwnershipTimings
 from galenastall.node.host_list_service import HostListPoller
-from galenastall.node.ownership.ownables import OwnableSet, ShardCounts, shown_entry_hosts
+from galenastall.node.ownership.ownables import OwnableSet, ShardCounts, listed_entry_hosts
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.codec import decode_record, encode_record
 from galenastall.protocol.event_sink import EventSink, NullEventSink
@@ -43,7 +43,7 @@
 from galenastall.state.records import LoggedRecord
 
 TICK_S: Final = 0.1
-QUIET_TICK_S: Final = 0.2
+IDLE_TICK_S: Final = 0.2
 """The same while nothing is contested; still several in a beat's interval."""
 TAIL_TIMEOUT_S: Final = 1.0
 
@@ -72,14 +72,14 @@
         """
         self._data_centre = data_centre
         self._timings = timings
-        self._in_force = timings
+        self._current_timings = timings
         self._clock = clock
         self._appender = appender
         self._follower = follower
         self._peers = peers
         self._events = events or NullEventSink()
         self._first_incarnation = incarnation
-        self._lives = 1
+        self._incarnation_count = 1
         self._core = OwnershipCore(
             me=Member(host=host_id, incarnation=incarnation), timings=timings
         )
@@ -91,7 +91,7 @@
         self._lost_callbacks: list[Callable[[OwnableId], None]] = []
         self._nursery: trio.Nursery | None = None
         self._commands: deque[OwnershipCommand] = deque()
-        self._is_carrying_out = False
+        self._is_executing = False
         self._left = trio.Event()
         self.appended = 0
         """Records handed to the log, for metrics."""
@@ -140,7 +140,7 @@
         return self._core.fold.has_member(self._core.me)
 
     @property
-    def has_log_leg(self) -> bool:
+    def has_log_confirmation(self) -> bool:
         """Whether the log's tip was read recently enough to act on."""
         return self._core.confirmations.has_log_confirmation(self._clock.now())
 
@@ -150,7 +150,7 @@
 
     def apply_timings(self, timings: OwnershipTimings) -> None:
         """Act by other timings from now on; takeovers wait by those that this was made with."""
-        self._in_force = timings
+        self._current_timings = timings
         self._core.apply_timings(timings)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -161,7 +161,7 @@
             try:
                 while True:
                     self._tick()
-                    await trio.sleep(QUIET_TICK_S if self._core.is_idle else TICK_S)
+                    await trio.sleep(IDLE_TICK_S if self._core.is_idle else TICK_S)
             finally:
                 self._nursery = None
 
@@ -177,7 +177,7 @@
         """Take in the next record of the data centre's stream."""
         self._tail.keep(logged)
         self._core.on_record(logged, self._clock.now())
-        self._carry_out()
+        self._execute_commands()
 
     # Events in
 
@@ -187,17 +187,19 @@
             read_at=self._follower.tip_read_at, next_offset=self._follower.next_offset, now=now
         )
         self._core.on_tick(now)
-        self._carry_out()
+        self._execute_commands()
         if self._core.is_removed and self._core.is_leaving:
             self._left.set()
 
     def _on_listing(self, listing: HostListing, fetched_at: float) -> None:
-        self._core.on_listing(shown_entry_hosts(listing, data_centre=self._data_centre), fetched_at)
+        self._core.on_listing(
+            listed_entry_hosts(listing, data_centre=self._data_centre), fetched_at
+        )
         self._core.on_ownables(self._ownables.update(listing, fetched_at))
 
     async def _on_message(self, sender: HostId, message: Any) -> None:
         self._core.on_message(sender, message, self._clock.now())
-        self._carry_out()
+        self._execute_commands()
 
     async def _on_tail_request(self, sender: HostId, request: TailRequest) -> Any:
         records = self._tail.since(request.start) if self._core.fold.is_complete else None
@@ -213,19 +215,19 @@
 
     # Commands out
 
-    def _carry_out(self) -> None:
+    def _execute_commands(self) -> None:
         """Carry out commands in order, also those that callbacks give rise to."""
         self._commands.extend(self._core.drain_commands())
-        if self._is_carrying_out:
+        if self._is_executing:
             return
-        self._is_carrying_out = True
+        self._is_executing = True
         try:
             while self._commands:
-                self._carry_out_one(self._commands.popleft())
+                self._execute(self._commands.popleft())
         finally:
-            self._is_carrying_out = False
+            self._is_executing = False
 
-    def _carry_out_one(self, command: OwnershipCommand) -> None:
+    def _execute(self, command: OwnershipCommand) -> None:
         match command:
             case SendMessage():
                 self.messages += 1
@@ -239,7 +241,7 @@
             case Lost():
                 self._lost(command)
             case Expelled():
-                self._join_again()
+                self._rejoin()
 
     def _start(self, work: Callable[..., Any], *args: Any) -> None:
         if self._nursery is not None:
@@ -259,10 +261,10 @@
         for callback in self._lost_callbacks:
             callback(command.ownable)
 
-    def _join_again(self) -> None:
+    def _rejoin(self) -> None:
         """Go on as a new member: the log says that the old incarnation is dead."""
-        self._lives += 1
-        incarnation = Incarnation(f"{self._first_incarnation}+{self._lives}")
+        self._incarnation_count += 1
+        incarnation = Incarnation(f"{self._first_incarnation}+{self._incarnation_count}")
         cause = "the roster no longer lists this incarnation"
         self._events.record("ownership.expelled", cause=cause, fields={"next": incarnation})
         old = self._core
@@ -271,7 +273,7 @@
             timings=self._timings,
             fold=old.fold,
         )
-        self._core.apply_timings(self._in_force)
+        self._core.apply_timings(self._current_timings)
         if old.ownables is not None:
             self._core.on_ownables(old.ownables)
 
@@ -282,13 +284,13 @@
         )
         core.on_append_outcome(command.record_id, _outcome(appended), self._clock.now())
         if isinstance(appended, Success):
-            self._tell_written(command.record)
+            self._record_written(command.record)
         if isinstance(appended, Failure):
             error = appended.failure()
             self._events.record("ownership.append_failed", peer=error.peer, cause=str(error))
-        self._carry_out()
+        self._execute_commands()
 
-    def _tell_written(self, record: Any) -> None:
+    def _record_written(self, record: Any) -> None:
         match record:
             case Claim(ownables=ownables):
                 self._events.record("ownership.claimed", subjects=ownables)
@@ -313,7 +315,7 @@
         self._core.on_tail(
             start=answer.start, end=answer.end, records=records, now=self._clock.now()
         )
-        self._carry_out()
+        self._execute_commands()
 
     def _decode_tail(self, answer: TailAnswer) -> list[LoggedRecord]:
         stream = self._follower.stream
--- a/src/galenastall/node/placement/held_gangs.py
+++ b/src/galenastall/node/placement/held_gangs.py
@@ -53,7 +53,7 @@
         self._started: OrderedDict[str, None] = OrderedDict()
         link.answer(GangHold, self._on_hold)
         link.answer(GangStart, self._on_start)
-        link.take(GangRelease, self._on_release)
+        link.on_message(GangRelease, self._on_release)
 
     def expired(self, holds: tuple[HoldId, ...]) -> None:
         """Forget holds that the core has released."""
--- a/src/galenastall/node/placement/task_reporter.py
+++ b/src/galenastall/node/placement/task_reporter.py
@@ -45,7 +45,7 @@
         self._due = trio.Event()
         self._progress = trio.Event()
         self._in_flight: set[int] = set()
-        link.take(TasksSettled, self._on_settled)
+        link.on_message(TasksSettled, self._on_settled)
 
     def wake(self) -> None:
         """Send what is new soon."""
--- a/src/galenastall/node/placement/worker_starts.py
+++ b/src/galenastall/node/placement/worker_starts.py
@@ -13,7 +13,7 @@
     WorkerCommands,
 )
 from galenastall.coordination.placement.task_reports import ReportKind
-from galenastall.node.jobs.job_link import nothing_sent
+from galenastall.node.jobs.job_link import had_no_effect
 from galenastall.node.placement.worker_commands import unanswered
 from galenastall.node.placement.worker_timings import WorkerTimings
 from galenastall.protocol.clock import Clock
@@ -66,7 +66,7 @@
                 answers_by_task = {answer.task_id: answer for answer in answers}
             case Failure(error):
                 detail = str(error)
-                fallback = StartAnswer.REFUSED if nothing_sent(error) else StartAnswer.UNKNOWN
+                fallback = StartAnswer.REFUSED if had_no_effect(error) else StartAnswer.UNKNOWN
         for start in valid:
             answer = answers_by_task.get(start.task.task_id)
             if answer is None:
@@ -99,7 +99,7 @@
         result = unanswered("worker.start", commands.worker_id, self.timings.call_s)
         with trio.move_on_after(self.timings.call_s):
             result = await self._workers.start(address=address, batch=batch)
-        if isinstance(result, Success) or nothing_sent(result.failure()):
+        if isinstance(result, Success) or had_no_effect(result.failure()):
             horizon.answered(commands.worker_id, call)
         return result
 
--- a/src/galenastall/node/process.py
+++ b/src/galenastall/node/process.py
@@ -26,7 +26,7 @@
 """Imported so that the registry of adapters is full."""
 GC_THRESHOLDS: Final = (2_000, 50, 1_000)
 """New objects, young and middle collections that set off the next larger collection."""
-BROKEN_OFF: Final = 1
+FORCED_EXIT_CODE: Final = 1
 """Exit code after a second signal."""
 
 
@@ -54,7 +54,7 @@
     StartError naming what is in the way.
     """
     configure_logging(stream=default_stream(), level=Level[settings.log_level.upper()])
-    _spare_long_collections()
+    _limit_gc_pauses()
     try:
         return trio.run(partial(serve_entry_host, settings=settings, on_bound=on_bound))
     except BaseExceptionGroup as group:
@@ -78,8 +78,8 @@
                     host_id=settings.host_id, http=host.server.address, peer=host.link.address
                 )
             )
-            await _wait_for_stop(signals, host.drain_route.asked)
-            nursery.start_soon(_break_off_on_signal, signals, host)
+            await _wait_for_stop(signals, host.drain_route.requested)
+            nursery.start_soon(_abort_on_signal, signals, host)
             cut_off = await host.drain()
             nursery.cancel_scope.cancel()
     return cut_off
@@ -119,7 +119,7 @@
     return _first_leaf(found) if isinstance(found, BaseExceptionGroup) else found
 
 
-def _spare_long_collections() -> None:
+def _limit_gc_pauses() -> None:
     """Keep the libraries out of garbage collection, and collect old objects seldom.
 
     A full collection stops the loop for 150 ms and more once 20,000 tasks are held; see
@@ -145,14 +145,14 @@
     return platform
 
 
-async def _wait_for_stop(signals: AsyncIterator[int], asked: trio.Event) -> None:
+async def _wait_for_stop(signals: AsyncIterator[int], drain_requested: trio.Event) -> None:
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_on_signal, signals, nursery.cancel_scope)
-        await asked.wait()
+        await drain_requested.wait()
         nursery.cancel_scope.cancel()
 
 
-async def _break_off_on_signal(signals: AsyncIterator[int], host: EntryHost) -> None:
+async def _abort_on_signal(signals: AsyncIterator[int], host: EntryHost) -> None:
     """End the process; cancelling would wait for writes that the HTTP library shields."""
     await anext(signals)
     host.recorder.record(
@@ -162,7 +162,7 @@
         fields={"cut_off": str(host.server.open_requests)},
         level=Level.WARNING,
     )
-    os._exit(BROKEN_OFF)
+    os._exit(FORCED_EXIT_CODE)
 
 
 async def _cancel_on_signal(signals: AsyncIterator[int], scope: trio.CancelScope) -> None:
--- a/src/galenastall/node/settings/settings_catch_up.py
+++ b/src/galenastall/node/settings/settings_catch_up.py
@@ -28,14 +28,14 @@
 from galenastall.state.settings_records import SettingsChange
 from galenastall.state.settings_tree import SettingsFold
 
-TELL_EVERY_S: Final = 2.0
-TOLD_PEERS: Final = 2
+ANNOUNCE_EVERY_S: Final = 2.0
+ANNOUNCE_FANOUT: Final = 2
 CALL_TIMEOUT_S: Final = 2.0
 START_GRACE_S: Final = 3.0
 """How long a fresh entry host gives the log before it starts from its peers' state."""
 LOG_GRACE_S: Final = 1.0
 """How long the log may take to bring what a peer already has, before the peer is asked."""
-OPINION_S: Final = 30.0
+DIGEST_REPORT_MAX_AGE_S: Final = 30.0
 """How long a peer's agreement or disagreement on the digest counts."""
 RECENT_CHANGES: Final = 256
 MAX_FILLED_OFFSETS: Final = 10_000
@@ -82,8 +82,8 @@
         is_log_up: Callable[[], bool],
         peers: PeerLink,
         peer_ids: Callable[[], Collection[HostId]],
-        take: Callable[[LoggedRecord], None],
-        adopted: Callable[[], None],
+        apply_record: Callable[[LoggedRecord], None],
+        on_adopted: Callable[[], None],
         events: EventSink,
     ) -> None:
         self._fold = fold
@@ -94,18 +94,18 @@
         self._is_log_up = is_log_up
         self._peers = peers
         self._peer_ids = peer_ids
-        self._take = take
-        self._adopted = adopted
+        self._apply_record = apply_record
+        self._on_adopted = on_adopted
         self._events = events
         self._is_caught_up = False
-        self._opinions_by_id: dict[HostId, tuple[float, bool]] = {}
-        self._best: tuple[Offset, HostId] | None = None
-        self._wanted = trio.Event()
+        self._digest_reports_by_id: dict[HostId, tuple[float, bool]] = {}
+        self._best_position: tuple[Offset, HostId] | None = None
+        self._fetch_needed = trio.Event()
         self.digest_mismatches = 0
         """Positions heard with this entry host's offset and another digest, for metrics."""
-        peers.handle(SettingsPosition, self._heard)
-        peers.handle(SettingsPositionAsk, self._asked)
-        peers.handle(SettingsFetch, self._fetch_asked)
+        peers.handle(SettingsPosition, self._on_position)
+        peers.handle(SettingsPositionAsk, self._on_position_request)
+        peers.handle(SettingsFetch, self._on_fetch)
 
     def position(self) -> SettingsPosition:
         """Return how far this entry host has come."""
@@ -129,22 +129,22 @@
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Tell, ask and fetch until cancelled; reports started at once."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell)
+            nursery.start_soon(self._announce)
             nursery.start_soon(self._fetch_when_behind)
             task_status.started()
 
-    async def _tell(self) -> None:
+    async def _announce(self) -> None:
         started_at = self._clock.now()
         while True:
             ids = sorted(self._peer_ids())
             if not self.not_ready_reasons():
-                for peer in self._rng.sample(ids, min(TOLD_PEERS, len(ids))):
+                for peer in self._rng.sample(ids, min(ANNOUNCE_FANOUT, len(ids))):
                     self._peers.send(peer=peer, message=self.position())
             elif not self._is_caught_up and self._clock.now() - started_at >= START_GRACE_S:
-                await self._ask_all(ids)
-            await trio.sleep(TELL_EVERY_S * self._rng.uniform(0.75, 1.25))
+                await self._start_from_peers(ids)
+            await trio.sleep(ANNOUNCE_EVERY_S * self._rng.uniform(0.75, 1.25))
 
-    async def _ask_all(self, ids: Collection[HostId]) -> None:
+    async def _start_from_peers(self, ids: Collection[HostId]) -> None:
         """Take the highest state of the peers that answer, while the log can't be read."""
         if self._follower.tip_read_at is None and self._is_log_up():
             return
@@ -165,18 +165,18 @@
             if self._is_caught_up or await self._fetch(peer, next_offset):
                 return
 
-    async def _heard(self, sender: HostId, position: Any) -> None:
+    async def _on_position(self, sender: HostId, position: Any) -> None:
         own = self._fold.next_offset
         if position.next_offset == own and position.digest and self._fold.digest:
-            self._note_opinion(sender, position.digest)
+            self._note_digest_report(sender, position.digest)
         if position.is_ready and position.next_offset > own:
-            if self._best is None or position.next_offset > self._best[0]:
-                self._best = (position.next_offset, sender)
-            self._wanted.set()
+            if self._best_position is None or position.next_offset > self._best_position[0]:
+                self._best_position = (position.next_offset, sender)
+            self._fetch_needed.set()
 
-    def _note_opinion(self, sender: HostId, digest: str) -> None:
+    def _note_digest_report(self, sender: HostId, digest: str) -> None:
         agrees = digest == self._fold.digest
-        self._opinions_by_id[sender] = (self._clock.now(), agrees)
+        self._digest_reports_by_id[sender] = (self._clock.now(), agrees)
         if agrees:
             return
         self.digest_mismatches += 1
@@ -189,16 +189,20 @@
 
     def _is_outvoted(self) -> bool:
         now = self._clock.now()
-        fresh = [agrees for at, agrees in self._opinions_by_id.values() if now - at < OPINION_S]
+        fresh = [
+            agrees
+            for at, agrees in self._digest_reports_by_id.values()
+            if now - at < DIGEST_REPORT_MAX_AGE_S
+        ]
         return fresh.count(False) > fresh.count(True)
 
     async def _fetch_when_behind(self) -> None:
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
+            await self._fetch_needed.wait()
+            self._fetch_needed = trio.Event()
             if self._is_log_up():
                 await trio.sleep(LOG_GRACE_S)
-            best, self._best = self._best, None
+            best, self._best_position = self._best_position, None
             if best is not None and best[0] > self._fold.next_offset:
                 await self._fetch(best[1], best[0])
 
@@ -209,7 +213,7 @@
         )
         match answer:
             case Success(SettingsFetched() as fetched):
-                self._take_fetched(fetched)
+                self._apply_fetched(fetched)
         is_there = self._fold.next_offset >= target
         if is_there and not self._is_caught_up:
             self._is_caught_up = True
@@ -220,11 +224,11 @@
             )
         return is_there
 
-    def _take_fetched(self, fetched: SettingsFetched) -> None:
+    def _apply_fetched(self, fetched: SettingsFetched) -> None:
         if fetched.snapshot is not None:
             if self._fold.adopt(fetched.snapshot):
                 self._recent.restart(self._fold.next_offset)
-                self._adopted()
+                self._on_adopted()
             return
         have = self._fold.next_offset
         if fetched.next_offset - have > MAX_FILLED_OFFSETS:
@@ -233,7 +237,7 @@
         for offset in range(have, fetched.next_offset):
             change = changes_by_offset.get(Offset(offset))
             record = UnknownRecord(name="settings.passed_over") if change is None else change
-            self._take(
+            self._apply_record(
                 LoggedRecord(
                     stream=SETTINGS_STREAM,
                     offset=Offset(offset),
@@ -242,10 +246,10 @@
                 )
             )
 
-    async def _asked(self, sender: HostId, ask: Any) -> SettingsPosition:
+    async def _on_position_request(self, sender: HostId, ask: Any) -> SettingsPosition:
         return self.position()
 
-    async def _fetch_asked(self, sender: HostId, fetch: Any) -> SettingsFetched:
+    async def _on_fetch(self, sender: HostId, fetch: Any) -> SettingsFetched:
         next_offset = self._fold.next_offset
         changes = self._recent.since(fetch.have)
         if changes is not None and next_offset - fetch.have <= MAX_FILLED_OFFSETS:
--- a/src/galenastall/node/settings/settings_service.py
+++ b/src/galenastall/node/settings/settings_service.py
@@ -98,8 +98,8 @@
             is_log_up=lambda: appender.is_log_up,
             peers=peers,
             peer_ids=peer_ids,
-            take=self._take,
-            adopted=self._publish,
+            apply_record=self._apply_record,
+            on_adopted=self._publish,
             events=self._events,
         )
         follower.subscribe(self)
@@ -124,7 +124,7 @@
 
     def apply(self, logged: LoggedRecord) -> None:
         """Fold a record that the follower read."""
-        self._take(logged)
+        self._apply_record(logged)
 
     async def change(self, change: SettingsChange) -> Result[Verdict, StepError]:
         """Append a change and return the verdict once it was read back at its offset.
@@ -133,7 +133,7 @@
         """
         known = self.fold.verdict(change.change_id)
         if known is not None:
-            return self._same_change(change, known)
+            return self._resubmission_result(change, known)
         refusal = self._refusal(change)
         if refusal is not None:
             self._events.record(
@@ -155,7 +155,7 @@
             self._open.discard(change.change_id)
         known = self.fold.verdict(change.change_id)
         if known is not None:
-            return self._same_change(change, known)
+            return self._resubmission_result(change, known)
         if isinstance(appended, Failure):
             return Failure(appended.failure())
         detail = f"logged at {appended.unwrap()}, not decided on this entry host yet"
@@ -187,7 +187,7 @@
             nursery.start_soon(self._write_snapshots)
             task_status.started()
 
-    def _take(self, logged: LoggedRecord) -> None:
+    def _apply_record(self, logged: LoggedRecord) -> None:
         before = self.fold.next_offset
         self.fold.apply(logged)
         if isinstance(logged.record, SettingsSnapshot):
@@ -220,7 +220,9 @@
         for callback in self._callbacks:
             callback(self._in_force)
 
-    def _same_change(self, change: SettingsChange, known: Verdict) -> Result[Verdict, StepError]:
+    def _resubmission_result(
+        self, change: SettingsChange, known: Verdict
+    ) -> Result[Verdict, StepError]:
         if known.content == change.content():
             return Success(known)
         detail = f"change id {change.change_id!r} was used for another change at {known.offset}"
--- a/src/galenastall/node/timeline/present_state.py
+++ b/src/galenastall/node/timeline/present_state.py
@@ -18,10 +18,10 @@
         if self._jobs.find(JobId(job_of_task(subject) or subject)) is not None:
             return await self._jobs.explain(subject)
         status = self._requests.get(RequestId(subject))
-        return () if status is None else (_of_request(status),)
+        return () if status is None else (_describe_request(status),)
 
 
-def _of_request(status: RequestStatus) -> str:
+def _describe_request(status: RequestStatus) -> str:
     name = f"Request {status.request_id}"
     if status.outcome is not None:
         reason = f": {status.reason.value.replace('_', ' ')}" if status.reason else ""
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class _Kept:
+class _Stream:
     texts: list[str] = field(default_factory=list)
     start: int = 0
     changed: trio.Event = field(default_factory=trio.Event)
@@ -34,14 +34,14 @@
         """Appends that vanish on the way, seen as a timeout."""
         self.append_times: list[float] = []
         self.reads = 0
-        self._kept: dict[StreamName, _Kept] = {}
-        self._late: list[tuple[float, StreamName, tuple[str, ...]]] = []
+        self._streams: dict[StreamName, _Stream] = {}
+        self._pending_appends: list[tuple[float, StreamName, tuple[str, ...]]] = []
 
     def view(self) -> "FakeLog":
         """Return another way to the same streams, with faults of its own."""
         other = FakeLog()
-        other._kept = self._kept
-        other._late = self._late
+        other._streams = self._streams
+        other._pending_appends = self._pending_appends
         return other
 
     def texts(self, stream: StreamName) -> list[str]:
@@ -61,7 +61,9 @@
             self.lose_requests -= 1
             return await self._timeout()
         if self.land_after_s is not None:
-            self._late.append((trio.current_time() + self.land_after_s, stream, tuple(texts)))
+            self._pending_appends.append(
+                (trio.current_time() + self.land_after_s, stream, tuple(texts))
+            )
             return await self._timeout()
         first = self._land(stream, texts)
         if self.lose_answers:
@@ -76,44 +78,44 @@
         self.reads += 1
         deadline = trio.current_time() + wait_s
         while True:
-            self._land_late()
-            kept = self._of(stream)
+            self._land_due()
+            stored = self._of(stream)
             if self.is_down:
                 return Failure(_error("log.read", Reason.UNAVAILABLE))
-            if start < kept.start:
-                return Failure(_error("log.read", Reason.TRIMMED, str(kept.start)))
-            if len(kept.texts) > start or trio.current_time() >= deadline:
-                return Success(_page(kept, start, limit))
+            if start < stored.start:
+                return Failure(_error("log.read", Reason.TRIMMED, str(stored.start)))
+            if len(stored.texts) > start or trio.current_time() >= deadline:
+                return Success(_page(stored, start, limit))
             with trio.move_on_at(deadline):
-                await kept.changed.wait()
+                await stored.changed.wait()
 
     def _land(self, stream: StreamName, texts: Sequence[str]) -> Offset:
-        kept = self._of(stream)
-        first = len(kept.texts)
-        kept.texts.extend(texts)
-        kept.changed.set()
-        kept.changed = trio.Event()
+        stored = self._of(stream)
+        first = len(stored.texts)
+        stored.texts.extend(texts)
+        stored.changed.set()
+        stored.changed = trio.Event()
         return Offset(first)
 
-    def _land_late(self) -> None:
-        for late in [late for late in self._late if late[0] <= trio.current_time()]:
-            self._late.remove(late)
+    def _land_due(self) -> None:
+        for late in [late for late in self._pending_appends if late[0] <= trio.current_time()]:
+            self._pending_appends.remove(late)
             self._land(late[1], late[2])
 
-    def _of(self, stream: StreamName) -> _Kept:
-        return self._kept.setdefault(stream, _Kept())
+    def _of(self, stream: StreamName) -> _Stream:
+        return self._streams.setdefault(stream, _Stream())
 
     async def _timeout(self) -> Result[Offset, StepError]:
         await trio.sleep(TIMEOUT_S)
         return Failure(_error("log.append", Reason.TIMEOUT))
 
 
-def _page(kept: _Kept, start: int, limit: int) -> LogPage:
+def _page(stored: _Stream, start: int, limit: int) -> LogPage:
     entries = tuple(
-        LogEntry(offset=Offset(offset), text=kept.texts[offset])
-        for offset in range(start, min(len(kept.texts), start + limit))
+        LogEntry(offset=Offset(offset), text=stored.texts[offset])
+        for offset in range(start, min(len(stored.texts), start + limit))
     )
-    return LogPage(entries=entries, start=Offset(kept.start), end=Offset(len(kept.texts)))
+    return LogPage(entries=entries, start=Offset(stored.start), end=Offset(len(stored.texts)))
 
 
 def _error(step: str, reason: Reason, detail: str = "") -> StepError:
--- a/tests/job_cluster.py
+++ b/tests/job_cluster.py
@@ -13,7 +13,7 @@
 from galenastall.node.jobs.job_link import JobLink
 from galenastall.node.jobs.job_service import JobService
 from galenastall.node.jobs.job_timings import JobTimings
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.placement.worker_service import WorkerService
 from galenastall.node.placement.worker_timings import WorkerTimings
 from galenastall.protocol.codec import decode_message, encode_message, encode_record
@@ -187,7 +187,7 @@
         self.host_id = host_id
         self.scope = trio.CancelScope()
         clock = cluster.clock
-        self.log = LogSide(
+        self.log = LogClient(
             log=cluster.platform.log,
             clock=clock,
             rng=random.Random(start_number),
@@ -199,7 +199,7 @@
         self.follower = self.log.followers_by_stream[STREAM]
         self.follower.subscribe(self.fold)
         self._first_tip = trio.Event()
-        self.follower.on_tip(self._first_tip.set)
+        self.follower.on_end_reached(self._first_tip.set)
         self.link = MemoryLink(host_id=host_id, net=cluster.net)
         self.view = View(host_id=host_id, owners=cluster.owners)
         job_link = JobLink(peers=self.link)
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -144,9 +144,9 @@
             address=node.http,
             peer_address=node.bound["peer"],
         )
-        self.ask(lambda control: control.add_host(listed))
+        self.call_control(lambda control: control.add_host(listed))
 
-    def ask(self, call: Callable[[StandinControl], Any]) -> Any:
+    def call_control(self, call: Callable[[StandinControl], Any]) -> Any:
         """Make one call to the stand-in's control side."""
 
         async def run() -> Any:
@@ -160,7 +160,7 @@
         return trio.run(run)
 
     def set_log_outage(self, *, outage: bool) -> None:
-        self.ask(lambda control: control.change_faults("log", {"outage": outage}))
+        self.call_control(lambda control: control.change_faults("log", {"outage": outage}))
 
     def cli(self, node: Running | str, *arguments: str) -> Result:
         """Run one command of the command line against an entry host."""
--- a/tests/request_rig.py
+++ b/tests/request_rig.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Result, Success
 
 from fake_log import FakeLog
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.requests.key_service import KeyService
 from galenastall.node.requests.keyed_requests import KeyedRequests
 from galenastall.node.requests.permit_service import PermitService
@@ -156,7 +156,7 @@
     requests: RequestService
     keys: KeyService
     keyed: KeyedRequests
-    log: LogSide
+    log: LogClient
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
@@ -217,7 +217,7 @@
         self.incarnations += 1
         incarnation = Incarnation(str(self.incarnations))
         rng = random.Random(self.incarnations)
-        log = LogSide(
+        log = LogClient(
             log=self.log,
             clock=self.clock,
             rng=rng,
--- a/tests/settings_rig.py
+++ b/tests/settings_rig.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result, Success
 
 from fake_log import FakeLog
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.settings.settings_service import SettingsService
 from galenastall.protocol.codec import decode_message, encode_message
 from galenastall.protocol.peers import PeerHandler
@@ -56,19 +56,21 @@
         if link is None or link.is_cut or self.is_cut:
             await trio.sleep(timeout_s)
             return Failure(StepError(step="peers.call", peer=peer, reason=Reason.TIMEOUT))
-        return Success(self._wired(await link.deliver(self._host_id, self._wired(message))))
+        return Success(
+            self._through_codec(await link.deliver(self._host_id, self._through_codec(message)))
+        )
 
     def send(self, *, peer: HostId, message: object) -> None:
         link = self._network.links_by_id.get(peer)
         if link is None or link.is_cut or self.is_cut or self._network.nursery is None:
             return
-        self._network.nursery.start_soon(link.deliver, self._host_id, self._wired(message))
+        self._network.nursery.start_soon(link.deliver, self._host_id, self._through_codec(message))
 
     async def deliver(self, sender: HostId, message: Any) -> Any:
         await trio.sleep(0.001)
         return await self.handlers[type(message)](sender, message)
 
-    def _wired(self, message: object) -> Any:
+    def _through_codec(self, message: object) -> Any:
         name, body = encode_message(message)
         self._network.sent.append(message)
         return decode_message(name, body, peer="").unwrap()
@@ -79,7 +81,7 @@
     host_id: HostId
     log: FakeLog
     link: FakeLink
-    side: LogSide
+    log_client: LogClient
     service: SettingsService
     changes: list[SharedSettings] = field(default_factory=list)
 
@@ -108,35 +110,37 @@
         self.log = FakeLog()
         self._nursery = nursery
         self._scopes_by_name: dict[str, trio.CancelScope] = {}
-        self._lives = 0
+        self._starts = 0
 
     async def start(self, name: str, *, is_log_down: bool = False) -> Host:
-        self._lives += 1
-        rng = random.Random(self._lives)
+        self._starts += 1
+        rng = random.Random(self._starts)
         clock = TrioClock(wall_at_start=1000.0)
         link = FakeLink(host_id=HostId(name), network=self.network)
         log = self.log.view()
         log.is_down = is_log_down
-        side = LogSide(
+        log_client = LogClient(
             log=log,
             clock=clock,
             rng=rng,
-            writer=f"{name}.{self._lives}",
+            writer=f"{name}.{self._starts}",
             streams=[SETTINGS_STREAM],
             live_hosts=lambda: len(self.network.links_by_id),
         )
         service = SettingsService(
             clock=clock,
             rng=rng,
-            appender=side.appender,
-            follower=side.followers_by_stream[SETTINGS_STREAM],
+            appender=log_client.appender,
+            follower=log_client.followers_by_stream[SETTINGS_STREAM],
             peers=link,
             peer_ids=lambda: self.network.links_by_id.keys() - {link.host_id},
         )
-        host = Host(host_id=HostId(name), log=log, link=link, side=side, service=service)
+        host = Host(
+            host_id=HostId(name), log=log, link=link, log_client=log_client, service=service
+        )
         service.on_change(host.changes.append)
         self._scopes_by_name[name] = trio.CancelScope()
-        await self._nursery.start(self._run, self._scopes_by_name[name], side, service)
+        await self._nursery.start(self._run, self._scopes_by_name[name], log_client, service)
         await trio.sleep(0.05)
         return host
 
@@ -147,14 +151,14 @@
     async def _run(
         self,
         scope: trio.CancelScope,
-        side: LogSide,
+        log_client: LogClient,
         service: SettingsService,
         *,
         task_status: trio.TaskStatus[None],
     ) -> None:
         with scope:
             async with trio.open_nursery() as nursery:
-                await nursery.start(side.run)
+                await nursery.start(log_client.run)
                 await nursery.start(service.run)
                 task_status.started()
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -25,17 +25,17 @@
 from request_rig import open_harness
 
 
-def told(ring: TimelineRing, subject: str, present: tuple[str, ...] = ()) -> str:
+def explain_events(ring: TimelineRing, subject: str, present: tuple[str, ...] = ()) -> str:
     events = ring.about(subject, with_parts=True)
     return explanation_text(explain(merge_timelines([events], subject=subject), present=present))
 
 
 class TestRequests:
     async def test_a_retried_request(self, autojump_clock: Any) -> None:
-        async with open_harness() as rig:
-            rig.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
-            await rig.submit("e1", rig.call("r1", idempotent=True))
-            text = told(rig.ring, "r1")
+        async with open_harness() as harness:
+            harness.set_faults(ExecutorFaults(drop_after=1.0, call_timeout_s=0.5), HostId("x0"))
+            await harness.submit("e1", harness.call("r1", idempotent=True))
+            text = explain_events(harness.ring, "r1")
         lines = text.splitlines()
         assert "e1 queued the request for" in lines[0]
         assert "with nothing ahead of it" in lines[0]
@@ -45,14 +45,12 @@
         assert "e1 sent attempt 2 to x1 under" in text
         assert "answered the caller: done, after 2 attempts" in lines[-2]
 
-    async def test_a_refused_request_was_not_run_and_when_to_come_again(
-        self, autojump_clock: Any
-    ) -> None:
-        async with open_harness() as rig:
-            rig.hosts[HostId("e1")].requests.begin_drain()
-            answer = await rig.submit("e1", rig.call("r1"))
+    async def test_refused_request_states_not_run_and_retry_time(self, autojump_clock: Any) -> None:
+        async with open_harness() as harness:
+            harness.hosts[HostId("e1")].requests.begin_drain()
+            answer = await harness.submit("e1", harness.call("r1"))
             assert answer.outcome is Outcome.NOT_RUN
-            text = told(rig.ring, "r1")
+            text = explain_events(harness.ring, "r1")
         assert "e1 refused the request because of draining, and it was not run;" in text
         assert f"may come again after {answer.retry_after_s:.2f} s" in text
 
@@ -65,8 +63,8 @@
             await host.intake.submit(make_spec("k", tasks=3))
             await cluster.until(lambda: cluster.ended("j") and cluster.ended("k"))
             present = PresentState(jobs=host.intake, requests=RequestTable())
-            job = told(cluster.ring, "j", await present.describe("j"))
-            task = told(cluster.ring, "j/0", await present.describe("j/0"))
+            job = explain_events(cluster.ring, "j", await present.describe("j"))
+            task = explain_events(cluster.ring, "j/0", await present.describe("j/0"))
             assert await present.describe("nobody") == ()
         assert "a accepted job j, durable in the log" in job
         assert "because policy leftover of class batch chose it among the workers" in job
@@ -79,14 +77,14 @@
         assert "gave tasks j/0, j/1 and j/2 to" in job
         assert "  " not in job
 
-    async def test_an_impossible_job_is_refused_and_says_what_it_lacks(
+    async def test_infeasible_job_is_refused_with_the_missing_resource(
         self, autojump_clock: Any
     ) -> None:
         async with open_cluster() as cluster:
             host = cluster.hosts[HostId("a")]
             huge = make_spec("huge", resources=Resources(cores_milli=9_000_000, memory_mb=1))
             assert isinstance(await host.intake.submit(huge), Failure)
-            text = told(cluster.ring, "huge")
+            text = explain_events(cluster.ring, "huge")
         assert "a refused job huge because" in text
         assert "because it can never run: needs 9000 cores" in text
         assert "9000" in text
@@ -99,7 +97,7 @@
             placed = cluster.running()
             waiting = next(f"full/{n}" for n in range(500) if f"full/{n}" not in placed)
             present = PresentState(jobs=host.intake, requests=RequestTable())
-            text = told(cluster.ring, waiting, await present.describe(waiting))
+            text = explain_events(cluster.ring, waiting, await present.describe(waiting))
         assert text.splitlines()[-1].startswith(f"Now: {waiting} is waiting")
 
     async def test_a_gang(self, autojump_clock: Any) -> None:
@@ -107,7 +105,7 @@
             host = cluster.hosts[HostId("a")]
             await host.intake.submit(make_spec("g", tasks=6, workload=Workload.GANG))
             await cluster.until(lambda: cluster.ended("g"))
-            text = told(cluster.ring, "g")
+            text = explain_events(cluster.ring, "g")
         assert "because all of its gang found room at once" in text
 
 
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -43,13 +43,13 @@
             taken += wait_s == 0.0
             assert taken <= burst + per_s * now + 1e-6
 
-    def test_after_the_wait_it_is_taken(self) -> None:
+    def test_request_is_admitted_after_the_wait(self) -> None:
         rates, limits = TeamRates(), {TEAM: TeamRate(per_s=0.5, burst=1)}
         assert rates.take(team=TEAM, rates_by_team=limits, now=0.0) == 0.0
         assert rates.take(team=TEAM, rates_by_team=limits, now=0.0) == 2.0
         assert rates.take(team=TEAM, rates_by_team=limits, now=2.0) == 0.0
 
-    def test_what_a_team_above_refuses_costs_the_team_nothing(self) -> None:
+    def test_refusal_by_a_parent_team_costs_the_team_no_tokens(self) -> None:
         limits = {TEAM: TeamRate(per_s=0.1, burst=1), ABOVE: TeamRate(per_s=1.0, burst=1)}
         rates = TeamRates()
         assert rates.take(team=ABOVE, rates_by_team=limits, now=0.0) == 0.0
@@ -57,7 +57,7 @@
         assert rates.take(team=TEAM, rates_by_team=limits, now=1.0) == 0.0
 
 
-class TestSpansOfTakeovers:
+class TestTakeoverWaits:
     def test_ownership_waits_by_the_caps(self) -> None:
         me = Member(host=HostId("a"), incarnation=Incarnation("1"))
         caps = make_ownership_timings(SharedSettings())
@@ -99,7 +99,7 @@
 
 
 class TestMapping:
-    def test_memory_bounds_what_the_tree_allows(self) -> None:
+    def test_memory_limits_cap_shared_settings(self) -> None:
         memory = MemoryLimits(waiting_requests=7, body_buffer_kb=4)
         made = make_request_settings(tree(requests={"queue": {"waiting": 900}}), memory)
         assert made.admission.waiting == 7
@@ -114,22 +114,22 @@
             ("requests", {"is_hedging": True}, "is_hedging"),
         ],
     )
-    def test_what_would_have_no_effect_is_named(
+    def test_settings_without_effect_are_reported(
         self, section: str, value: object, named: str
     ) -> None:
         assert named in str(find_problem(tree(**{section: value})))
 
-    def test_a_newer_versions_policy_breaks_nothing(self) -> None:
+    def test_unknown_policy_falls_back_to_the_default(self) -> None:
         settings = tree(placement={"policies_by_class": {"batch": "from-the-future"}})
         assert make_placement_settings(settings).policies_by_class["batch"] == "leftover"
 
 
 class TestMemoryWatch:
-    def test_readiness_comes_and_goes(self) -> None:
+    def test_readiness_follows_the_memory_limit(self) -> None:
         sizes = iter([10.0, 200.0, 50.0])
         watch = MemoryWatch(limit_mb=100, events=NullEventSink(), measure=lambda: next(sizes))
         assert watch.not_ready_reasons() == ()
-        watch.look()
+        watch.check()
         assert "memory.total_mb is 100" in watch.not_ready_reasons()[0]
-        watch.look()
+        watch.check()
         assert watch.not_ready_reasons() == ()
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -26,7 +26,7 @@
 
 
 class TestRecorder:
-    async def test_event_and_line_carry_the_same(self) -> None:
+    async def test_event_and_log_line_match(self) -> None:
         stream, ring = io.BytesIO(), TimelineRing()
         recorder = Recorder(
             process="entry-a", clock=TrioClock(wall_at_start=1000.0), ring=ring, stream=stream
@@ -68,7 +68,7 @@
         assert "KeyError" in line["exception"]
         assert ring.latest(1)[0].cause == "d"
 
-    async def test_a_log_that_cannot_be_written_stops_nothing(self) -> None:
+    async def test_unwritable_log_stream_does_not_stop_recording(self) -> None:
         class FullDisk(io.BytesIO):
             def write(self, _: Any) -> int:
                 raise OSError("no space left")
@@ -120,14 +120,14 @@
         ):
             assert line in page.splitlines()
 
-    async def test_two_processes_in_one_do_not_mix(self) -> None:
+    async def test_two_registries_do_not_mix(self) -> None:
         first, second = Metrics(), Metrics()
         first.counter("starts", "Starts.").add(5)
         second.counter("starts", "Starts.").add(7)
         assert "starts_total 5.0" in (await first.page()).decode()
         assert "starts_total 7.0" in (await second.page()).decode()
 
-    async def test_page_reads_back_by_the_library(self) -> None:
+    async def test_page_is_parsed_by_the_prometheus_client(self) -> None:
         metrics = Metrics()
         odd = 'a"b\\c\nd'
         metrics.histogram("waits", "Waits.", labels=("team",)).record(0.3, odd)
@@ -178,7 +178,7 @@
 
 
 class TestOps:
-    async def test_time_line_over_processes_names_the_unreachable(self) -> None:
+    async def test_merged_timeline_names_unreachable_processes(self) -> None:
         a, b = Node("entry-a"), Node("entry-b")
         async with trio.open_nursery() as nursery:
             await nursery.start(a.link.run)
@@ -192,21 +192,21 @@
                 client = await connect(server.address)
                 line = msgspec.json.decode((await client.ask("GET", "/v1/timeline/j/1")).body)
                 text = (await client.ask("GET", "/v1/timeline/j/1?format=text")).body.decode()
-                told = msgspec.json.decode((await client.ask("GET", "/v1/explain/j%2F1")).body)
+                explained = msgspec.json.decode((await client.ask("GET", "/v1/explain/j%2F1")).body)
                 image = await client.ask("GET", "/v1/timeline/j/1?format=svg")
                 odd = await client.ask("GET", "/v1/timeline/j/1?format=gif")
             nursery.cancel_scope.cancel()
         assert {event["step"] for event in line["events"]} == {"job.accepted", "job.placed"}
         assert line["unreachable"] == ["entry-gone"]
         assert "! entry-gone could not be asked" in text
-        assert len(told["sentences"]) == 2
-        assert "entry-gone could not be asked" in told["caveats"][0]
+        assert len(explained["sentences"]) == 2
+        assert "entry-gone could not be asked" in explained["caveats"][0]
         assert image.headers["content-type"] == "image/svg+xml"
         assert b"<svg" in image.body
         assert odd.status == 400
         assert "'gif'" in msgspec.json.decode(odd.body)["detail"]
 
-    async def test_peers_clocks_follow_messages(self) -> None:
+    async def test_hybrid_clocks_advance_with_messages(self) -> None:
         a, b = Node("entry-a"), Node("entry-b")
         b.recorder.hybrid.observe(int(b.clock.wall() * 1000) + 30_000, 0, wall_s=b.clock.wall())
         async with trio.open_nursery() as nursery:
@@ -234,7 +234,7 @@
         assert msgspec.json.decode(waiting.body)["reasons"] == ["the settings were not read yet"]
         assert metrics.headers["content-type"].startswith("text/plain")
 
-    async def test_gather_alone_is_its_own_ring(self) -> None:
+    async def test_gather_without_peers_returns_the_own_ring(self) -> None:
         node = Node("entry-a")
         node.recorder.record("job.accepted", subjects=("j",))
         merged = await node.service.gather("j")
--- a/tests/test_ownership_service.py
+++ b/tests/test_ownership_service.py
@@ -11,11 +11,11 @@
 
 from galenastall.coordination.ownership.ownership_timings import OwnershipTimings
 from galenastall.node.host_list_service import (
-    ENTRY_HOSTS_EVERY_S,
+    ENTRY_HOSTS_POLL_S,
     HostListPoller,
     peer_addresses,
 )
-from galenastall.node.log.log_service import LogSide
+from galenastall.node.log.log_service import LogClient
 from galenastall.node.ownership.ownables import ShardCounts
 from galenastall.node.ownership.ownership_service import OwnershipService
 from galenastall.protocol.codec import decode_message, encode_message
@@ -133,7 +133,7 @@
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 stream = data_centre_stream(DC)
-                side = LogSide(
+                side = LogClient(
                     log=services.log,
                     clock=self.clock,
                     rng=rng,
@@ -323,7 +323,7 @@
         assert poller.latest.as_of == 2.0
         platform.host_list.put(replace(far, host_id=HostId("new")))
         platform.host_list.remove(HostId("w"))
-        await trio.sleep(ENTRY_HOSTS_EVERY_S)
+        await trio.sleep(ENTRY_HOSTS_POLL_S)
         await poller.poll_once()
         assert listings[-1][0] == {"a", "far", "new"}
         platform.host_list.set_faults(HostListFaults(outage=True))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -89,7 +89,7 @@
         assert cancelled.exit_code == 0
         assert json.loads(cancelled.stdout)["job_id"] == "long"
 
-    def test_a_request_and_what_is_known_of_it(self, fleet: Fleet) -> None:
+    def test_a_request_and_its_status(self, fleet: Fleet) -> None:
         site, entry = fleet.site, fleet.first
         ask = ("submit", "request", "assemble", "--team", "packs", "--request-id")
         plain = site.cli(entry, *ask, "r-1")
@@ -102,7 +102,7 @@
         assert (shown["state"], shown["outcome"]) == ("ended", "done")
         assert "request.sent" in site.cli(fleet.second, "timeline", "r-1").stdout
 
-    def test_the_entry_host_itself(self, fleet: Fleet) -> None:
+    def test_entry_host_status(self, fleet: Fleet) -> None:
         def owns_all() -> bool:
             shown = [fleet.site.status(each) for each in (fleet.first, fleet.second)]
             counts = [each["owned_by_kind"].get("upstream", 0) for each in shown]
@@ -159,12 +159,12 @@
             ["submit", "request", "x", "--team", "t"],
         ],
     )
-    def test_nobody_there(self, fleet: Fleet, arguments: list[str]) -> None:
+    def test_unreachable_entry_host(self, fleet: Fleet, arguments: list[str]) -> None:
         result = fleet.site.cli(NO_SUCH_HOST, *arguments, "-o", "json")
         assert result.exit_code == 4, result.output
         assert json.loads(result.stderr)["reason"] == "unreachable"
 
-    def test_a_bad_address(self, fleet: Fleet) -> None:
+    def test_malformed_address(self, fleet: Fleet) -> None:
         result = fleet.site.cli("nonsense", "status")
         assert result.exit_code == 2
         assert "--entry nonsense" in result.stderr
@@ -191,34 +191,37 @@
         for other in (fleet.second, fleet.far):
             wait_until("in force everywhere", partial(has_it, other))
 
-    def ending(self, fleet: Fleet, team: str) -> dict[str, Any]:
+    def submit_request(self, fleet: Fleet, team: str) -> dict[str, Any]:
         ask = ("submit", "request", "assemble", "--team", team, "-o", "json")
         return dict(json.loads(fleet.site.cli(fleet.first, *ask).stdout))
 
-    def test_teams_are_known_and_limited(self, fleet: Fleet) -> None:
+    def test_unknown_teams_are_refused_and_rates_limited(self, fleet: Fleet) -> None:
         self.change(
             fleet, "teams", "packs: {teams: {slow: {requests: {rate_per_s: 0.001, burst: 1}}}}"
         )
         unknown = wait_until(
             "unknown team refused",
-            lambda: (found := self.ending(fleet, "strangers"))["outcome"] == "not_run" and found,
+            lambda: (found := self.submit_request(fleet, "strangers"))["outcome"] == "not_run"
+            and found,
         )
         assert (unknown["reason"], unknown["status"]) == ("unknown_team", 403)
         assert "'strangers' is not in the shared settings" in unknown["body"]
-        assert self.ending(fleet, "packs/slow")["outcome"] == "done"
-        limited = self.ending(fleet, "packs/slow")
+        assert self.submit_request(fleet, "packs/slow")["outcome"] == "done"
+        limited = self.submit_request(fleet, "packs/slow")
         assert (limited["outcome"], limited["reason"]) == ("not_run", "team_rate")
         assert limited["retry_after_ms"] > 60_000
-        assert self.ending(fleet, "packs")["outcome"] == "done"
+        assert self.submit_request(fleet, "packs")["outcome"] == "done"
         self.change(fleet, "teams", "")
 
     def test_leaving_upstreams_get_nothing_new(self, fleet: Fleet) -> None:
         names = [host["host_id"] for host in fleet.site.hosts if host["kind"] == "upstream"]
         leaving = {name: {"why": "replaced"} for name in names if "gangnam" in name}
         self.change(fleet, "leaving_upstreams", json.dumps(leaving))
-        wait_until("refused", lambda: self.ending(fleet, "packs")["reason"] == "no_upstream")
+        wait_until(
+            "refused", lambda: self.submit_request(fleet, "packs")["reason"] == "no_upstream"
+        )
         self.change(fleet, "leaving_upstreams", "")
-        wait_until("run again", lambda: self.ending(fleet, "packs")["outcome"] == "done")
+        wait_until("run again", lambda: self.submit_request(fleet, "packs")["outcome"] == "done")
 
     def test_a_drained_worker_is_emptied(self, fleet: Fleet, tmp_path: Path) -> None:
         job = write_job(tmp_path, job_id="service", workload="service", tasks=1)
@@ -243,7 +246,7 @@
         self.change(fleet, "drains", "")
         assert fleet.site.cli(fleet.first, "cancel", "service").exit_code == 0
 
-    def test_what_would_have_no_effect_is_refused(self, fleet: Fleet) -> None:
+    def test_settings_without_effect_are_refused(self, fleet: Fleet) -> None:
         apply = ("settings", "apply", "requests/is_hedging", "--author", "ops", "--value", "true")
         result = fleet.site.cli(fleet.first, *apply)
         assert result.exit_code == 2, result.output
@@ -277,9 +280,9 @@
                 (await control.change_faults(target, {"answer_bytes": size})).unwrap()
             return Success(None)
 
-        fleet.site.ask(lambda control: set_size(control, BIG_ANSWER_BYTES))
+        fleet.site.call_control(lambda control: set_size(control, BIG_ANSWER_BYTES))
         yield
-        fleet.site.ask(lambda control: set_size(control, 256))
+        fleet.site.call_control(lambda control: set_size(control, 256))
 
     @pytest.mark.usefixtures("big_answers")
     def test_a_slow_stream_is_not_cut_off(self, fleet: Fleet) -> None:
@@ -363,10 +366,10 @@
         ]
         for number, (node, (_, expected)) in enumerate(zip(started, cases, strict=True)):
             assert node.wait_ended() == 2
-            said = node.log_path.read_text()
+            output = node.log_path.read_text()
             for part in (f"bad-{number}.yaml", *expected):
-                assert part in said
-            assert "Traceback" not in said
+                assert part in output
+            assert "Traceback" not in output
 
     def test_log_down_at_start(self, fleet: Fleet) -> None:
         site = fleet.site
@@ -409,7 +412,7 @@
         node.process.kill()
         node.wait_ended()
 
-    def test_above_its_memory_it_is_not_ready(self, fleet: Fleet) -> None:
+    def test_host_above_its_memory_limit_is_not_ready(self, fleet: Fleet) -> None:
         """Sixty-four megabytes are less than the interpreter and the libraries take."""
         [node] = fleet.site.start_nodes("m2", data_centre="mapo", memory={"total_mb": 64})
 
@@ -500,7 +503,7 @@
             ("half", ["ca", "cert"], 2),
         ],
     )
-    def test_others_are_kept_out(
+    def test_unauthorized_clients_are_rejected(
         self, guarded: Guarded, name: str, kinds: list[str], code: int
     ) -> None:
         options = guarded.client(name, *kinds)
@@ -513,7 +516,7 @@
         command = ["--tls", "status", "--entry", guarded.nodes[0].http]
         assert CliRunner().invoke(app, command).exit_code == 4
 
-    def test_a_wrong_key_gets_in_nowhere_and_is_named(self, guarded: Guarded) -> None:
+    def test_unlisted_curve_key_is_rejected_and_reported(self, guarded: Guarded) -> None:
         for node in guarded.nodes:
             assert guarded.wrong_key in node.wait_event("peer.kept_out")["cause"]
             address, port = node.http.split(":")
--- a/tests/test_settings_service.py
+++ b/tests/test_settings_service.py
@@ -65,7 +65,9 @@
             assert (await two.put("c", "teams/a", {"weight": 7}, base=-1)).unwrap().is_accepted
             assert len(fleet.log.texts(SETTINGS_STREAM)) == 1
 
-    async def test_lost_request_is_said_as_unknown(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_lost_request_is_reported_as_unknown(
+        self, autojump_clock: trio.abc.Clock
+    ) -> None:
         async with running_fleet() as fleet:
             one = await fleet.start("one")
             one.log.land_after_s = 20.0
@@ -86,7 +88,7 @@
             failed = await one.put("c", "teams/b", {"weight": 7})
             assert failed.failure().reason is Reason.CONFLICT
 
-    async def test_invalid_change_costs_no_append(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_invalid_change_is_not_appended(self, autojump_clock: trio.abc.Clock) -> None:
         async with running_fleet() as fleet:
             one = await fleet.start("one")
             failed = await one.put("c", "teams/a", {"wait": 7})
@@ -95,7 +97,9 @@
 
 
 class TestStart:
-    async def test_log_down_and_no_peer_refuses(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_log_down_without_peers_is_not_ready(
+        self, autojump_clock: trio.abc.Clock
+    ) -> None:
         async with running_fleet() as fleet:
             one = await fleet.start("one")
             assert one.service.not_ready_reasons() == ()
@@ -112,7 +116,7 @@
             assert two_log_down.service.not_ready_reasons() == ()
             assert weight(two_log_down) == 7
 
-    async def test_restarted_in_an_outage_takes_the_highest_state_of_its_peers(
+    async def test_host_restarted_in_a_log_outage_adopts_the_newest_peer_state(
         self, autojump_clock: trio.abc.Clock
     ) -> None:
         async with running_fleet() as fleet:
@@ -134,7 +138,7 @@
             assert weight(again) == 8
             assert weight(hosts[2]) == 8
 
-    async def test_trimmed_past_the_start(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_log_trimmed_up_to_the_snapshot(self, autojump_clock: trio.abc.Clock) -> None:
         async with running_fleet() as fleet:
             one = await fleet.start("one")
             for index in range(5):
@@ -150,7 +154,9 @@
             assert two.service.fold.digest == one.service.fold.digest
             assert weight(two) == 5
 
-    async def test_trimmed_without_a_snapshot_refuses(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_log_trimmed_without_a_snapshot_is_not_ready(
+        self, autojump_clock: trio.abc.Clock
+    ) -> None:
         async with running_fleet() as fleet:
             one = await fleet.start("one")
             await one.put("c", "teams/a", {"weight": 7})
@@ -194,7 +200,7 @@
             seen = [settings.teams["a"].weight for settings in two.changes]
             assert seen == sorted(seen)
 
-    async def test_peer_far_behind_takes_the_state(self, autojump_clock: trio.abc.Clock) -> None:
+    async def test_host_far_behind_fetches_a_snapshot(self, autojump_clock: trio.abc.Clock) -> None:
         async with running_fleet() as fleet:
             one, two = await fleet.start("one"), await fleet.start("two")
             two.log.is_down = True
@@ -207,7 +213,7 @@
             assert weight(two) == 300
             assert any(answer.snapshot is not None for answer in fetched_in(fleet))
 
-    async def test_digest_mismatch_alarms_and_takes_the_odd_one_out(
+    async def test_digest_mismatch_is_recorded_and_the_outvoted_host_is_not_ready(
         self, autojump_clock: trio.abc.Clock
     ) -> None:
         async with running_fleet() as fleet:
@@ -225,7 +231,7 @@
 
 
 class TestSnapshots:
-    async def test_about_one_is_written_an_hour_by_the_whole_fleet(
+    async def test_fleet_writes_about_one_snapshot_an_hour(
         self, autojump_clock: trio.abc.Clock
     ) -> None:
         async with running_fleet() as fleet:
