--- a/src/galenastall/coordination/placement/gang_holds.py
+++ b/src/galenastall/coordination/placement/gang_holds.py
@@ -1,8 +1,8 @@
-"""Hold room for all tasks of a gang, for a bounded time, or for none of them.
+"""Hold capacity for all tasks of a gang, for a bounded time, or for none of them.
 
-A gang that spans owners is held owner by owner in host id order, each hold with an end, so that two
-gangs can't wait for each other for ever. Of the gangs that find no room only one at a time, the
-first by class and id, keeps room promised between its tries; the order is the same at every owner.
+A gang that spans owners is held owner by owner in host id order, and each hold expires, so that two
+gangs can't deadlock. Of the gangs that don't fit, only the first by class and id keeps capacity
+promised between its attempts; that order is the same at every owner.
 """
 
 from collections.abc import Callable, Container, Iterable, Sequence
@@ -23,24 +23,24 @@
 from galenastall.state.work import TaskPhase, TaskSpec
 
 RETRY_S = 1.0
-"""When to ask again for a hold that found no room, in seconds."""
+"""Time after which a hold that found no capacity may be retried, in seconds."""
 
 
 class GangHolds:
     """The holds of this owner."""
 
     def __init__(self, *, tables: PlacementTables, placer: Placer) -> None:
-        """Hold in these tables, by the placer's choice of workers."""
+        """Reserve in these tables on the workers that the placer chooses."""
         self._tables = tables
         self._placer = placer
         self._holds_by_id: dict[HoldId, Hold] = {}
-        self._made = 0
+        self._hold_count = 0
         self._waiting_gang: tuple[int, str] | None = None
 
     def hold(
         self, gang_id: str, tasks: Sequence[TaskSpec], now: float, until: float
     ) -> Result[Hold, StepError]:
-        """Hold room for all tasks until `until`, in wall seconds."""
+        """Hold capacity for all tasks until `until`, in wall seconds."""
         error = self._find_error(gang_id, tasks)
         if error is not None:
             return Failure(error)
@@ -49,34 +49,34 @@
         self._drop_promises(gang_id, now, kept={task.task_id for task in tasks})
         held, missing = self._hold_all(tasks, self._placer.amount_of, now)
         if missing is not None:
-            # The shard's owner planned with what the tasks need, not with what is learned here.
+            # The shard's owner planned with the tasks' needs, not with the sizes learned here.
             self._forget(held)
             held, missing = self._hold_all(tasks, self._tables.estimates.need, now)
         if missing is not None:
-            self._give_up(gang_id, tasks, held, now)
+            self._on_no_capacity(gang_id, tasks, held, now)
             need = self._tables.estimates.need(missing)
-            detail = f"{missing.task_id}: no room for {describe_amount(need)}"
+            detail = f"{missing.task_id}: no free capacity for {describe_amount(need)}"
             return Failure(_error(gang_id, Reason.OVERLOADED, detail))
         return Success(self._keep(gang_id, held, until))
 
     def start(self, hold_id: HoldId, now: float) -> Result[list[Placed], StepError]:
-        """Move all tasks of a hold to starting; none if any of them can't."""
+        """Move all tasks of a hold to starting, or none if any of them can't start."""
         hold = self._holds_by_id.get(hold_id)
         if hold is None or hold.until <= now:
             return Failure(_error(hold_id, Reason.NOT_FOUND, "expired or released"))
         held = [self._held(task_id) for task_id in hold.worker_by_task]
-        whole = [placed for placed in held if placed is not None and placed.worker.is_open]
-        if len(whole) < len(held):
+        startable = [placed for placed in held if placed is not None and placed.worker.is_open]
+        if len(startable) < len(held):
             self.release(hold_id)
             return Failure(_error(hold_id, Reason.CONFLICT, "a task or its worker was lost"))
         del self._holds_by_id[hold_id]
-        for placed in whole:
+        for placed in startable:
             placed.worker.ledger.move(placed.task.task_id, LedgerPhase.STARTING)
             placed.decided_at = now
-        return Success(whole)
+        return Success(startable)
 
     def extend(self, hold_id: HoldId, now: float, until: float) -> bool:
-        """Let a hold stand until `until`; False if it is not whole any more or was released."""
+        """Extend a hold to `until`; False if it is no longer complete or was released."""
         hold = self._holds_by_id.get(hold_id)
         if hold is None or hold.until <= now:
             return False
@@ -87,7 +87,7 @@
         return True
 
     def release(self, hold_id: HoldId) -> bool:
-        """Free a hold that was not started; return whether there was one."""
+        """Release a hold that was not started; return whether there was one."""
         hold = self._holds_by_id.pop(hold_id, None)
         if hold is None:
             return False
@@ -98,7 +98,7 @@
         return True
 
     def expire(self, now: float) -> tuple[HoldId, ...]:
-        """Free the holds whose time is over, and promises too; return the holds' ids."""
+        """Release expired holds and promises; return the ids of the holds."""
         for promise in self._tables.promises.ended(now):
             self._tables.drop_promise(promise.task_id)
         if self._waiting_gang and not self._tables.promises.of_gang(self._waiting_gang[1]):
@@ -127,7 +127,7 @@
     def _hold_all(
         self, tasks: Sequence[TaskSpec], amount_of: Callable[[TaskSpec], Resources], now: float
     ) -> tuple[list[Placed], TaskSpec | None]:
-        """Return what was held and the first task for which there was no room, if any."""
+        """Return what was held and the first task that did not fit, if any."""
         held: list[Placed] = []
         for task in sorted(tasks, key=_size, reverse=True):
             placed = self._hold_one(task, amount_of(task), now)
@@ -152,7 +152,7 @@
             return None
         placed = self._reserve(task, worker, amount, now)
         if placed is not None:
-            placed.why = f"all of its gang found room at once and {self._placer.why}"
+            placed.why = f"all of its gang fit at once and {self._placer.why}"
         return placed
 
     def _reserve(
@@ -163,9 +163,9 @@
         )
 
     def _keep(self, gang_id: str, held: Sequence[Placed], until: float) -> Hold:
-        self._made += 1
+        self._hold_count += 1
         hold = Hold(
-            hold_id=HoldId(f"{gang_id}#{self._made}"),
+            hold_id=HoldId(f"{gang_id}#{self._hold_count}"),
             gang_id=gang_id,
             until=until,
             worker_by_task={placed.task.task_id: placed.worker.worker_id for placed in held},
@@ -173,14 +173,14 @@
         self._holds_by_id[hold.hold_id] = hold
         return hold
 
-    def _give_up(
+    def _on_no_capacity(
         self,
         gang_id: str,
         tasks: Sequence[TaskSpec],
         held: Sequence[Placed],
         now: float,
     ) -> None:
-        """Free what was held, and keep room promised if this is the first gang that waits."""
+        """Release what was held, and promise capacity if this is the first waiting gang."""
         for placed in held:
             self._tables.forget(placed)
         rank = (int(tasks[0].urgency), gang_id)
@@ -200,15 +200,18 @@
         for task in tasks:
             if self._tables.promises.get(task.task_id) is not None:
                 continue
-            if not self._demand(gang_id, task, now):
+            if not self._seek_capacity(gang_id, task, now):
                 self._drop_promises(gang_id, now)
                 self._waiting_gang = None
                 return
 
-    def _demand(self, gang_id: str, task: TaskSpec, now: float) -> bool:
-        """Seek room for one task; if none is foreseen, the gang must not block others."""
+    def _seek_capacity(self, gang_id: str, task: TaskSpec, now: float) -> bool:
+        """Preempt or promise for one task; False if no capacity is foreseen for it.
+
+        The gang must then not block others.
+        """
         amount = self._placer.amount_of(task)
-        return self._placer.demand(task, amount, now, gang_id=gang_id) is not None
+        return self._placer.preempt_or_promise(task, amount, now, gang_id=gang_id) is not None
 
     def _promise(
         self, gang_id: str, task: TaskSpec, worker: Worker, now: float, expected_at: float
@@ -225,13 +228,13 @@
         self._tables.make_promise(promise)
 
     def _drop_promises(self, gang_id: str, now: float, kept: Container[TaskId] = ()) -> None:
-        """End a gang's promises but for the tasks in `kept`."""
+        """Drop a gang's promises except for the tasks in `kept`."""
         promises = self._tables.promises.of_gang(gang_id)
         dropped = [promise.task_id for promise in promises if promise.task_id not in kept]
         for task_id in dropped:
             self._tables.drop_promise(task_id)
         if dropped:
-            self._tables.settle_growth(now)
+            self._tables.apply_freed_capacity(now)
 
     def _held(self, task_id: TaskId) -> Placed | None:
         placed = self._tables.placed_by_task.get(task_id)
--- a/src/galenastall/coordination/placement/reconcile.py
+++ b/src/galenastall/coordination/placement/reconcile.py
@@ -1,4 +1,4 @@
-"""Bring the ledgers in line with what workers say: answers, ends, listings."""
+"""Reconcile the ledgers with what workers report: answers, ends, listings."""
 
 from collections.abc import Collection, Iterator, Sequence
 
@@ -21,14 +21,14 @@
 from galenastall.state.work import FinishedTask, RunningTask, TaskEnd, TaskPhase, TaskSpec
 
 CANCELLED = "cancelled"
-BROKEN_OFF = frozenset(
+INTERRUPTED_ENDS = frozenset(
     {TaskEnd.STOPPED.value, TaskEnd.CHECKPOINTED.value, TaskEnd.LEASE_LAPSED.value}
 )
-"""Ends that speak neither against the task nor against the worker."""
+"""Interruptions that count neither against the task nor against the worker."""
 
 
 class _Missing:
-    """What became of tasks that a listing doesn't show."""
+    """Outcomes of tasks that a listing doesn't show."""
 
     __slots__ = ("ended", "lapsed", "requeued")
 
@@ -39,17 +39,17 @@
 
 
 class Reconciler:
-    """Feeds workers' words into the tables."""
+    """Applies workers' reports to the tables."""
 
     def __init__(self, *, tables: PlacementTables) -> None:
-        """Write to these tables."""
+        """Change these tables."""
         self._tables = tables
-        self._strays_by_worker: dict[HostId, set[TaskId]] = {}
+        self._duplicates_by_worker: dict[HostId, set[TaskId]] = {}
 
     def start_answer(
         self, task_id: TaskId, worker_id: HostId, answer: StartAnswer, now: float
     ) -> TaskPhase:
-        """Take in what became of a start; return where the task now stands."""
+        """Apply the outcome of a start; return the task's phase."""
         tables = self._tables
         placed = tables.placed_at(task_id, worker_id)
         if placed is None:
@@ -75,7 +75,7 @@
     def command_answer(
         self, task_id: TaskId, worker_id: HostId, command: CommandKind, answer: CommandAnswer
     ) -> TaskPhase:
-        """Take in what became of a checkpoint, throttle or stop."""
+        """Apply the outcome of a checkpoint, throttle or stop; return the task's phase."""
         tables = self._tables
         placed = tables.placed_at(task_id, worker_id)
         if placed is None:
@@ -90,13 +90,13 @@
             self._on_refused_ending(placed, command)
             return placed.phase
         if command is CommandKind.STOP and not placed.is_cancelled and not placed.task.idempotent:
-            return placed.phase  # it must not run again: the listing tells how it ended
+            return placed.phase  # it must not run again: the listing shows how it ended
         return self._on_proved_ended(placed)
 
     def finished(
         self, worker_id: HostId, finished: Sequence[FinishedTask], now: float
     ) -> Iterator[EndedTask]:
-        """Take in ends; those that say nothing new are passed over."""
+        """Apply ends of tasks; those that are known already are ignored."""
         for end in finished:
             placed = self._tables.placed_at(end.task_id, worker_id)
             if placed is not None and placed.task.attempt == end.attempt:
@@ -120,7 +120,7 @@
                 self._tables.adopt(worker, listed, now)
                 adopted.append(task_id)
             elif placed.worker is not worker:
-                self._on_second_copy(worker, listed)
+                self._on_duplicate(worker, listed)
                 duplicates.append(task_id)
             else:
                 if placed.phase is not TaskPhase.RUNNING:
@@ -136,7 +136,7 @@
     def listing(
         self, worker: Worker, listing: Listing, now: float, asked_at: float
     ) -> ReconcileReport:
-        """Take in a whole listing that was asked for at `asked_at`."""
+        """Apply a complete listing that was requested at `asked_at`."""
         ended = list(self.finished(worker.worker_id, listing.finished, now))
         report = self.running(worker, listing.running, now)
         listed = {entry.task.task_id for entry in listing.running}
@@ -152,7 +152,7 @@
 
     def forget_worker(self, worker_id: HostId) -> None:
         """Drop what is known of a worker that is no longer owned."""
-        self._strays_by_worker.pop(worker_id, None)
+        self._duplicates_by_worker.pop(worker_id, None)
 
     def _on_refused_ending(self, placed: Placed, command: CommandKind) -> None:
         placed.ending = None
@@ -177,8 +177,8 @@
         was_stopped = placed.ending is not None and not end.ok
         may_repeat = placed.task.idempotent or end.detail == TaskEnd.CHECKPOINTED.value
         verdict = HealthVerdict.NOTHING
-        if not (was_stopped and may_repeat) and end.detail not in BROKEN_OFF:
-            verdict = self._judge(placed, end, now)
+        if not (was_stopped and may_repeat) and end.detail not in INTERRUPTED_ENDS:
+            verdict = self._update_health(placed, end, now)
         tables.forget(placed)
         if was_stopped and may_repeat and not placed.is_cancelled:
             tables.requeue(placed, next_attempt=True)
@@ -200,7 +200,7 @@
             worker_change=self._apply_verdict(worker, verdict),
         )
 
-    def _judge(self, placed: Placed, end: FinishedTask, now: float) -> HealthVerdict:
+    def _update_health(self, placed: Placed, end: FinishedTask, now: float) -> HealthVerdict:
         quarantine = self._tables.quarantine
         task = placed.task
         worker_id = placed.worker.worker_id
@@ -211,7 +211,7 @@
     def _apply_verdict(self, worker: Worker, verdict: HealthVerdict) -> str:
         if verdict is HealthVerdict.WORKER_QUARANTINED:
             self._tables.set_quarantined(worker, quarantined=True)
-            return f"{worker.worker_id} is under quarantine: different jobs failed there"
+            return f"{worker.worker_id} is quarantined: different jobs failed there"
         if verdict is HealthVerdict.WORKER_RESTORED:
             self._tables.set_quarantined(worker, quarantined=False)
             return f"{worker.worker_id} is out of quarantine: a probe succeeded"
@@ -228,12 +228,12 @@
             task=waiting.task, worker_id=worker_id, ok=end.ok, advice=advice, detail=end.detail
         )
 
-    def _on_second_copy(self, worker: Worker, listed: RunningTask) -> None:
+    def _on_duplicate(self, worker: Worker, listed: RunningTask) -> None:
         task_id = listed.task.task_id
         worker.ledger.adopt(task_id, listed.reserved)
-        self._strays_by_worker.setdefault(worker.worker_id, set()).add(task_id)
-        self._tables.refresh(worker, grew=False)
-        self._tables.pending.stop_stray(worker, task_id)
+        self._duplicates_by_worker.setdefault(worker.worker_id, set()).add(task_id)
+        self._tables.refresh(worker, freed=False)
+        self._tables.pending.stop_duplicate(worker, task_id)
 
     def _repeat_command(self, placed: Placed, now: float) -> None:
         if placed.ending is None:
@@ -249,7 +249,7 @@
         self, worker: Worker, listed: Collection[TaskId], asked_at: float
     ) -> _Missing:
         missing = _Missing()
-        self._free_strays(worker, listed)
+        self._free_duplicates(worker, listed)
         for placed in self._tables.on_worker(worker):
             if placed.worker is not worker or placed.task.task_id in listed:
                 continue
@@ -257,14 +257,14 @@
                 self._on_absent(placed, missing)
         return missing
 
-    def _free_strays(self, worker: Worker, listed: Collection[TaskId]) -> None:
-        strays = self._strays_by_worker.get(worker.worker_id)
-        if not strays:
+    def _free_duplicates(self, worker: Worker, listed: Collection[TaskId]) -> None:
+        duplicates = self._duplicates_by_worker.get(worker.worker_id)
+        if not duplicates:
             return
-        for task_id in [task_id for task_id in strays if task_id not in listed]:
-            strays.remove(task_id)
+        for task_id in [task_id for task_id in duplicates if task_id not in listed]:
+            duplicates.remove(task_id)
             worker.ledger.release(task_id)
-            self._tables.refresh(worker, grew=True)
+            self._tables.refresh(worker, freed=True)
 
     def _is_proved_absent(self, placed: Placed, asked_at: float) -> bool:
         phase = placed.phase
@@ -291,7 +291,7 @@
                 )
             )
             return
-        # An unseen end may have been any: that a checkpoint was asked for proves none was made.
+        # An unseen end may have been of any kind: a checkpoint command doesn't prove a checkpoint.
         if task.idempotent and (was_unknown or placed.ending in ENDINGS):
             tables.requeue(placed, next_attempt=True)
             missing.requeued.append(task.task_id)
@@ -299,8 +299,8 @@
         missing.lapsed.append(task)
 
 
-def grow_to_usage(tables: PlacementTables, worker: Worker) -> None:
-    """Reserve what overrunning tasks really use, as far as it fits."""
+def raise_reservations_to_usage(tables: PlacementTables, worker: Worker) -> None:
+    """Raise the reservations of overrunning tasks to their measured usage, if it fits."""
     for placed in tables.on_worker(worker):
         amount = placed.entry.amount
         if placed.used.memory_mb > placed.granted_mb:
--- a/src/galenastall/coordination/placement/team_queue.py
+++ b/src/galenastall/coordination/placement/team_queue.py
@@ -1,8 +1,8 @@
 """Order of waiting tasks: urgent by deadline, starving by age, then teams by dominant share.
 
-All operations are O(log n) in tasks and teams. A scan tries a bounded number of tasks; teams none
-of whose tasks fit are parked until room grows that the smallest tried one would fit, so that a
-full data centre costs nothing to look at again and again.
+All operations are O(log n) in tasks and teams. A scan tries a bounded number of tasks; a team none
+of whose tasks fit is suspended until freed capacity could fit the smallest one tried, so that
+rescanning costs nothing while the data centre is full.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,24 +13,30 @@
 from sortedcontainers import SortedDict, SortedList
 
 from galenastall.coordination.placement.placement_settings import PlacementSettings
-from galenastall.coordination.placement.team_lines import TeamLines, with_below
-from galenastall.coordination.placement.waiting import Lane, TeamLane, TeamLine, Waiting, WaitReason
+from galenastall.coordination.placement.team_accounts import TeamAccounts, with_descendants
+from galenastall.coordination.placement.waiting import (
+    Lane,
+    TeamAccount,
+    TeamLane,
+    Waiting,
+    WaitReason,
+)
 from galenastall.state.ids import TaskId, TeamPath
 from galenastall.state.resources import NOTHING, Resources
 from galenastall.state.work import TaskSpec, Urgency
 
 URGENT_TRIES: Final = 32
-"""Urgent tasks tried in vain before a scan goes on to the teams."""
+"""Urgent tasks that may fail to fit before a scan goes on to the teams."""
 OVERDUE_TRIES: Final = 4
-"""Starving tasks tried in a scan."""
+"""Starving tasks that may fail to fit in a scan."""
 QUOTA_TRIES: Final = 8
-"""Urgent tasks of a team at its quota tried again when it gives something back."""
+"""Urgent tasks of a team at its quota that are retried when it releases capacity."""
 JOB_TRIES: Final = 16
-"""Jobs of one team tried before the team is parked."""
+"""Jobs of one team tried before the team is suspended."""
 TEAM_CLASSES: Final = (Urgency.NORMAL, Urgency.BACKFILL)
-"""Classes that go by teams' shares; all of a class goes before the next one."""
+"""Classes ordered by teams' shares; a class is scanned to its end before the next one."""
 SCAN_TRIES: Final = 128
-"""Tasks of one class tried in vain in one scan."""
+"""Tasks of one class that may fail to fit in one scan."""
 
 
 class TeamQueue:
@@ -41,9 +47,9 @@
         self._settings = settings
         self._total: Resources = NOTHING
         self._waiting_by_id: dict[TaskId, Waiting] = {}
-        self._lines = TeamLines(settings=settings)
+        self._accounts = TeamAccounts(settings=settings)
         self._by_share = {urgency: SortedList() for urgency in TEAM_CLASSES}
-        self._parked: dict[tuple[Urgency, TeamPath], TeamLane] = {}
+        self._suspended: dict[tuple[Urgency, TeamPath], TeamLane] = {}
         self._urgent: SortedDict = SortedDict()
         self._overdue: SortedDict = SortedDict()
         self._at_quota_by_team: dict[TeamPath, SortedDict] = {}
@@ -53,26 +59,26 @@
         self._since_overdue = 0
 
     def apply_settings(self, settings: PlacementSettings) -> None:
-        """Use other weights, quotas and bounds from now on."""
+        """Use other weights, quotas and starvation times from now on."""
         self._settings = settings
-        self._lines.apply_settings(settings)
-        for line in self._lines:
-            self._unpark_all(line)
+        self._accounts.apply_settings(settings)
+        for account in self._accounts:
+            self._resume_all(account)
 
     def set_total(self, total: Resources) -> None:
-        """Say what all owned workers hold together; shares are shares of this."""
+        """Set the total capacity of all owned workers, of which shares are computed."""
         self._total = total
-        for line in self._lines:
-            self._refile(line)
+        for account in self._accounts:
+            self._reorder(account)
 
     def set_elsewhere(self, reserved_by_team: Mapping[TeamPath, Resources]) -> None:
-        """Say what teams have reserved with other owners, for shares and quotas."""
-        self._lines.set_elsewhere(reserved_by_team)
-        for line in self._lines:
-            self._unpark_all(line)
+        """Set what teams have reserved with other owners, for shares and quotas."""
+        self._accounts.set_elsewhere(reserved_by_team)
+        for account in self._accounts:
+            self._resume_all(account)
 
     def add(self, task: TaskSpec, since: float, *, first: bool = False) -> Waiting | None:
-        """Let a task wait; `first` puts it ahead of its team's others. None if it waits already."""
+        """Queue a task, ahead of its team's others if `first`; None if it is queued already."""
         if task.task_id in self._waiting_by_id:
             return None
         self._seq += 1
@@ -88,15 +94,15 @@
         due_at = since + self._settings.starvation_of(task.urgency)
         heappush(self._due_heap, (due_at, waiting.seq, task.task_id))
         waiting.lane = Lane.TEAM
-        lane = self._lines.get(task.team).lanes_by_urgency[task.urgency]
+        lane = self._accounts.get(task.team).lanes_by_urgency[task.urgency]
         lane.add(waiting, first=first)
-        if lane.parked is not None and not _covers(lane.parked, task.resources):
-            self._unpark(lane)
-        self._refile_lane(lane)
+        if lane.suspended is not None and not _covers(lane.suspended, task.resources):
+            self._resume(lane)
+        self._reorder_lane(lane)
         return waiting
 
     def remove(self, task_id: TaskId) -> Waiting | None:
-        """Take a task out, placed or given up; None if it doesn't wait."""
+        """Dequeue a task that was placed or given up; None if it is not queued."""
         waiting = self._waiting_by_id.pop(task_id, None)
         if waiting is None:
             return None
@@ -106,7 +112,7 @@
         elif waiting.lane is Lane.OVERDUE:
             del self._overdue[waiting.order]
         elif waiting.lane is Lane.AT_QUOTA:
-            self._leave_quota_line(waiting)
+            self._leave_quota_queue(waiting)
         else:
             self._leave_lane(waiting)
         waiting.lane = None
@@ -117,67 +123,69 @@
         return self._waiting_by_id.get(task_id)
 
     def reason_of(self, waiting: Waiting) -> WaitReason:
-        """Return why a task waits; one that was not tried shares the reason of its job's first."""
+        """Return why a task waits; an untried task has the reason of the first task of its job."""
         if waiting.lane is not Lane.TEAM or waiting.reason is not WaitReason.NOT_TRIED:
             return waiting.reason
         return self._lane_of(waiting).first_of_job(waiting).reason
 
     def charge(self, team: TeamPath, amount: Resources) -> None:
-        """Count what was reserved for a team."""
-        line = self._lines.get(team)
-        line.take(amount, 1)
-        self._refile(line)
+        """Add an amount reserved for a team."""
+        account = self._accounts.get(team)
+        account.add_reserved(amount, 1)
+        self._reorder(account)
 
     def credit(self, team: TeamPath, amount: Resources) -> None:
-        """Count what a team gave back."""
-        line = self._lines.get(team)
-        line.take(amount, -1)
-        bounded = line.bounded_by()
-        if bounded is None:
-            self._refile(line)
+        """Subtract an amount that a team released."""
+        account = self._accounts.get(team)
+        account.add_reserved(amount, -1)
+        highest = account.highest_quota_account()
+        if highest is None:
+            self._reorder(account)
             return
-        for other in with_below(bounded):
-            self._unpark_all(other, urgent=QUOTA_TRIES)
+        for other in with_descendants(highest):
+            self._resume_all(other, urgent=QUOTA_TRIES)
 
     def allows(self, team: TeamPath, amount: Resources) -> bool:
-        """Return whether a team's quota, and those of the teams above, leave room for `amount`."""
-        return self._lines.get(team).find_full(amount) is None
+        """Return whether the quotas of a team and its ancestors allow `amount` more."""
+        return self._accounts.get(team).find_exceeded(amount) is None
 
-    def full_quota(self, team: TeamPath, amount: Resources) -> tuple[TeamPath, Resources] | None:
-        """Return the team and the quota that leave no room for `amount` more, if any does."""
-        return self._lines.full_quota(team, amount)
+    def exceeded_quota(
+        self, team: TeamPath, amount: Resources
+    ) -> tuple[TeamPath, Resources] | None:
+        """Return the team and quota that `amount` more would exceed, if any."""
+        return self._accounts.exceeded_quota(team, amount)
 
     def share(self, team: TeamPath) -> float:
         """Return a team's dominant share over its weight."""
-        return self._lines.get(team).share_of(self._total)
+        return self._accounts.get(team).share_of(self._total)
 
     def reserved_by_team(self) -> dict[TeamPath, Resources]:
         """Return what each team has reserved with this owner."""
-        return self._lines.reserved_by_team()
+        return self._accounts.reserved_by_team()
 
     def waiting_by_class(self) -> dict[str, int]:
         """Return how many tasks wait, by urgency."""
         return {urgency.name.lower(): count for urgency, count in self._counts_by_urgency.items()}
 
     def oldest(self) -> Waiting | None:
-        """Return the task that came first among those that wait."""
+        """Return the task that was queued first."""
         return next(iter(self._waiting_by_id.values()), None)
 
-    def room_grew(self, room: tuple[int, int, int]) -> None:
-        """Try parked teams again whose smallest tried task would fit such room."""
-        if not self._parked:
+    def on_capacity_freed(self, freed: tuple[int, int, int]) -> None:
+        """Resume suspended teams whose smallest tried task would fit the freed amount."""
+        if not self._suspended:
             return
-        cores, memory, accelerators = room
-        for lane in list(self._parked.values()):
-            parked = lane.parked
-            if parked is None:
+        cores, memory, accelerators = freed
+        for lane in list(self._suspended.values()):
+            suspended = lane.suspended
+            if suspended is None:
                 continue
-            if parked[0] <= cores and parked[1] <= memory and parked[2] <= accelerators:
-                self._unpark(lane)
-                self._refile_lane(lane)
+            if suspended[0] <= cores and suspended[1] <= memory and suspended[2] <= accelerators:
+                self._resume(lane)
+                self._reorder_lane(lane)
 
     def scan(self, now: float) -> Iterator[Waiting]:
-        """Return tasks in the order in which to try them; the caller removes what it placed."""
+        """Yield tasks in the order in which to try them; the caller removes those it placed."""
         self._promote(now)
         if self._overdue and self._since_overdue >= self._settings.overdue_every - 1:
             yield from self._scan_overdue(now)
@@ -187,7 +195,7 @@
             yield from self._scan_teams(urgency)
 
     def by_arrival(self) -> list[Waiting]:
-        """Return all waiting tasks as they came."""
+        """Return all waiting tasks in order of arrival."""
         return list(self._waiting_by_id.values())
 
     def __len__(self) -> int:
@@ -231,7 +239,7 @@
         by_share = self._by_share[urgency]
         misses = 0
         while by_share and misses < SCAN_TRIES:
-            lane = self._lines.get(by_share[0][1]).lanes_by_urgency[urgency]
+            lane = self._accounts.get(by_share[0][1]).lanes_by_urgency[urgency]
             smallest: tuple[int, int, int] | None = None
             placed = False
             for waiting in lane.heads(JOB_TRIES):
@@ -243,7 +251,7 @@
                 misses += 1
                 smallest = _smaller(smallest, waiting.task.resources)
             if not placed:
-                self._park(lane, smallest)
+                self._suspend(lane, smallest)
 
     def _promote(self, now: float) -> None:
         while self._due_heap and self._due_heap[0][0] <= now:
@@ -256,48 +264,48 @@
             self._overdue[waiting.order] = waiting
 
     def _hold_at_quota(self, waiting: Waiting) -> None:
-        """Keep an urgent task aside until its team is below its quota again."""
+        """Set an urgent task aside until its team is below its quota again."""
         del self._urgent[waiting.order]
         waiting.lane = Lane.AT_QUOTA
-        line = self._at_quota_by_team.setdefault(waiting.task.team, SortedDict())
-        line[waiting.order] = waiting
+        held = self._at_quota_by_team.setdefault(waiting.task.team, SortedDict())
+        held[waiting.order] = waiting
 
-    def _leave_quota_line(self, waiting: Waiting) -> None:
-        line = self._at_quota_by_team[waiting.task.team]
-        del line[waiting.order]
-        if not line:
+    def _leave_quota_queue(self, waiting: Waiting) -> None:
+        held = self._at_quota_by_team[waiting.task.team]
+        del held[waiting.order]
+        if not held:
             del self._at_quota_by_team[waiting.task.team]
 
     def _return_to_team(self, waiting: Waiting, now: float) -> None:
-        """Let a starving task wait as before: what its quota makes it wait is not starvation."""
+        """Return a starving task to its team's lane: waiting for a quota is not starvation."""
         del self._overdue[waiting.order]
         waiting.lane = Lane.TEAM
         due_at = now + self._settings.starvation_of(waiting.task.urgency)
         heappush(self._due_heap, (due_at, waiting.seq, waiting.task.task_id))
         lane = self._lane_of(waiting)
         lane.add(waiting, first=True)
-        self._refile_lane(lane)
+        self._reorder_lane(lane)
 
     def _lane_of(self, waiting: Waiting) -> TeamLane:
         task = waiting.task
-        return self._lines.get(task.team).lanes_by_urgency[task.urgency]
+        return self._accounts.get(task.team).lanes_by_urgency[task.urgency]
 
     def _leave_lane(self, waiting: Waiting) -> None:
         lane = self._lane_of(waiting)
         lane.remove(waiting)
         if not lane.tasks_by_job:
-            self._unpark(lane)
-            self._refile_lane(lane)
+            self._resume(lane)
+            self._reorder_lane(lane)
 
-    def _refile(self, line: TeamLine) -> None:
-        for lane in line.lanes_by_urgency.values():
+    def _reorder(self, account: TeamAccount) -> None:
+        for lane in account.lanes_by_urgency.values():
             if lane.key is not None:
-                self._refile_lane(lane)
+                self._reorder_lane(lane)
 
-    def _refile_lane(self, lane: TeamLane) -> None:
+    def _reorder_lane(self, lane: TeamLane) -> None:
         wanted = None
-        if lane.parked is None and lane.tasks_by_job:
-            wanted = (lane.line.share_of(self._total), lane.line.path)
+        if lane.suspended is None and lane.tasks_by_job:
+            wanted = (lane.account.share_of(self._total), lane.account.path)
         if wanted == lane.key:
             return
         if lane.key is not None:
@@ -306,36 +314,36 @@
             self._by_share[lane.urgency].add(wanted)
         lane.key = wanted
 
-    def _park(self, lane: TeamLane, smallest: tuple[int, int, int] | None) -> None:
-        lane.parked = smallest or (0, 0, 0)
-        self._parked[lane.urgency, lane.line.path] = lane
-        self._refile_lane(lane)
+    def _suspend(self, lane: TeamLane, smallest: tuple[int, int, int] | None) -> None:
+        lane.suspended = smallest or (0, 0, 0)
+        self._suspended[lane.urgency, lane.account.path] = lane
+        self._reorder_lane(lane)
 
-    def _unpark(self, lane: TeamLane) -> None:
-        if lane.parked is None:
+    def _resume(self, lane: TeamLane) -> None:
+        if lane.suspended is None:
             return
-        lane.parked = None
-        del self._parked[lane.urgency, lane.line.path]
-
-    def _unpark_all(self, line: TeamLine, *, urgent: int | None = None) -> None:
-        """Try all of a team's tasks again, and the first `urgent` of its urgent ones."""
-        for lane in line.lanes_by_urgency.values():
-            self._unpark(lane)
-            self._refile_lane(lane)
-        at_quota = self._at_quota_by_team.get(line.path)
+        lane.suspended = None
+        del self._suspended[lane.urgency, lane.account.path]
+
+    def _resume_all(self, account: TeamAccount, *, urgent: int | None = None) -> None:
+        """Retry all of a team's tasks, and the first `urgent` (None: all) of its urgent ones."""
+        for lane in account.lanes_by_urgency.values():
+            self._resume(lane)
+            self._reorder_lane(lane)
+        at_quota = self._at_quota_by_team.get(account.path)
         if at_quota is None:
             return
         for waiting in list(at_quota.values()[:urgent]):
-            self._leave_quota_line(waiting)
+            self._leave_quota_queue(waiting)
             waiting.lane = Lane.URGENT
             self._urgent[waiting.order] = waiting
 
 
-def _covers(parked: tuple[int, int, int], need: Resources) -> bool:
+def _covers(suspended: tuple[int, int, int], need: Resources) -> bool:
     return (
-        parked[0] <= need.cores_milli
-        and parked[1] <= need.memory_mb
-        and parked[2] <= need.accelerators
+        suspended[0] <= need.cores_milli
+        and suspended[1] <= need.memory_mb
+        and suspended[2] <= need.accelerators
     )
 
 
--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -301,20 +301,20 @@
             for shard, driver in self.drivers_by_shard.items()
             if driver.may_act
         )
-        team_updates = self._teams.tell(self._workers.core.reserved_by_team())
+        team_updates = self._teams.take_updates(self._workers.core.reserved_by_team())
         heartbeat = JobBeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
             summary=pack_summary(self._own_summary()),
-            renewing=self._workers.helper.renewing(),
+            renewing=self._workers.peer_renewer.renewing(),
             reserved_by_team={team: pack_amount(amount) for team, amount in team_updates.items()},
         )
-        self._workers.core.set_reserved_elsewhere(self._teams.elsewhere())
+        self._workers.core.set_reserved_elsewhere(self._teams.reserved_elsewhere())
         # Without shards it keeps nothing valid that the host may have queued.
         without_shards = replace(heartbeat, shards=(), valid_until=0.0)
         me = self._link.host_id
-        self._workers.hear_beat(me, heartbeat)
+        self._workers.on_heartbeat(me, heartbeat)
         roster = self._ownership.roster()
         for host in roster - {me}:
             is_unresponsive = now > self._last_seen_at.get(host, 0.0) + self._timings.silent_s
@@ -354,8 +354,8 @@
         self._last_seen_at[sender] = now
         self._summaries[sender] = unpack_summary(heartbeat.summary)
         reserved = {team: unpack_amount(row) for team, row in heartbeat.reserved_by_team.items()}
-        self._teams.hear(sender, reserved)
-        self._workers.hear_beat(sender, heartbeat)
+        self._teams.apply_updates(sender, reserved)
+        self._workers.on_heartbeat(sender, heartbeat)
 
     async def _on_events(self, sender: HostId, message: TaskEvents) -> Any:
         driver = self.drivers_by_shard.get(message.shard)
--- a/src/galenastall/node/placement/held_gangs.py
+++ b/src/galenastall/node/placement/held_gangs.py
@@ -1,4 +1,4 @@
-"""A worker owner's side of gangs: holds by the gang's key, each started or released once."""
+"""A worker owner's side of gang starts: holds by gang key, each started or released once."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -18,7 +18,7 @@
 from galenastall.state.ids import HostId
 from galenastall.state.work import TaskSpec
 
-STARTED_KEPT: Final = 4096
+MAX_STARTED_KEYS: Final = 4096
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 class HeldGangs:
-    """Answers holds and starts; repeated ones get the answer of the first."""
+    """Handles hold and start messages; a repeated one gets the same answer as the first."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         link: JobLink,
         clock: Clock,
         carry_out: Callable[[Decision], None],
-        is_taking: Callable[[], bool],
+        is_accepting: Callable[[], bool],
     ) -> None:
-        """`carry_out` sends the starts; `is_taking` is False while this entry host drains."""
+        """`carry_out` sends the starts; `is_accepting` is False while this entry host drains."""
         self._core = core
         self._assigned = assigned
         self._clock = clock
         self._carry_out = carry_out
-        self._is_taking = is_taking
+        self._is_accepting = is_accepting
         self._held_by_key: dict[str, HeldGang] = {}
         self._started: OrderedDict[str, None] = OrderedDict()
         link.answer(GangHold, self._on_hold)
@@ -56,12 +56,12 @@
         link.on_message(GangRelease, self._on_release)
 
     def expired(self, holds: tuple[HoldId, ...]) -> None:
-        """Forget holds that the core has released."""
+        """Forget holds that the core has released as expired."""
         for key in [key for key, gang in self._held_by_key.items() if gang.hold_id in holds]:
             del self._held_by_key[key]
 
     def release_tasks(self, attempts: Iterable[TaskAttempt]) -> None:
-        """Release the holds that any of these attempts belong to; they can't be started then."""
+        """Release the holds to which any of these attempts belongs; they can't be started then."""
         stopped = set(attempts)
         for key, gang in list(self._held_by_key.items()):
             held = (TaskAttempt(task_id=task.task_id, attempt=task.attempt) for task in gang.tasks)
@@ -76,12 +76,12 @@
 
     async def _on_hold(self, sender: HostId, message: GangHold) -> JobWord:
         now = self._clock.wall()
-        if not self._assigned.hear(message.shard, sender, message.epoch, message.until):
+        if not self._assigned.note_owner(message.shard, sender, message.epoch, message.until):
             return JobWord(ok=False, detail="the shard has a later owner")
         if message.key in self._held_by_key:
             return JobWord(ok=True)
-        if not self._is_taking() or message.key in self._started or message.until <= now:
-            return JobWord(ok=False, detail="draining, started or too late")
+        if not self._is_accepting() or message.key in self._started or message.until <= now:
+            return JobWord(ok=False, detail="draining, already started, or past the hold's end")
         tasks = tuple(unpack_tasks(message.groups))
         match self._core.hold(message.key, tasks, now, message.until):
             case Success(hold):
@@ -101,11 +101,11 @@
             return JobWord(ok=True)
         held = self._held_by_key.pop(message.key, None)
         if held is None:
-            return JobWord(ok=False, detail="not held, or no longer")
+            return JobWord(ok=False, detail="the gang is not held here, or its hold has ended")
         match self._core.start_hold(held.hold_id, now):
             case Success(decision):
                 self._remember(message.key)
-                self._take(message.shard, held.tasks)
+                self._accept(message.shard, held.tasks)
                 self._carry_out(decision)
                 return JobWord(ok=True)
             case Failure(error):
@@ -120,10 +120,10 @@
         if held is not None:
             self._core.release_hold(held.hold_id)
 
-    def _take(self, shard: int, tasks: tuple[TaskSpec, ...]) -> None:
+    def _accept(self, shard: int, tasks: tuple[TaskSpec, ...]) -> None:
         self._assigned.accept(shard, tasks)
 
     def _remember(self, key: str) -> None:
         self._started[key] = None
-        if len(self._started) > STARTED_KEPT:
+        if len(self._started) > MAX_STARTED_KEYS:
             self._started.popitem(last=False)
--- a/tests/test_placement_operations.py
+++ b/tests/test_placement_operations.py
@@ -1,4 +1,4 @@
-"""Costs counted in calls, not in time: cancellations, decisions, a full queue."""
+"""Cost of cancellations, decisions and a blocked queue, in function calls rather than time."""
 
 import sys
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 def count_calls(action: Callable[[], object]) -> int:
-    """Return how many Python and C functions `action` calls."""
+    """Return the number of Python and C function calls that `action` makes."""
     calls = 0
 
     def on_event(frame: FrameType, event: str, argument: Any) -> None:
@@ -60,7 +60,7 @@
             costs.append(count_calls(partial(core.decide, 0.0, 20)))
         assert costs[1] <= 2 * costs[0]
 
-    def test_a_queue_without_room_costs_nothing_to_look_at_again(self) -> None:
+    def test_a_blocked_queue_costs_nothing_to_rescan(self) -> None:
         core, _ = queue_of(8000)
         for _ in range(100):
             core.decide(0.0, 10)
