--- a/src/galenastall/node/entry_host.py
+++ b/src/galenastall/node/entry_host.py
@@ -1,4 +1,4 @@
-"""One entry host: builds all services, starts them in order, and stops them without cutting off."""
+"""The entry host: builds all services, starts them in order, and drains them on stop."""
 
 import random
 from collections.abc import Sequence
@@ -54,13 +54,13 @@
 from galenastall.transport.peer_link import ZmqPeerLink
 
 SHARDS: Final = ShardCounts()
-"""The same on every entry host: it decides which shard a key or a job is in."""
+"""Must be the same on every entry host, as it maps keys and jobs to shards."""
 MIN_RESPONSE_GRACE_S: Final = 2.0
-"""Least time for answers on their way when a drain ends, in seconds."""
+"""Minimum time that responses in progress get when a drain ends, in seconds."""
 
 
 class EntryHost:
-    """All services of one entry host on one loop."""
+    """All services of one entry host on one event loop."""
 
     def __init__(
         self,
@@ -224,7 +224,7 @@
         self._is_draining = False
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run all services until cancelled; reports started once both sides are bound."""
+        """Run all services until cancelled; reports started once both servers are bound."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.link.run)
             nursery.start_soon(self.guard.run)
@@ -240,9 +240,9 @@
             await nursery.start(self.job_subsystem.run)
 
     async def drain(self) -> int:
-        """Finish what is in progress, hand over, leave; return how many requests were cut off.
+        """Finish work in progress, hand over and leave; return the number of requests cut off.
 
-        New work is refused first, so that callers go elsewhere while what runs here ends.
+        New work is refused first, so that callers move to other hosts meanwhile.
         """
         self._is_draining = True
         deadline = self._clock.now() + self.settings.drain_timeout_seconds
@@ -265,12 +265,12 @@
         return cut_off
 
     def not_ready_reasons(self) -> Sequence[str]:
-        """Return why the balancer should send nothing here; empty if it should."""
+        """Return why the load balancer should send no traffic here; empty if it may."""
         reasons = []
         if self._is_draining:
             reasons.append("draining")
         if self.host_list.latest is None:
-            reasons.append("the platform's list of hosts was never read")
+            reasons.append("the platform's host list was never read")
         if not self.ownership.is_member:
             reasons.append("not yet in the roster of its data centre")
         reasons.extend(self.shared.not_ready_reasons())
@@ -278,7 +278,7 @@
         return reasons
 
     def status(self) -> HostStatus:
-        """Return how this entry host stands, for operators."""
+        """Return the status of this entry host, for operators."""
         reasons = tuple(self.not_ready_reasons())
         return HostStatus(
             host_id=self.host_id,
--- a/src/galenastall/node/host_list_service.py
+++ b/src/galenastall/node/host_list_service.py
@@ -1,4 +1,4 @@
-"""Polls the platform's host list and keeps the last one that came."""
+"""Polls the platform's host list and keeps the last one received."""
 
 import random
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 """Bounds how long a leaving host goes unnoticed beyond the platform's own lag."""
 JITTER: Final = 0.1
 ENTRY_HOSTS_POLL_S: Final = 10.0
-"""How often entry hosts of other data centres are looked up; only links to them need these."""
+"""How often entry hosts of other data centres are fetched; only links to them need these."""
 
 ListingCallback = Callable[[HostListing, float], None]
 """Takes the listing and the runtime time at which its fetch was sent."""
@@ -38,10 +38,10 @@
         poll_s: float = DEFAULT_POLL_S,
         events: EventSink | None = None,
     ) -> None:
-        """Poll `service` every `poll_s` seconds, spread by a tenth so that hosts fall apart.
+        """Poll `service` every `poll_s` seconds, with a tenth of jitter so that hosts spread.
 
-        With a `data_centre` the list holds its hosts and all entry hosts, and only these are
-        fetched: the whole list is two orders of magnitude beyond what a host may spend.
+        With a `data_centre`, only its hosts and all entry hosts are fetched: the whole list is two
+        orders of magnitude larger than a host can afford.
         """
         self._data_centre = data_centre
         self._own = _Subset(data_centre=data_centre)
@@ -55,14 +55,14 @@
         self._callbacks: list[ListingCallback] = []
         self._listed = trio.Event()
         self.latest: HostListing | None = None
-        """The last listing; None if none ever came."""
+        """The last listing; None before the first."""
         self.fetched_at: float | None = None
         """Runtime seconds at which the fetch of the last listing was sent."""
         self.last_error: StepError | None = None
         """Why the last fetch failed; None if it did not."""
 
     def subscribe(self, callback: ListingCallback) -> None:
-        """Call back, on the loop, after each fetch that succeeded."""
+        """Call `callback` on the event loop after each successful fetch."""
         self._callbacks.append(callback)
 
     def age_s(self) -> float | None:
@@ -70,7 +70,7 @@
         return None if self.fetched_at is None else self._clock.now() - self.fetched_at
 
     async def wait_listed(self) -> None:
-        """Return once a listing came."""
+        """Wait for the first listing."""
         await self._listed.wait()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -81,7 +81,7 @@
             await trio.sleep(self._poll_s * self._rng.uniform(1 - JITTER, 1 + JITTER))
 
     async def poll_once(self) -> None:
-        """Fetch the list once and tell the subscribers."""
+        """Fetch the list once and notify the subscribers."""
         sent_at = self._clock.now()
         if not await self._refresh(self._own):
             return
@@ -96,7 +96,7 @@
                 self._publish(sent_at)
 
     async def _refresh(self, subset: "_Subset") -> bool:
-        """Fetch a cut unless it is as it was; return whether the platform answered."""
+        """Fetch a subset unless it is unchanged; return whether the platform answered."""
         known = subset.listing
         fetched = await self._service.fetch(
             data_centre=subset.data_centre,
@@ -117,7 +117,7 @@
         return True
 
     def _publish(self, sent_at: float) -> None:
-        """Tell what is known; an unchanged answer confirms the list as much as a whole one."""
+        """Publish the merged list; an unchanged answer confirms it as much as a full one does."""
         own = self._own.listing
         if own is None:
             return
@@ -136,13 +136,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Subset:
-    """A part of the list and what is known of it."""
+    """A filter on the host list and the last listing fetched with it."""
 
     data_centre: DataCentre | None = None
     kind: HostKind | None = None
     listing: HostListing | None = None
     as_of: float = 0.0
-    """Wall seconds that the last answer, whole or unchanged, describes."""
+    """Wall time in seconds that the last answer, full or unchanged, describes."""
 
 
 def peer_addresses(listing: HostListing, *, own: HostId) -> dict[HostId, str]:
--- a/src/galenastall/node/host_metrics.py
+++ b/src/galenastall/node/host_metrics.py
@@ -1,4 +1,4 @@
-"""Gauges over all services of an entry host; read at each scrape, so they cost nothing between."""
+"""Gauges of all services of an entry host; read at each scrape, so they cost nothing between."""
 
 from dataclasses import fields
 from functools import partial
@@ -28,7 +28,7 @@
     job_subsystem: JobSubsystem,
     memory: MemoryWatch,
 ) -> None:
-    """Show what the services count; the guide's page on metrics says what each means."""
+    """Register the services' counters as gauges; the guide's page on metrics describes each."""
     _register_link(metrics, link)
     _register_log(metrics, log_client)
     _register_ownership(metrics, ownership)
--- a/src/galenastall/node/http_ops.py
+++ b/src/galenastall/node/http_ops.py
@@ -1,4 +1,4 @@
-"""Routes for operators and their machines: health, readiness, metrics, time line, explanation."""
+"""Routes for operators and monitoring: health, readiness, metrics, time line, explanation."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -19,11 +19,11 @@
 from galenastall.transport.timeline_plot import PlotUnavailableError, plot_timeline
 
 SENTENCE_MODULES = (explain_jobs, explain_ownership, explain_requests, explain_settings)
-"""Modules that file their sentences when they are loaded."""
+"""Modules that register their sentences on import."""
 
 _TEXT = {"content-type": "text/plain; charset=utf-8"}
 PresentSentences = Callable[[str], Awaitable[tuple[str, ...]]]
-"""Returns sentences on how an id stands now; none if that is not known here."""
+"""Returns sentences on the current state of an id; none if it is not known here."""
 
 _IMAGE_TYPES = {"svg": "image/svg+xml", "png": "image/png"}
 
@@ -39,7 +39,7 @@
         not_ready_reasons: Callable[[], Sequence[str]],
         present: PresentSentences | None = None,
     ) -> None:
-        """Ready while `not_ready_reasons` returns nothing; `present` ends explanations."""
+        """Ready while `not_ready_reasons` returns nothing; `present` adds the current state."""
         self._present = present
         self._metrics = metrics
         self._timeline = timeline
@@ -47,18 +47,18 @@
 
     @route("GET", "/healthz")
     async def health(self, request: HttpRequest) -> HttpResponse:
-        """Answer 200 while the loop turns."""
+        """Answer 200 while the event loop runs."""
         return json_response(200, {"status": "ok"})
 
     @route("GET", "/readyz")
     async def ready(self, request: HttpRequest) -> HttpResponse:
-        """Answer 200 when work is welcome, else 503 with the reasons."""
+        """Answer 200 if this host takes new work, else 503 with the reasons."""
         reasons = list(self._not_ready_reasons())
         return json_response(503 if reasons else 200, {"ready": not reasons, "reasons": reasons})
 
     @route("GET", "/metrics")
     async def metrics(self, request: HttpRequest) -> HttpResponse:
-        """Answer with Prometheus's text format."""
+        """Answer in Prometheus's text format."""
         page = await self._metrics.page()
         return HttpResponse(headers={"content-type": CONTENT_TYPE}, body=page)
 
--- a/src/galenastall/node/http_status.py
+++ b/src/galenastall/node/http_status.py
@@ -1,4 +1,4 @@
-"""Route by which operators see how an entry host stands, in one answer."""
+"""Route for the status of an entry host."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
     is_up: bool
     """Whether the last call succeeded."""
     is_fresh: bool
-    """Whether the tip was read recently enough to act on it."""
+    """Whether the log's end was read recently enough to act on it."""
     next_offset_by_stream: dict[str, int]
-    """What is below was read and folded."""
+    """Records below this offset were read and folded."""
     queued: int
     """Records that wait for an append."""
     unresolved: int
-    """Records sent of which nobody knows yet whether they were appended."""
+    """Records sent whose outcome is not known yet."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkStatus:
-    """What waits and runs here."""
+    """Waiting and running work of an entry host."""
 
     requests_waiting: int
     requests_in_progress: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostStatus:
-    """How an entry host stands."""
+    """Status of an entry host."""
 
     host_id: str
     data_centre: str
@@ -65,7 +65,7 @@
     """Handler of the status route."""
 
     def __init__(self, *, describe: Callable[[], HostStatus]) -> None:
-        """`describe` is asked for each answer."""
+        """`describe` is called for each request."""
         self._describe = describe
 
     @route("GET", "/v1/status")
--- a/src/galenastall/node/jobs/http_jobs.py
+++ b/src/galenastall/node/jobs/http_jobs.py
@@ -1,4 +1,4 @@
-"""HTTP of jobs and workers: submit, look, cancel."""
+"""HTTP routes of jobs and workers: submit, show, cancel."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobAnswer:
-    """How a job stands."""
+    """Status of a job."""
 
     job_id: JobId
     team: TeamPath
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TasksAnswer:
-    """Some of a job's tasks."""
+    """A range of a job's tasks."""
 
     job_id: JobId
     first: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerAnswer:
-    """A worker of this data centre; what runs is told by its owner only."""
+    """A worker of this data centre; only its owner reports the running tasks."""
 
     host_id: HostId
     state: str
@@ -101,7 +101,7 @@
         ownership: OwnershipView,
         clock: Clock,
     ) -> None:
-        """Answer from these services."""
+        """Serve the routes from these services."""
         self._intake = intake
         self._fold = fold
         self._workers = workers
@@ -149,7 +149,7 @@
 
     @route("GET", "/v1/jobs/{job_id}")
     async def show(self, request: HttpRequest) -> HttpResponse:
-        """Show how a job stands."""
+        """Show the status of a job."""
         job_id = JobId(request.path_params["job_id"])
         found = await self._intake.find_confirmed(job_id)
         if isinstance(found, Failure):
@@ -159,7 +159,7 @@
 
     @route("GET", "/v1/jobs/{job_id}/tasks")
     async def show_tasks(self, request: HttpRequest) -> HttpResponse:
-        """Show `count` tasks from `first` on: where each stands."""
+        """Show the status of `count` tasks from `first` on."""
         job_id = JobId(request.path_params["job_id"])
         first = _number(request.query, "first", 0, maximum=MAX_TASKS)
         count = _number(request.query, "count", DEFAULT_COUNT)
@@ -177,7 +177,7 @@
 
     @route("POST", "/v1/jobs/{job_id}/cancel")
     async def cancel(self, request: HttpRequest) -> HttpResponse:
-        """Cancel a job; says how many tasks never started, are being stopped, or were done."""
+        """Cancel a job; report how many tasks never started, are being stopped, or were done."""
         job_id = JobId(request.path_params["job_id"])
         match await self._intake.cancel(job_id, cause=request.query.get("cause", "")):
             case Success(cancelled):
@@ -188,12 +188,12 @@
 
     @route("GET", "/v1/jobs/{job_id}/explain")
     async def explain_job(self, request: HttpRequest) -> HttpResponse:
-        """Say in sentences how a job stands."""
+        """Explain the status of a job in sentences."""
         return await self._explain(request.path_params["job_id"])
 
     @route("GET", "/v1/jobs/{job_id}/tasks/{index}/explain")
     async def explain_task(self, request: HttpRequest) -> HttpResponse:
-        """Say in sentences where a task runs or why it waits."""
+        """Explain in sentences where a task runs or why it waits."""
         params = request.path_params
         return await self._explain(f"{params['job_id']}/{params['index']}")
 
--- a/src/galenastall/node/jobs/job_intake.py
+++ b/src/galenastall/node/jobs/job_intake.py
@@ -1,7 +1,7 @@
-"""Accept, cancel and tell of jobs, on whichever entry host a caller reaches.
+"""Accepts, cancels and describes jobs, on whichever entry host a caller reaches.
 
-"Accepted" is said only once the record was read back from the log or, in an outage and if the
-caller asks for it, once two entry hosts hold the job; the answer says which.
+A job is reported as accepted only once its record was read back from the log or, in an outage and
+if the caller requests it, once two entry hosts hold the job; the response says which.
 """
 
 import random
@@ -40,24 +40,24 @@
 from galenastall.state.work import JobSpec, TaskPhase
 
 LOOKUP_TIMEOUT_S: Final = 2.0
-"""How long a question about a job unknown here may take; a read of the log takes 20 ms."""
+"""Time limit of the lookup of a job unknown here; a read of the log takes 20 ms."""
 LOOKUP_RETRY_S: Final = 1.0
-"""When to come back after it could not be told whether a job is known, in seconds."""
+"""Retry delay after a lookup could not determine whether a job is known, in seconds."""
 OUTAGE_RETRY_S: Final = 5.0
-"""When to come back after the log could not take a job, in seconds."""
+"""Retry delay after the log could not take a job, in seconds."""
 
 
 class Durability(StrEnum):
-    """Where a job is kept."""
+    """Where an accepted job is stored."""
 
     LOG = "log"
     DATA_CENTRE = "data_centre"
-    """Two entry hosts hold it until the log takes it; lost only if both are before that."""
+    """Two entry hosts hold it until the log takes it; lost only if both fail before that."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AcceptedJob:
-    """What a caller is told of an accepted job."""
+    """Response to the submission of an accepted job."""
 
     job_id: JobId
     durability: Durability
@@ -68,17 +68,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CancelledJob:
-    """What a caller is told of a cancellation."""
+    """Response to a cancellation."""
 
     job_id: JobId
     durability: Durability
     """`data_centre`: the shard's owner has it in memory, and it is logged when the log is back."""
     counts: CancelCounts | None
-    """What it found, by tasks; None if the shard's owner could not be asked."""
+    """Numbers of tasks by state; None if the shard's owner could not be reached."""
 
 
 class JobIntake:
-    """The callers' side of jobs."""
+    """Handles callers' operations on jobs."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         events: EventSink | None = None,
         team_problem: Callable[[JobSpec], str | None] = lambda _spec: None,
     ) -> None:
-        """`team_problem` says why the shared tree refuses a job, or returns None."""
+        """`team_problem` returns why the shared settings refuse a job, or None."""
         self._data_centre = data_centre
         self._fold = fold
         self._jobs = jobs
@@ -117,10 +117,10 @@
     async def submit(
         self, spec: JobSpec, *, durability: Durability = Durability.LOG
     ) -> Result[AcceptedJob, StepError]:
-        """Accept a job, or say why not.
+        """Accept a job, or return why not.
 
-        `durability` is the least that the caller takes. REFUSED: it can never run. CONFLICT: the id
-        is another job's. NOT_OWNER: it belongs to another data centre. UNAVAILABLE: it was not
+        `durability` is the minimum for the caller. REFUSED: it can never run. CONFLICT: the id is
+        used by another job. NOT_OWNER: it belongs to another data centre. UNAVAILABLE: it was not
         accepted. TIMEOUT: it may have been; submit it again under the same id.
         """
         refusal = self._refusal(spec)
@@ -169,7 +169,7 @@
         return Success(CancelledJob(job_id=job_id, durability=durability, counts=counts))
 
     async def view(self, job_id: JobId, *, first: int = 0, count: int = 0) -> JobView | None:
-        """Return how a job stands, from its shard's owner or else from the log; None if unknown."""
+        """Return a job's view from its shard's owner or else from the log; None if unknown."""
         ask = JobAsk(job_id=job_id, first=first, count=count)
         state = self._fold.get(job_id) or self._jobs.held(job_id)
         owner = self._jobs.owner_of(job_id)
@@ -180,14 +180,14 @@
         return view_state(state, ask) if state else None
 
     def find(self, job_id: JobId) -> JobState | None:
-        """Return a job as the log, or an entry host in an outage, has it."""
+        """Return a job from the log or, in an outage, from the jobs held here."""
         return self._fold.get(job_id) or self._jobs.held(job_id)
 
     async def find_confirmed(self, job_id: JobId) -> Result[JobState, StepError]:
         """Return a job; NOT_FOUND only if no entry host accepted it before this was called.
 
-        The log may hold it and not have been read here yet, and in an outage of the log it may be
-        known only to the two hosts that hold it. UNAVAILABLE: one of them could not be asked.
+        The log may hold it without this host having read it yet, and in a log outage it may be
+        known only to the two hosts that hold it. UNAVAILABLE: the log or a host did not answer.
         """
         state = self.find(job_id)
         if state is not None:
@@ -200,12 +200,14 @@
             if isinstance(caught_up, Success) and await self._is_held_nowhere(job_id):
                 detail = f"job {job_id!r} is not known in this data centre"
                 return Failure(self._error("job.show", Reason.NOT_FOUND, detail))
-        detail = f"job {job_id!r} is not known here, and it is not known whether it was accepted"
+        detail = (
+            f"job {job_id!r} is not known here, and whether it was accepted could not be determined"
+        )
         error = self._error("job.show", Reason.UNAVAILABLE, detail)
         return Failure(replace(error, retry_after_s=LOOKUP_RETRY_S))
 
     async def _is_held_nowhere(self, job_id: JobId) -> bool:
-        """Whether all other entry hosts say that they do not have a job."""
+        """Whether all other entry hosts report that they do not hold a job."""
         for host in sorted(self._ownership.roster() - {self._link.host_id}):
             match await self._link.call(host, JobAsk(job_id=job_id, first=0, count=0)):
                 case Success(JobView(is_known=False)):
@@ -268,7 +270,7 @@
     ) -> Result[AcceptedJob, StepError]:
         resubmitted = replace(spec, home=known.spec.home, submitted_at=known.spec.submitted_at)
         if resubmitted != known.spec:
-            detail = f"job_id {spec.job_id!r} is another job's"
+            detail = f"job_id {spec.job_id!r} is used by another job"
             return Failure(self._error("job.submit", Reason.CONFLICT, detail))
         is_logged = known.accepted_at is not None
         return Success(
@@ -281,7 +283,7 @@
         )
 
     async def _hold(self, spec: JobSpec, error: StepError) -> Result[AcceptedJob, StepError]:
-        """Keep the job here and at one other entry host, its shard's owner if that can be."""
+        """Hold the job here and on one other entry host, preferably its shard's owner."""
         me = self._link.host_id
         owner = self._jobs.owner_of(spec.job_id)
         others = sorted(self._ownership.roster() - {me}, key=lambda host: (host != owner, host))
--- a/src/galenastall/node/jobs/job_link.py
+++ b/src/galenastall/node/jobs/job_link.py
@@ -1,4 +1,4 @@
-"""Messages of jobs to an entry host that may be this one."""
+"""Messages about jobs to an entry host, which may be this one."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Final, TypeVar
@@ -18,7 +18,7 @@
     """Routes to local handlers without a socket, and to peers otherwise."""
 
     def __init__(self, *, peers: PeerLink, timeout_s: float = CALL_TIMEOUT_S) -> None:
-        """Use `peers` for other hosts; calls end after `timeout_s`."""
+        """Use `peers` for other hosts; calls time out after `timeout_s`."""
         self._peers = peers
         self._timeout_s = timeout_s
         self._call_handlers: dict[type[Any], Callable[[HostId, Any], Awaitable[Any]]] = {}
@@ -30,12 +30,12 @@
         return self._peers.host_id
 
     def answer(self, message_type: type[M], handler: Callable[[HostId, M], Awaitable[Any]]) -> None:
-        """Answer calls of this type, from here or from peers."""
+        """Answer calls of this type, from this host or from peers."""
         self._call_handlers[message_type] = handler
         self._peers.handle(message_type, handler)
 
     def on_message(self, message_type: type[M], handler: Callable[[HostId, M], None]) -> None:
-        """Take one-way messages of this type, from here or from peers."""
+        """Handle one-way messages of this type, from this host or from peers."""
         self._message_handlers[message_type] = handler
 
         async def handle(sender: HostId, message: Any) -> None:
--- a/src/galenastall/node/jobs/job_maintenance.py
+++ b/src/galenastall/node/jobs/job_maintenance.py
@@ -1,4 +1,4 @@
-"""Write to the log in the background: held jobs, cancellations, compacted jobs, workers."""
+"""Background writes to the log: held jobs, cancellations, compacted jobs, workers."""
 
 from collections.abc import Callable, Iterable
 
@@ -17,7 +17,7 @@
 
 
 class JobMaintenance:
-    """Retries until the log has what it must keep."""
+    """Retries each write until the log has it."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         timings: JobTimings,
         events: EventSink,
     ) -> None:
-        """`held` and `cancels` are emptied by whoever reads their records back."""
+        """Entries of `held` and `cancels` are removed when their records are read back."""
         self._fold = fold
         self._known_workers = known_workers
         self._drivers = drivers
@@ -53,7 +53,7 @@
             nursery.start_soon(self._compact)
 
     async def log_workers(self) -> None:
-        """Keep in the log which workers there are; for the owner of the first shard."""
+        """Log changes of the known workers; only the owner of the first shard calls this."""
         changes = self._known_workers.changes()
         if changes is None or self._is_logging_workers or not self._appender.is_log_up:
             return
--- a/src/galenastall/node/jobs/job_requests.py
+++ b/src/galenastall/node/jobs/job_requests.py
@@ -1,4 +1,4 @@
-"""What callers send to submit a job, and its checks."""
+"""Body of a job submission, and its validation."""
 
 import re
 from typing import Final, Literal
@@ -19,7 +19,7 @@
 
 
 class ResourcesRequest(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Need of each task."""
+    """Resources that each task needs."""
 
     cores_milli: int = 0
     memory_mb: int = 0
@@ -48,9 +48,9 @@
 def check_request(
     request: JobRequest, *, job_id: JobId, now: float, peer: str
 ) -> Result[JobSpec, StepError]:
-    """Return the job asked for, or INVALID naming the field, its value and what is allowed.
+    """Return the submitted job, or INVALID naming the field, its value and what is allowed.
 
-    `job_id` is used if the caller gave none; `now` is wall seconds.
+    `job_id` is used if the caller gave none; `now` is wall time in seconds.
     """
     problem = _find_problem(request, now)
     if problem is not None:
--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -1,4 +1,4 @@
-"""Owner of job shards: a core for each owned shard, fed from the log and by the peers."""
+"""Runs the owned job shards: a core for each, fed from the log and by peers."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -55,11 +55,11 @@
 from galenastall.state.work import JobSpec
 
 READ_POLL_S = 0.1
-"""How often a shard that waits for the log is looked at, in seconds."""
+"""How often a shard that waits for the log is checked, in seconds."""
 
 
 class JobService(JobListener):
-    """All job shards that this entry host owns, and the beats to the other entry hosts."""
+    """All job shards that this entry host owns, and its heartbeats to the other entry hosts."""
 
     def __init__(
         self,
@@ -143,20 +143,20 @@
                 )
 
     async def drain(self) -> None:
-        """Give out nothing more; what is decided and not yet logged is logged first."""
+        """Stop assigning tasks, and log all ends that are decided and not yet logged."""
         self._is_draining = True
         for driver in self.drivers_by_shard.values():
             await driver.drain()
 
     def on_job(self, job: JobState) -> None:
-        """Take on a job of an owned shard that the log now holds."""
+        """Add a job of an owned shard that the log now holds."""
         self._held.pop(job.spec.job_id, None)
         driver = self._driver_of(job.spec.job_id)
         if driver is not None:
             self._add(driver, job)
 
     def on_tasks_ended(self, end: EndedRanges) -> None:
-        """Tell an owned shard of ends that the log now holds."""
+        """Pass task ends that the log now holds to their shard, if it is owned."""
         driver = self._driver_of(end.job_id)
         if driver is not None:
             driver.core.on_tasks_ended(end)
@@ -170,21 +170,21 @@
             driver.wake()
 
     def on_ended(self, job: JobState) -> None:
-        """Forget a job of an owned shard."""
+        """Remove an ended job from its shard, if it is owned."""
         driver = self._driver_of(job.spec.job_id)
         if driver is not None:
             driver.core.forget(job.spec.job_id)
 
     def owner_of(self, job_id: JobId) -> HostId | None:
-        """Return the owner of a job's shard as far as the log was read."""
+        """Return the owner of a job's shard, according to the log read so far."""
         return self._ownership.owner_of(_ownable_of(job_id, self._shards))
 
     def held(self, job_id: JobId) -> JobState | None:
-        """Return a job that this entry host keeps while the log can't take it."""
+        """Return a job that this entry host holds while the log can't take it."""
         return self._held.get(job_id)
 
     def summaries(self) -> Mapping[HostId, CapacitySummary]:
-        """Return the newest capacity summary of each entry host that was heard lately."""
+        """Return the newest capacity summary of each entry host that sent a heartbeat recently."""
         now = self._clock.wall()
         fresh = {
             host: summary
@@ -195,7 +195,7 @@
         return fresh
 
     def hold(self, spec: JobSpec) -> None:
-        """Keep a job until the log can take it; run it if its shard is owned here."""
+        """Hold a job until the log can take it; run it if its shard is owned here."""
         if self.fold.get(spec.job_id) is not None or spec.job_id in self._held:
             return
         state = JobState(spec=spec, accepted_at=None, was_held=True)
@@ -210,7 +210,7 @@
         self._cancels_to_log[job_id] = cause
 
     def view(self, ask: JobAsk) -> JobView:
-        """Return how a job of an owned shard, or one that is held here, stands."""
+        """Return the view of a job of an owned shard, or of one that is held here."""
         driver = self._driver_of(ask.job_id)
         run = driver.core.runs_by_id.get(ask.job_id) if driver else None
         if run is not None:
@@ -225,7 +225,7 @@
         return self.drivers_by_shard.get(shard_of(job_id, shards=self._shards))
 
     def _add(self, driver: ShardDriver, job: JobState) -> None:
-        # A job logged after this shard's claim was never given out by an earlier owner.
+        # A job logged after this shard's claim was never assigned by an earlier owner.
         is_fresh = (
             job.accepted_at is not None and job.accepted_at > driver.core.epoch and not job.was_held
         )
@@ -233,11 +233,11 @@
         driver.wake()
 
     async def _activate_once_read(self, ownable: OwnableId, epoch: Epoch) -> None:
-        """Serve a shard only from a fold that holds all that earlier owners logged.
+        """Activate a shard only once the fold holds all that earlier owners logged.
 
-        Ownership may be ahead of it, since it also follows the log through peers.
+        Ownership may be ahead of the fold, since it also follows the log through peers.
         """
-        # The follower has no event for an offset; this happens only in a cut from the log.
+        # The follower has no event for an offset; this happens only without access to the log.
         while self._follower.next_offset < epoch:  # noqa: ASYNC110
             await trio.sleep(READ_POLL_S)
         while ownable in self._ownership.owned():
@@ -311,7 +311,7 @@
             reserved_by_team={team: pack_amount(amount) for team, amount in team_updates.items()},
         )
         self._workers.core.set_reserved_elsewhere(self._teams.reserved_elsewhere())
-        # Without shards it keeps nothing valid that the host may have queued.
+        # A heartbeat without shards does not extend the validity of the host's queued tasks.
         without_shards = replace(heartbeat, shards=(), valid_until=0.0)
         me = self._link.host_id
         self._workers.on_heartbeat(me, heartbeat)
@@ -327,7 +327,7 @@
             self._forget_host(host)
 
     def _on_unresponsive(self, host: HostId, now: float) -> None:
-        """Stop keeping a silent host's queued tasks valid; once they are void, doubt them."""
+        """Let an unresponsive host's queued tasks expire; then mark them unconfirmed."""
         void_at = self._void_at.setdefault(host, now + self._timings.valid_s + self._timings.skew_s)
         if now > void_at:
             self._void_at[host] = now + self._timings.valid_s + self._timings.skew_s
--- a/src/galenastall/node/jobs/job_subsystem.py
+++ b/src/galenastall/node/jobs/job_subsystem.py
@@ -1,4 +1,4 @@
-"""The job side of an entry host: shards, owned workers and the callers' routes, run together."""
+"""The job services of an entry host: shards, owned workers and HTTP routes, run together."""
 
 import random
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class JobSubsystem:
-    """Everything of an entry host that jobs need."""
+    """All services of an entry host that handle jobs."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
     def apply_settings(
         self, *, placement: PlacementSettings, timings: WorkerTimings, drained: frozenset[HostId]
     ) -> None:
-        """Go by other settings from the next decision on; `drained` names workers to empty."""
+        """Apply new settings from the next decision on; `drained` names the workers to drain."""
         self.core.apply_settings(placement)
         self.workers.apply_settings(timings, drained)
 
@@ -113,6 +113,6 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Give out nothing more; what waits here goes back to the shards' next owners."""
+        """Stop assigning tasks; tasks queued here return to the next owners of their shards."""
         await self.jobs.drain()
         await self.workers.drain()
--- a/src/galenastall/node/jobs/job_views.py
+++ b/src/galenastall/node/jobs/job_views.py
@@ -9,7 +9,7 @@
 from galenastall.state.work import TaskPhase
 
 MAX_TASKS_PER_VIEW: Final = 1000
-"""Tasks in one answer; ask again from a later index for more."""
+"""Maximum number of tasks in one view; query again from a later index for more."""
 
 
 def view_run(run: JobRun, ask: JobAsk) -> JobView:
--- a/src/galenastall/node/jobs/shard_driver.py
+++ b/src/galenastall/node/jobs/shard_driver.py
@@ -1,4 +1,4 @@
-"""Carry out what one job shard's core decides: assign, stop, hold, take the census, log ends."""
+"""Executes the decisions of one job shard's core: assign, stop, hold, take a census, log ends."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import Final
@@ -43,7 +43,7 @@
 from galenastall.state.job_shards import shard_ownable
 
 IDLE_TICKS: Final = 8
-"""A new job wakes the driver, so this bounds only what nobody waits for."""
+"""Ticks between decisions of an idle shard; a new job wakes the driver at once."""
 
 
 class ShardDriver:
@@ -92,7 +92,7 @@
         self._scope.cancel()
 
     def wake(self) -> None:
-        """Decide soon."""
+        """Trigger a decision soon."""
         self._wake.set()
 
     @property
@@ -105,7 +105,7 @@
         return self._clock.wall() + self._timings.valid_s
 
     async def drain(self) -> None:
-        """Return once all ends that are known are logged, or can't be now."""
+        """Wait until all known ends are logged or the log is down."""
         while self.core.ends and self._appender.is_log_up:
             self._logging.set()
             await trio.sleep(self._timings.window_s)
@@ -126,7 +126,7 @@
 
     @property
     def _ticks_per_wait(self) -> int:
-        """Return how many ticks may pass at once: a shard without jobs has nothing to time."""
+        """Number of ticks between decisions: a shard without jobs has no timers."""
         core = self.core
         is_busy = core.runs_by_id or core.needs_census or core.ends or core.intents or self._stops
         return 1 if is_busy else IDLE_TICKS
@@ -158,10 +158,10 @@
             nursery.start_soon(self._log_intents)
 
     async def _assign(self, batch: AssignBatch) -> None:
-        """Send until there is an answer, or the assignee is gone: then a census tells.
+        """Send until there is an answer or the assignee left the roster; then a census decides.
 
-        What was never sent goes back at once. Left to the next beat to doubt, tasks stayed assigned
-        for good where the assignee was back in the roster by then.
+        Tasks that were never sent are requeued at once. When only the next heartbeat marked them
+        unconfirmed, they stayed assigned forever if the assignee had rejoined the roster by then.
         """
         is_repeat = False
         while batch.host in self._ownership.roster():
@@ -228,7 +228,7 @@
             case Success(JobWord(ok=ok)):
                 is_ok = ok
             case Failure(_) if step.kind is GangStepKind.START:
-                return  # No answer: it is asked again.
+                return  # No answer: the call is repeated.
             case _:
                 is_ok = False
         if step.kind is GangStepKind.HOLD:
@@ -268,12 +268,12 @@
         self._events.record(
             "shard.census",
             subjects=(shard_ownable(self.core.shard),),
-            cause="tasks may be somewhere; asking all entry hosts",
+            cause="the state of some tasks is unconfirmed; querying all entry hosts",
             fields={"epoch": str(self.core.epoch)},
         )
 
     def _end_census(self, nursery: trio.Nursery) -> None:
-        """Give out again what is nowhere, once all ends that were logged before were read."""
+        """Requeue tasks found on no host, once all ends logged before the census were read."""
         if self._needs_barrier:
             if not self._is_at_barrier:
                 self._is_at_barrier = True
@@ -286,14 +286,14 @@
         self._events.record(
             "shard.recovered",
             subjects=(shard_ownable(self.core.shard),),
-            cause=f"{count} tasks in doubt are nowhere",
+            cause=f"{count} unconfirmed tasks were found on no host",
         )
 
     async def _append_barrier(self, census: Census | None) -> None:
-        """Read back a record of our own.
+        """Append a barrier record and wait until it is read back.
 
-        A worker forgets an end only after its record was read back, so an end that the census could
-        not see any more lies before this one.
+        A worker drops an end only after its record was read back, so an end that the census could
+        no longer see precedes the barrier.
         """
         result = await self._appender.append(
             stream=self._follower.stream, record=ShardBarrier(shard=self.core.shard)
@@ -339,7 +339,7 @@
                     nursery.start_soon(self._log_job_end, job)
 
     async def _log_intents(self) -> None:
-        """Read back the record of first givings before the tasks are given out."""
+        """Read back the record of first assignments before the tasks are assigned."""
         record = self.core.intents.take()
         if record is not None and self.may_act:
             result = await self._appender.append(stream=self._follower.stream, record=record)
--- a/src/galenastall/node/log/__init__.py
+++ b/src/galenastall/node/log/__init__.py
@@ -1,1 +1,1 @@
-"""The local side of the log: followers and group commit."""
+"""Client of the platform's log: followers and group commit."""
--- a/src/galenastall/node/log/group_commit.py
+++ b/src/galenastall/node/log/group_commit.py
@@ -1,15 +1,14 @@
-"""Append records in groups, and tell each caller truthfully what became of its record.
-
-An append whose answer was lost is never repeated. It is looked for in the followed stream instead:
-
-- seen there: it was appended, at the offset where it was seen;
-- a read of the tip that was sent `settle_s` after the append was sent did not show it: it was not
-  appended. This rests on two assumptions about the log, both to be checked for a real platform: an
-  append takes effect within `settle_s` of its sending or never, and a read of the tip shows all
-  appends that took effect before it. A record that lands against that is reported as
-  `log.late_append`;
-- neither yet: nobody knows, and the caller hears TIMEOUT. Asking again with the same record id
-  waits for the same append; it sends nothing.
+"""Append records in groups, and report the outcome of each record to its caller.
+
+An append whose response was lost is never repeated. The followed stream is searched for it instead:
+
+- found: it was appended, at the offset where it was found;
+- not in a read of the log's end that was sent `settle_s` after the append: it was not appended.
+  This rests on two assumptions about the log, both to be checked for a real platform: an append
+  takes effect within `settle_s` of being sent or never, and a read of the log's end returns all
+  appends that took effect before it. A record that violates this is reported as `log.late_append`;
+- neither yet: the outcome is unknown, and the caller gets TIMEOUT. A call repeated with the same
+  record id waits for the same append and sends nothing.
 """
 
 import itertools
@@ -41,14 +40,14 @@
 RETRY_MIN_S: Final = 0.5
 RETRY_MAX_S: Final = 5.0
 MAX_REMEMBERED_OUTCOMES: Final = 4096
-"""Own records whose fate is remembered, for callers that ask again with the same id."""
+"""Own records whose outcome is kept, for callers that repeat a call with the same id."""
 
 STEP: Final = "log.append"
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Pending:
-    """A record whose fate is not known yet; mutable, since its stream's task moves it along."""
+    """A record whose outcome is not known yet; mutable, since its stream's task updates it."""
 
     stream: StreamName
     record_id: RecordId
@@ -56,7 +55,7 @@
     sent_at: float | None = None
     """Runtime seconds; None while it is queued."""
     offset: Offset | None = None
-    """Where the log's answer put it; None as long as there was none."""
+    """Offset in the log's response; None before that."""
     outcome: Result[Offset, StepError] | None = None
     decided: trio.Event = field(default_factory=trio.Event)
 
@@ -67,7 +66,7 @@
 
 
 class _ReadBack:
-    """Fold that shows the appender every record of one stream."""
+    """Fold that passes every record of one stream to the appender."""
 
     def __init__(self, *, on_record: Callable[[LoggedRecord], None]) -> None:
         self._on_record = on_record
@@ -77,7 +76,7 @@
 
 
 class _StreamQueue:
-    """Records of one stream on their way to the log."""
+    """Queue of the records to append to one stream."""
 
     def __init__(self, *, follower: LogStreamFollower) -> None:
         self.follower = follower
@@ -112,7 +111,7 @@
     """Group commit of one entry host; see protocol.log_access.LogAppender.
 
     It reads its own records back through the followers. A follower feeds a record to all folds
-    without a pause, so every fold has taken a record in before its writer runs again.
+    without yielding, so every fold has applied a record before its writer runs again.
     """
 
     def __init__(
@@ -131,7 +130,7 @@
         answer_timeout_s: float = DEFAULT_ANSWER_TIMEOUT_S,
         settle_s: float = DEFAULT_SETTLE_S,
     ) -> None:
-        """`writer` must be unique for each life of a process; record ids start with it."""
+        """`writer` must be unique per incarnation of a process; record ids start with it."""
         self._log = log
         self._clock = clock
         self._rng = rng
@@ -167,22 +166,22 @@
         return sum(len(queue.waiting) for queue in self._queues_by_stream.values())
 
     def set_settle_time(self, settle_s: float) -> None:
-        """Take the platform's word on how long an unanswered append may still take effect."""
+        """Set how long an unanswered append may still take effect on this platform."""
         self._settle_s = settle_s
 
     @property
     def is_log_up(self) -> bool:
-        """Whether reads succeed, and no append has failed of late.
+        """Whether reads succeed and no append has failed recently.
 
-        A failed append speaks against the log until it may be tried again, as an idle host would
-        else call the log down until its next append.
+        A failed append counts only until the retry time, as an idle host would otherwise report
+        the log as down until its next append.
         """
         is_pausing = self._append_failed and self._clock.now() < self._retry_at
         return self._health.is_up and not is_pausing
 
     @property
     def unresolved(self) -> Mapping[RecordId, StreamName]:
-        """Records that were sent and of which nobody knows yet whether they were appended."""
+        """Records that were sent and whose outcome is not known yet."""
         return {record_id: found.stream for record_id, found in self._unanswered_by_id.items()}
 
     async def append(
@@ -294,7 +293,7 @@
                 "log.late_append",
                 peer=logged.stream,
                 subjects=(logged.record_id,),
-                cause=f"landed at {logged.offset} after it was taken for not appended",
+                cause=f"appended at {logged.offset} after it was reported as not appended",
             )
 
     def _resolve_missing(self) -> None:
@@ -303,17 +302,22 @@
             if pending.sent_at is None or tip_read_at is None:
                 continue
             if tip_read_at >= pending.sent_at + self._settle_s:
-                self._decide(pending, Failure(self._unavailable("its answer was lost")))
+                self._decide(
+                    pending,
+                    Failure(
+                        self._unavailable("its response was lost, and the log does not contain it")
+                    ),
+                )
 
     def _on_skipped(self, stream: StreamName, start: Offset) -> None:
-        """Decide what can no longer be read back, as the log dropped records unread."""
+        """Decide records that can no longer be read back, as the log dropped them unread."""
         for pending in list(self._pending_by_id.values()):
             if pending.stream != stream or pending.sent_at is None:
                 continue
             if pending.offset is not None and pending.offset < start:
                 self._decide(pending, Success(pending.offset))
             elif pending.record_id in self._unanswered_by_id:
-                detail = "its answer was lost and the log dropped records unread"
+                detail = "its response was lost and the log dropped records before they were read"
                 self._decide(pending, Failure(self._error(Reason.TIMEOUT, detail)))
 
     def _decide(self, pending: _Pending, outcome: Result[Offset, StepError]) -> None:
@@ -333,7 +337,7 @@
         if not self._health.is_up or self._clock.now() < self._retry_at:
             return self._unavailable("the log is down")
         if len(queue.waiting) >= self._queue_records:
-            detail = f"{self._queue_records} records wait already"
+            detail = f"{self._queue_records} records are queued already"
             return self._error(Reason.OVERLOADED, detail, retry_after_s=RETRY_MIN_S)
         return None
 
@@ -341,9 +345,9 @@
         queue = self._queues_by_stream[pending.stream]
         if pending.sent_at is None and pending in queue.waiting:
             queue.waiting.remove(pending)
-            self._decide(pending, Failure(self._unavailable("it waited too long")))
+            self._decide(pending, Failure(self._unavailable("it timed out in the queue")))
             return pending.outcome or Failure(self._unavailable(""))
-        detail = "no answer, and not read back yet"
+        detail = "no response, and not read back yet"
         if pending.offset is not None:
             detail = f"appended at {pending.offset}, but not read back yet"
         return Failure(self._error(Reason.TIMEOUT, detail))
@@ -372,5 +376,5 @@
 
 
 def _was_not_appended(outcome: Result[Offset, StepError]) -> bool:
-    """Return whether the record was taken for not appended."""
+    """Return whether the outcome says that the record was not appended."""
     return isinstance(outcome, Failure) and not outcome.failure().may_have_taken_effect
--- a/src/galenastall/node/log/log_service.py
+++ b/src/galenastall/node/log/log_service.py
@@ -1,4 +1,4 @@
-"""The log's local side of one entry host: its followers and its appender, run together."""
+"""The log client of an entry host: its followers and its appender, run together."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -21,7 +21,7 @@
 
 
 class LogClient:
-    """Followers by stream and the one appender that reads back through them."""
+    """The followers by stream, and the appender that reads its records back through them."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         settle_s: float = DEFAULT_SETTLE_S,
         queue_records: int = DEFAULT_QUEUE_RECORDS,
     ) -> None:
-        """`writer` must be unique for each life of a process; folds subscribe before `run`."""
+        """`writer` must be unique per incarnation of a process; folds subscribe before `run`."""
         self.health = LogHealth()
         self.followers_by_stream = {
             stream: LogStreamFollower(
--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -19,19 +19,19 @@
 
 PAGE_RECORDS: Final = 1000
 RECORDS_PER_CHECKPOINT: Final = 32
-"""Records folded before other tasks get a turn; a settings change takes milliseconds."""
+"""Records folded before yielding to other tasks; a settings change takes milliseconds."""
 DEFAULT_POLL_WAIT_S: Final = 1.0
-"""Also the age that `tip_read_at` reaches in quiet times, so well below the READ setting."""
+"""Also the age of the last read of the end of an idle stream, so well below the READ setting."""
 MIN_READ_INTERVAL_S: Final = 0.2
-"""Least time between two reads that brought records; each append wakes all followers at once."""
+"""Minimum time between reads that returned records; each append wakes all followers at once."""
 RETRY_MIN_S: Final = 0.1
 RETRY_MAX_S: Final = 2.0
 UNREADABLE: Final = "unreadable"
-"""Type name given to a record that can't be decoded; folds pass over it like an unknown one."""
+"""Type name given to a record that can't be decoded; folds skip it like one of unknown type."""
 
 
 class LogHealth:
-    """Whether the log answers, as the last call of any component found it."""
+    """Whether the last call to the log, by any component, succeeded."""
 
     def __init__(self) -> None:
         self.is_up = False
@@ -39,7 +39,7 @@
 
 
 class LogStreamFollower:
-    """One stream, read from its oldest kept record on; see protocol.log_access."""
+    """Follows one stream from its oldest retained record on; see protocol.log_access."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
 
     @property
     def tip_read_at(self) -> float | None:
-        """Runtime time at which the last read that reached the tip was sent; None if never."""
+        """Runtime time at which the last read up to the log's end was sent; None if never."""
         return self._tip_read_at
 
     def subscribe(self, fold: RecordFold) -> None:
@@ -91,15 +91,15 @@
         self._folds.append(fold)
 
     def on_gap(self, callback: Callable[[Offset], None]) -> None:
-        """Call back with the offset at which reading goes on, before its record is folded.
+        """Call `callback` with the offset where reading resumes, before its record is folded.
 
-        Happens when the log no longer keeps the next record, also at the start: what the skipped
-        records said is unknown, and a snapshot must make up for them.
+        Happens when the log no longer retains the next record, also at the start: the content of
+        the skipped records is unknown, and a snapshot must replace them.
         """
         self._gap_callbacks.append(callback)
 
     def on_end_reached(self, callback: Callable[[], None]) -> None:
-        """Call back after each read that reached the tip, once its records were folded."""
+        """Call `callback` after each read up to the log's end, once its records were folded."""
         self._end_callbacks.append(callback)
 
     async def wait_for(self, offset: Offset) -> None:
@@ -113,7 +113,7 @@
         await folded.wait()
 
     async def catch_up(self) -> Result[None, StepError]:
-        """Return once everything is folded that the log holds now, or why that is not known."""
+        """Wait until all records now in the log are folded; Failure if its end is not known."""
         read = await self._log.read(stream=self._stream, start=self._next, limit=1, wait_s=0.0)
         if isinstance(read, Failure):
             return read
@@ -129,7 +129,7 @@
             await self._read_once()
 
     async def _read_once(self) -> None:
-        """Read a page; at the start and after a failure without a long poll, to find out soon."""
+        """Read a page, without long poll at the start and after a failure, to get a result soon."""
         sent_at = self._clock.now()
         wait_s = self._poll_wait_s if self._last_read_succeeded else 0.0
         read = await self._log.read(
@@ -146,7 +146,7 @@
                 await self._back_off(error)
 
     async def _pause(self, until: float) -> None:
-        """Let appends gather until a runtime time, unless somebody waits for a record."""
+        """Let appends accumulate until runtime time `until`, unless a caller waits for a record."""
         left_s = until - self._clock.now()
         if left_s <= 0 or self._waiters:
             return
@@ -200,7 +200,7 @@
     def _skip_to(self, start: Offset) -> None:
         if start <= self._next:
             return
-        cause = f"the log no longer keeps offsets {self._next} to {start - 1}"
+        cause = f"the log no longer retains offsets {self._next} to {start - 1}"
         self._events.record("log.gap", subjects=(self._stream,), cause=cause)
         self._next = start
         for callback in self._gap_callbacks:
--- a/src/galenastall/node/memory_watch.py
+++ b/src/galenastall/node/memory_watch.py
@@ -1,6 +1,6 @@
-"""Resident memory of this process against its limit; above it, readiness is lost.
+"""Compares the resident memory of this process with its limit; above it, the host is not ready.
 
-The balancer then sends new callers elsewhere, while what was accepted is still served.
+The load balancer then sends new callers elsewhere, while accepted work is still served.
 """
 
 import os
@@ -13,14 +13,14 @@
 from galenastall.protocol.event_sink import EventSink
 
 CHECK_S: Final = 1.0
-"""Time between two looks."""
+"""Time between two checks."""
 BYTES_PER_MB: Final = 2**20
 _STATM: Final = Path("/proc/self/statm")
 _RESIDENT_FIELD: Final = 1
 
 
 def resident_mb() -> float:
-    """Return the resident size of this process in mebibytes; 0 where the system doesn't tell."""
+    """Return the resident size of this process in mebibytes; 0 if the system does not report it."""
     try:
         pages = int(_STATM.read_text(encoding="ascii").split()[_RESIDENT_FIELD])
     except OSError:
@@ -29,7 +29,7 @@
 
 
 class MemoryWatch:
-    """Looks at the resident size and says when it crosses the limit."""
+    """Checks the resident size and records when it crosses the limit."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         self._events = events
         self._measure = measure
         self.resident_mb = measure()
-        """As last seen, in mebibytes."""
+        """Last measured value, in mebibytes."""
         self._is_above = False
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         task_status.started()
         while True:
             self.check()
@@ -63,7 +63,7 @@
             self._events.record(step, cause=self._describe())
 
     def not_ready_reasons(self) -> tuple[str, ...]:
-        """Return why nothing new should come here; empty below the limit."""
+        """Return why this host should get no new work; empty below the limit."""
         return (self._describe(),) if self._is_above else ()
 
     def _describe(self) -> str:
--- a/src/galenastall/node/ownership/ownables.py
+++ b/src/galenastall/node/ownership/ownables.py
@@ -1,4 +1,4 @@
-"""Which ownables a data centre has: its workers and upstreams, and its shards."""
+"""The ownables of a data centre: its workers, upstreams and shards."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -29,7 +29,7 @@
 
 
 class OwnableSet:
-    """The shards, and the listed hosts; a host that vanished stays for the list's lag bound."""
+    """The shards and the listed hosts; a host no longer listed stays for the list's lag bound."""
 
     def __init__(self, *, data_centre: DataCentre, shards: ShardCounts, lag_s: float) -> None:
         """Start without hosts."""
--- a/src/galenastall/node/ownership/ownership_service.py
+++ b/src/galenastall/node/ownership/ownership_service.py
@@ -1,7 +1,7 @@
 """Driver of ownership: feeds the core from log, peers, list and clock; implements the view.
 
-Everything runs on the loop without a pause between an event and the core's commands, so that a
-member that heard of a claim never vouches as if it had not.
+Events and the core's resulting commands run on the event loop without yielding in between, so that
+a member that has received a claim never sends a confirmation as if it had not.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-import galenastall.protocol.ownership_messages  # noqa: F401 (files the messages)
+import galenastall.protocol.ownership_messages  # noqa: F401 (registers the messages)
 from galenastall.coordination.ownership.ownership import AppendOutcome, OwnershipCore
 from galenastall.coordination.ownership.ownership_messages import (
     Activated,
@@ -44,7 +44,7 @@
 
 TICK_S: Final = 0.1
 IDLE_TICK_S: Final = 0.2
-"""The same while nothing is contested; still several in a beat's interval."""
+"""Tick while nothing is contested; still several per heartbeat interval."""
 TAIL_TIMEOUT_S: Final = 1.0
 
 
@@ -94,7 +94,7 @@
         self._is_executing = False
         self._left = trio.Event()
         self.appended = 0
-        """Records handed to the log, for metrics."""
+        """Records submitted to the log, for metrics."""
         self.messages = 0
         """Messages sent to peers, for metrics."""
         follower.subscribe(self)
@@ -121,7 +121,7 @@
         return frozenset(self._core.holdings.holding_by_ownable)
 
     def roster(self) -> frozenset[HostId]:
-        """Return the members that are heard and not leaving, this one included."""
+        """Return the live members that are not leaving, this one included."""
         return frozenset(member.host for member in self._core.live) | {self._core.me.host}
 
     def on_activated(self, callback: Callable[[OwnableId, Epoch], None]) -> None:
@@ -141,7 +141,7 @@
 
     @property
     def has_log_confirmation(self) -> bool:
-        """Whether the log's tip was read recently enough to act on."""
+        """Whether the log's end was read recently enough to act on."""
         return self._core.confirmations.has_log_confirmation(self._clock.now())
 
     def ownables(self) -> frozenset[OwnableId]:
@@ -149,12 +149,12 @@
         return self._core.ownables or frozenset()
 
     def apply_timings(self, timings: OwnershipTimings) -> None:
-        """Act by other timings from now on; takeovers wait by those that this was made with."""
+        """Use other timings from now on; takeovers still wait by those given at construction."""
         self._current_timings = timings
         self._core.apply_timings(timings)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled."""
+        """Participate until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -166,15 +166,16 @@
                 self._nursery = None
 
     async def drain(self) -> None:
-        """Hand everything over and leave the roster; returns when that is in the log.
+        """Hand over all ownables and leave the roster; return once that is logged.
 
-        In a log outage it cannot end: the caller bounds it and warns. Stop deciding before.
+        It does not return during a log outage: the caller sets a time limit and warns. Stop making
+        decisions before the call.
         """
         self._core.begin_leave()
         await self._left.wait()
 
     def apply(self, logged: LoggedRecord) -> None:
-        """Take in the next record of the data centre's stream."""
+        """Apply the next record of the data centre's stream."""
         self._tail.keep(logged)
         self._core.on_record(logged, self._clock.now())
         self._execute_commands()
@@ -204,7 +205,7 @@
     async def _on_tail_request(self, sender: HostId, request: TailRequest) -> Any:
         records = self._tail.since(request.start) if self._core.fold.is_complete else None
         if records is None:
-            detail = f"records from {request.start} on are no longer kept"
+            detail = f"records from {request.start} on are no longer retained"
             return StepError(step="ownership.tail", peer="", reason=Reason.NOT_FOUND, detail=detail)
         return TailAnswer(
             start=request.start,
@@ -216,7 +217,7 @@
     # Commands out
 
     def _execute_commands(self) -> None:
-        """Carry out commands in order, also those that callbacks give rise to."""
+        """Execute commands in order, including those that callbacks cause."""
         self._commands.extend(self._core.drain_commands())
         if self._is_executing:
             return
@@ -262,7 +263,7 @@
             callback(command.ownable)
 
     def _rejoin(self) -> None:
-        """Go on as a new member: the log says that the old incarnation is dead."""
+        """Rejoin as a new member, since the log no longer lists the old incarnation."""
         self._incarnation_count += 1
         incarnation = Incarnation(f"{self._first_incarnation}+{self._incarnation_count}")
         cause = "the roster no longer lists this incarnation"
--- a/src/galenastall/node/process.py
+++ b/src/galenastall/node/process.py
@@ -1,4 +1,4 @@
-"""The entry host as a process: settings in, signals, a drain, and the count of what was cut off."""
+"""Runs the entry host as a process: settings, signals, drain, and the count of requests cut off."""
 
 import gc
 import os
@@ -23,16 +23,16 @@
 from galenastall.transport.logs import Level, configure_logging, default_stream
 
 ADAPTER_MODULES = (platform_http,)
-"""Imported so that the registry of adapters is full."""
+"""Imported to register the adapters."""
 GC_THRESHOLDS: Final = (2_000, 50, 1_000)
-"""New objects, young and middle collections that set off the next larger collection."""
+"""Numbers of new objects, young and middle collections that trigger the next larger collection."""
 FORCED_EXIT_CODE: Final = 1
 """Exit code after a second signal."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BoundAddresses:
-    """Where an entry host is reached, known once it is bound."""
+    """Addresses of an entry host, known once it is bound."""
 
     host_id: str
     http: str
@@ -44,14 +44,14 @@
 
 
 class StartError(GalenastallError):
-    """The settings are well formed, and the process can't run with them."""
+    """The settings are well-formed, but the process can't run with them."""
 
 
 def run_entry_host(*, settings: ProcessSettings, on_bound: BoundSink) -> int:
-    """Run until SIGTERM or SIGINT and drain; return how many requests were cut off.
+    """Run until SIGTERM or SIGINT, then drain; return the number of requests cut off.
 
-    `on_bound` gets the addresses. A second signal ends the process at once with BROKEN_OFF. Raises
-    StartError naming what is in the way.
+    `on_bound` gets the addresses. A second signal ends the process at once with FORCED_EXIT_CODE.
+    Raises StartError with the problem.
     """
     configure_logging(stream=default_stream(), level=Level[settings.log_level.upper()])
     _limit_gc_pauses()
@@ -65,7 +65,7 @@
 
 
 async def serve_entry_host(*, settings: ProcessSettings, on_bound: BoundSink) -> int:
-    """Serve until a signal to stop and drain; return how many requests were cut off.
+    """Serve until told to stop, then drain; return the number of requests cut off.
 
     A second signal ends the process at once.
     """
@@ -120,9 +120,9 @@
 
 
 def _limit_gc_pauses() -> None:
-    """Keep the libraries out of garbage collection, and collect old objects seldom.
+    """Exclude the libraries' objects from garbage collection, and run full collections rarely.
 
-    A full collection stops the loop for 150 ms and more once 20,000 tasks are held; see
+    A full collection stops the event loop for 150 ms or more once 20,000 tasks are held; see
     docs/measurements/process.md.
     """
     gc.freeze()
@@ -153,12 +153,12 @@
 
 
 async def _abort_on_signal(signals: AsyncIterator[int], host: EntryHost) -> None:
-    """End the process; cancelling would wait for writes that the HTTP library shields."""
+    """Exit at once; cancellation would wait for writes that the HTTP library shields."""
     await anext(signals)
     host.recorder.record(
         "node.broken_off",
         subjects=(host.host_id,),
-        cause="a second signal came",
+        cause="a second signal was received",
         fields={"cut_off": str(host.server.open_requests)},
         level=Level.WARNING,
     )
--- a/src/galenastall/node/process_security.py
+++ b/src/galenastall/node/process_security.py
@@ -7,7 +7,7 @@
 
 
 def curve_keys(settings: ProcessSettings) -> CurveKeys | None:
-    """Return the keys of the zmq side, None if it runs in clear; raises ValueError for bad ones."""
+    """Return the CURVE keys, None without encryption; raise ValueError for invalid keys."""
     if settings.curve is None:
         return None
     allowed = {HostId(name): key for name, key in settings.curve.allowed_by_host_id.items()}
@@ -21,7 +21,7 @@
 
 
 def tls_files(settings: ProcessSettings) -> TlsFiles | None:
-    """Return the files of the HTTP side; None if it runs in clear."""
+    """Return the TLS files of the HTTP server; None if it runs without TLS."""
     if settings.tls is None:
         return None
     ca_file = settings.tls.ca_file
--- a/src/galenastall/node/settings/__init__.py
+++ b/src/galenastall/node/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of the shared tree, and operators' routes to it."""
+"""Drivers of the shared settings, and operators' routes to them."""
--- a/src/galenastall/node/settings/http_settings.py
+++ b/src/galenastall/node/settings/http_settings.py
@@ -1,4 +1,4 @@
-"""HTTP routes of the shared tree, for operators."""
+"""HTTP routes of the shared settings, for operators."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -23,12 +23,12 @@
 }
 MAX_ID_CHARS: Final = 200
 NO_EFFECT_HEADER: Final = "galenastall-no-effect"
-"""Names the settings that this version keeps without acting on them."""
+"""Lists the settings that this version stores without acting on them."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsView:
-    """A subtree as set and in force, and what a change of it must be based on."""
+    """A subtree as set, and the revision that a change to it must be based on."""
 
     path: str
     revision: Offset
@@ -37,7 +37,7 @@
     next_offset: Offset
     digest: str
     blocked_paths: tuple[str, ...]
-    """Paths on which a change of a newer schema was met and not taken."""
+    """Paths with a change of a newer schema version, which was not applied."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class History:
-    """The remembered verdicts, oldest first."""
+    """The retained verdicts, oldest first."""
 
     verdicts: tuple[Verdict, ...]
 
 
 class HttpSettings:
-    """Routes below /v1/settings; a refusal by the fold has the verdict as its body."""
+    """Routes below /v1/settings; the body of a change rejected by the fold is its verdict."""
 
     def __init__(self, *, service: SettingsService) -> None:
         self._service = service
@@ -77,12 +77,12 @@
 
     @route("GET", "/v1/settings/history")
     async def show_history(self, request: HttpRequest) -> HttpResponse:
-        """Return the remembered verdicts."""
+        """Return the retained verdicts."""
         return json_response(200, History(verdicts=self._service.fold.verdicts()))
 
     @route("GET", "/v1/settings/changes/{change_id}")
     async def show_change(self, request: HttpRequest) -> HttpResponse:
-        """Return what is known of a change; 404 if it was not seen."""
+        """Return the status of a change; 404 if it was not seen."""
         status = self._service.status(ChangeId(request.path_params["change_id"]))
         code = 404 if status.phase is ChangePhase.NOT_SEEN else 200
         return json_response(code, status)
--- a/src/galenastall/node/settings/settings_catch_up.py
+++ b/src/galenastall/node/settings/settings_catch_up.py
@@ -1,7 +1,8 @@
-"""Bring the shared tree up to date from peers, and notice when two trees differ.
+"""Bring the shared settings up to date from peers, and detect hosts whose settings differ.
 
-Each entry host tells a few random peers its position every few seconds. One that hears of a higher
-position asks for what it lacks: the changes, or the whole state if the peer no longer has them.
+Each entry host sends its position to a few random peers every few seconds. One that receives a
+higher position fetches what it lacks: the changes, or the whole state if the peer no longer has
+them.
 """
 
 import random
@@ -32,9 +33,9 @@
 ANNOUNCE_FANOUT: Final = 2
 CALL_TIMEOUT_S: Final = 2.0
 START_GRACE_S: Final = 3.0
-"""How long a fresh entry host gives the log before it starts from its peers' state."""
+"""How long a new entry host waits for the log before it starts from its peers' state."""
 LOG_GRACE_S: Final = 1.0
-"""How long the log may take to bring what a peer already has, before the peer is asked."""
+"""How long the log may take to deliver what a peer already has, before the peer is queried."""
 DIGEST_REPORT_MAX_AGE_S: Final = 30.0
 """How long a peer's agreement or disagreement on the digest counts."""
 RECENT_CHANGES: Final = 256
@@ -42,14 +43,14 @@
 
 
 class RecentChanges:
-    """The last changes with their offsets, for peers that lack them; the rest come as a state."""
+    """The last changes with their offsets, for peers without them; the state covers older ones."""
 
     def __init__(self) -> None:
         self._changes: deque[FetchedChange] = deque(maxlen=RECENT_CHANGES)
         self._complete_from = Offset(0)
 
     def note(self, offset: Offset, change: SettingsChange) -> None:
-        """Keep a change that was read; offsets must grow."""
+        """Add a change that was read; offsets must increase."""
         if self._changes and offset <= self._changes[-1].offset:
             return
         if len(self._changes) == RECENT_CHANGES:
@@ -57,7 +58,7 @@
         self._changes.append(FetchedChange(offset=offset, change=change))
 
     def restart(self, offset: Offset) -> None:
-        """Forget all, as what came right before `offset` was not read."""
+        """Drop all changes, as those right before `offset` were not read."""
         self._changes.clear()
         self._complete_from = offset
 
@@ -69,7 +70,7 @@
 
 
 class SettingsCatchUp:
-    """Exchange of positions and of what peers lack."""
+    """Exchanges positions and missing changes with peers."""
 
     def __init__(
         self,
@@ -102,13 +103,13 @@
         self._best_position: tuple[Offset, HostId] | None = None
         self._fetch_needed = trio.Event()
         self.digest_mismatches = 0
-        """Positions heard with this entry host's offset and another digest, for metrics."""
+        """Positions received with this entry host's offset and another digest, for metrics."""
         peers.handle(SettingsPosition, self._on_position)
         peers.handle(SettingsPositionAsk, self._on_position_request)
         peers.handle(SettingsFetch, self._on_fetch)
 
     def position(self) -> SettingsPosition:
-        """Return how far this entry host has come."""
+        """Return the position of this entry host."""
         return SettingsPosition(
             next_offset=self._fold.next_offset,
             digest=self._fold.digest,
@@ -116,18 +117,20 @@
         )
 
     def not_ready_reasons(self) -> tuple[str, ...]:
-        """Return why this entry host must not serve by its settings; empty if it may."""
+        """Return why this entry host must not serve with its settings; empty if it may."""
         self._note_log()
         if not self._is_caught_up:
             if self._follower.tip_read_at is not None:
-                return ("the log keeps no snapshot of the settings that joins its records",)
+                return (
+                    "the log has no snapshot of the settings that connects to its retained records",
+                )
             return ("no settings yet, neither from the log nor from a peer",)
         if self._is_outvoted():
             return ("settings differ from those of most peers at the same offset",)
         return ()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Tell, ask and fetch until cancelled; reports started at once."""
+        """Announce, query and fetch until cancelled; reports started at once."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._announce)
             nursery.start_soon(self._fetch_when_behind)
@@ -145,7 +148,7 @@
             await trio.sleep(ANNOUNCE_EVERY_S * self._rng.uniform(0.75, 1.25))
 
     async def _start_from_peers(self, ids: Collection[HostId]) -> None:
-        """Take the highest state of the peers that answer, while the log can't be read."""
+        """Adopt the newest state of the peers that answer, while the log can't be read."""
         if self._follower.tip_read_at is None and self._is_log_up():
             return
 
@@ -261,7 +264,7 @@
         return SettingsFetched(next_offset=next_offset, snapshot=snapshot)
 
     def _note_log(self) -> None:
-        """Count as caught up once all that the log had at a read of its tip is folded."""
+        """Set the caught-up flag once all records up to a read of the log's end are folded."""
         if self._follower.tip_read_at is None or self._is_caught_up:
             return
         self._is_caught_up = self._fold.next_offset >= self._follower.next_offset
--- a/src/galenastall/node/settings/settings_mapping.py
+++ b/src/galenastall/node/settings/settings_mapping.py
@@ -1,4 +1,4 @@
-"""From the shared tree to the settings that each matter takes."""
+"""Maps the shared settings to the settings of each component."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -31,18 +31,18 @@
 MILLISECONDS_PER_S: Final = 1000.0
 BYTES_PER_KB: Final = 1024
 SKEW_SHARE: Final = 0.2
-"""Share of ownership's `flight_s` that is left for the skew between this host and a worker."""
+"""Share of ownership's `flight_s` reserved for the clock skew between this host and a worker."""
 NO_EFFECT: Final = (
     "classes.*.queue_bound",
     "classes.urgent.starvation_s",
     "requests.leaving_grace_s",
     "data_centres.*.region",
 )
-"""Settings that this version keeps and checks, and does not act on."""
+"""Settings that this version stores and validates, but does not act on."""
 
 
 def make_ownership_timings(shared: SharedSettings) -> OwnershipTimings:
-    """Return the timings that owners, members and claimants go by."""
+    """Return the timings of owners, members and claimants."""
     return fill(OwnershipTimings, shared.ownership)
 
 
@@ -68,7 +68,7 @@
 
 
 def make_placement_settings(shared: SharedSettings) -> PlacementSettings:
-    """Return what the placement core goes by."""
+    """Return the settings of the placement core."""
     shares_by_path = {path: _share(team) for path, team in shared.teams_by_path.items()}
     return replace(
         fill(PlacementSettings, shared.placement),
@@ -81,7 +81,7 @@
 
 
 def make_request_settings(shared: SharedSettings, memory: MemoryLimits) -> RequestSettings:
-    """Return what the request path goes by, within the memory of this process."""
+    """Return the settings of the request path, within the memory limits of this process."""
     requests = shared.requests
     queue = requests.queue
     teams = shared.teams_by_path
@@ -117,9 +117,9 @@
 
 
 def find_problem(shared: SharedSettings) -> str | None:
-    """Return what of the tree this version can't put in force, or None.
+    """Return the first setting that this version can't apply, or None.
 
-    A change that would be accepted without effect is refused instead.
+    A change is refused rather than accepted without effect.
     """
     return next(_problems(shared), None)
 
@@ -142,7 +142,7 @@
 
 
 def find_team_problem(shared: SharedSettings, spec: JobSpec) -> str | None:
-    """Return why the tree refuses a job, or None; without any teams, every team may submit."""
+    """Return why the settings refuse a job, or None; without any teams, every team may submit."""
     if shared.teams and spec.team not in shared.teams_by_path:
         known = ", ".join(sorted(shared.teams_by_path))
         return f"team: {spec.team!r} is not in the shared settings; allowed: {known}"
@@ -150,7 +150,7 @@
 
 
 def _known_policies(shared: SharedSettings) -> dict[str, str]:
-    """Return the policies; one that only a newer version knows counts as the default."""
+    """Return the policies; the default replaces one that only a newer version knows."""
     names_by_class: dict[str, str] = shared.placement.policies_by_class.model_dump()
     return {
         name: policy if policy in PLACEMENT_POLICIES else DEFAULT_POLICY
--- a/src/galenastall/node/settings/settings_service.py
+++ b/src/galenastall/node/settings/settings_service.py
@@ -1,8 +1,8 @@
-"""The shared tree in force on this entry host, and the changes that operators ask for.
+"""The shared settings in force on this entry host, and the changes that operators request.
 
-Changes come by the log. Peers tell each other how far they are, so an entry host that can't read
-the log, or not all of it any more, takes what it lacks from a peer. What is in force never goes
-back. See docs/design/settings.md.
+Changes are read from the log. Peers announce their positions to each other, so an entry host that
+can't read the log, or finds it trimmed, fetches what it lacks from a peer. The settings in force
+never revert to an older state. See docs/design/settings.md.
 """
 
 import random
@@ -31,9 +31,9 @@
 
 MAX_CHANGE_BYTES: Final = 256 * 1024
 SNAPSHOT_CHECK_S: Final = 60.0
-"""Mean time between an entry host's looks whether a snapshot is due, in a small fleet."""
+"""Mean time between an entry host's checks whether a snapshot is due, in a small fleet."""
 SNAPSHOT_CHECK_PER_HOST_S: Final = 5.0
-"""Added for each entry host, so that two seldom find the same one due at once."""
+"""Added for each entry host, so that two rarely find the same snapshot due at once."""
 
 
 class ChangePhase(StrEnum):
@@ -41,16 +41,16 @@
 
     DECIDED = "decided"
     OPEN = "open"
-    """It was sent to the log and nobody knows yet whether it arrived."""
+    """It was sent to the log, and whether it was appended is not known yet."""
     NEEDS_NEWER_VERSION = "needs_newer_version"
-    """It is in the log, and this version can't judge it."""
+    """It is in the log, but this version can't evaluate it."""
     NOT_SEEN = "not_seen"
-    """Not in the log as far as it was read, or decided too long ago to be remembered."""
+    """Not in the log as far as it was read, or decided so long ago that its verdict was dropped."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChangeStatus:
-    """The answer to a question about a change id."""
+    """Status of a change."""
 
     change_id: ChangeId
     phase: ChangePhase
@@ -60,7 +60,7 @@
 
 
 class SettingsService:
-    """Holds `current`, takes changes, writes snapshots; see the module's comment."""
+    """Holds the settings in force, submits changes, writes snapshots; see the module docstring."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         find_problem: Callable[[SharedSettings], str | None] = lambda _: None,
         events: EventSink | None = None,
     ) -> None:
-        """`find_problem` may object to settings that the schema allows, before they are logged."""
+        """`find_problem` may reject settings that the schema allows, before they are logged."""
         self._clock = clock
         self._rng = rng
         self._appender = appender
@@ -111,15 +111,15 @@
 
     @property
     def next_offset(self) -> Offset:
-        """All records before this offset are in force or rejected; only grows."""
+        """All records before this offset are in force or rejected; never decreases."""
         return self.fold.next_offset
 
     def on_change(self, callback: Callable[[SharedSettings], None]) -> None:
-        """Call back, on the loop, with the settings whenever they have changed."""
+        """Call `callback` on the event loop with the settings whenever they have changed."""
         self._callbacks.append(callback)
 
     def not_ready_reasons(self) -> tuple[str, ...]:
-        """Return why this entry host must not serve by its settings; empty if it may."""
+        """Return why this entry host must not serve with its settings; empty if it may."""
         return self.catch_up.not_ready_reasons()
 
     def apply(self, logged: LoggedRecord) -> None:
@@ -129,7 +129,7 @@
     async def change(self, change: SettingsChange) -> Result[Verdict, StepError]:
         """Append a change and return the verdict once it was read back at its offset.
 
-        A Failure says whether it may still take effect; ask `status`, or repeat the same change.
+        A Failure says whether it may still take effect; query `status`, or repeat the same change.
         """
         known = self.fold.verdict(change.change_id)
         if known is not None:
@@ -160,11 +160,11 @@
             return Failure(appended.failure())
         detail = f"logged at {appended.unwrap()}, not decided on this entry host yet"
         if self.fold.is_blocked(change.change_id):
-            detail = f"logged at {appended.unwrap()}, to be judged by a newer version"
+            detail = f"logged at {appended.unwrap()}, to be evaluated by a newer version"
         return Failure(self._error(Reason.TIMEOUT, detail))
 
     def status(self, change_id: ChangeId) -> ChangeStatus:
-        """Return what is known of a change."""
+        """Return the status of a change."""
         verdict = self.fold.verdict(change_id)
         phase = ChangePhase.NOT_SEEN
         if verdict is not None:
--- a/src/galenastall/node/timeline/__init__.py
+++ b/src/galenastall/node/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The time line over all processes."""
+"""The time line of all processes."""
--- a/src/galenastall/node/timeline/present_state.py
+++ b/src/galenastall/node/timeline/present_state.py
@@ -1,4 +1,4 @@
-"""Sentences on how an id stands now, as far as this entry host knows or can ask."""
+"""Sentences on the current state of an id, as far as this entry host can determine it."""
 
 from galenastall.node.jobs.job_intake import JobIntake
 from galenastall.node.requests.request_table import RequestStatus, RequestTable
@@ -6,10 +6,10 @@
 
 
 class PresentState:
-    """Tells how jobs of this data centre and requests of this entry host stand."""
+    """Describes the state of jobs of this data centre and of requests of this entry host."""
 
     def __init__(self, *, jobs: JobIntake, requests: RequestTable) -> None:
-        """Ask these."""
+        """Use these sources."""
         self._jobs = jobs
         self._requests = requests
 
--- a/src/galenastall/node/timeline/timeline_service.py
+++ b/src/galenastall/node/timeline/timeline_service.py
@@ -1,4 +1,4 @@
-"""The time line over all processes: answers peers from this ring, and gathers theirs."""
+"""The time line of all processes: answers peers from the local ring, and gathers their events."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Final
@@ -14,9 +14,9 @@
 from galenastall.state.timeline_ring import TimelineRing
 
 GATHER_TIMEOUT_S: Final = 2.0
-"""Seconds that a peer has for its part."""
+"""Time limit for the answer of a peer, in seconds."""
 EVENTS_LIMIT: Final = 2_000
-"""Most events that one process gives."""
+"""Maximum number of events from one process."""
 
 
 class TimelineService:
@@ -30,7 +30,7 @@
         peers: Callable[[], Iterable[HostId]],
         timeout_s: float = GATHER_TIMEOUT_S,
     ) -> None:
-        """Answer peers' queries from `ring`; `peers` returns whom to ask."""
+        """Answer peers' queries from `ring`; `peers` returns the hosts to query."""
         self._link = link
         self._ring = ring
         self._peers = peers
@@ -38,9 +38,9 @@
         link.handle(TimelineQuery, self._answer)
 
     async def gather(self, subject: str) -> MergedTimeline:
-        """Return one line over all processes; those that don't answer in time are named.
+        """Return the merged time line of all processes, naming those that don't answer in time.
 
-        A job's line has its tasks' events, and a task's line those of its job as a whole.
+        A job's time line includes its tasks' events, and a task's those of its job as a whole.
         """
         line = await self._gather(
             TimelineQuery(subject=subject, limit=EVENTS_LIMIT, with_parts=True)
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -21,24 +21,24 @@
 
 
 class FakeLog:
-    """Streams kept whole but for what `trim` drops; each fault is a plain attribute."""
+    """Streams stored in full except for what `trim` drops; each fault is a plain attribute."""
 
     def __init__(self) -> None:
         self.is_down = False
         self.appends_fail = False
         self.lose_answers = 0
-        """Appends whose answer gets lost after they took effect."""
+        """Number of next appends whose response is lost after they took effect."""
         self.land_after_s: float | None = None
-        """Lose the answer of appends and let them take effect this much later."""
+        """If set, the response of appends is lost and they take effect this much later."""
         self.lose_requests = 0
-        """Appends that vanish on the way, seen as a timeout."""
+        """Number of next appends that are lost on the way, seen as a timeout."""
         self.append_times: list[float] = []
         self.reads = 0
         self._streams: dict[StreamName, _Stream] = {}
         self._pending_appends: list[tuple[float, StreamName, tuple[str, ...]]] = []
 
     def view(self) -> "FakeLog":
-        """Return another way to the same streams, with faults of its own."""
+        """Return another client of the same streams, with separate faults."""
         other = FakeLog()
         other._streams = self._streams
         other._pending_appends = self._pending_appends
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -29,7 +29,7 @@
 SOURCES: Final = Path(__file__).parent.parent / "src"
 LOOPBACK: Final = "127.0.0.1:0"
 LIMIT_S: Final = 60.0
-"""A condition that does not come true for so long has failed; nothing is timed by it."""
+"""Time limit for a condition to become true; no test measures time by it."""
 POLL_S: Final = 0.05
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(kw_only=True)
 class Running:
-    """One process, what it said when it was bound, and its log."""
+    """One process, the addresses that it printed once bound, and its log."""
 
     process: subprocess.Popen[bytes]
     log_path: Path
@@ -73,7 +73,7 @@
 
 @dataclass(kw_only=True)
 class Site:
-    """A stand-in and the entry hosts on it; everything started is ended by `open_site`."""
+    """A stand-in and the entry hosts on it; `open_site` ends all started processes."""
 
     folder: Path
     running: list[Running] = field(default_factory=list)
@@ -116,7 +116,7 @@
         self.hosts = found.bound["hosts"]
 
     def start_nodes(self, *names: str, data_centre: str, **settings: Any) -> list[Running]:
-        """Start entry hosts at once, and list them once they are bound."""
+        """Start entry hosts concurrently, and list them once they are bound."""
         started = [self.spawn_node(name, data_centre=data_centre, **settings) for name in names]
         for name, each in zip(names, started, strict=True):
             self.read_bound(each)
@@ -147,7 +147,7 @@
         self.call_control(lambda control: control.add_host(listed))
 
     def call_control(self, call: Callable[[StandinControl], Any]) -> Any:
-        """Make one call to the stand-in's control side."""
+        """Make one call to the stand-in's control API."""
 
         async def run() -> Any:
             client = HttpClient(clock=TrioClock())
@@ -183,7 +183,7 @@
 
 @contextmanager
 def open_site(folder: Path) -> Iterator[Site]:
-    """Provide a site; on the way out, end all of its processes at once, by their ids."""
+    """Provide a site; on exit, kill all of its processes by their ids."""
     site = Site(folder=folder)
     try:
         yield site
--- a/tests/settings_rig.py
+++ b/tests/settings_rig.py
@@ -22,7 +22,7 @@
 
 
 class Network:
-    """Routes typed messages, through their wire form, between the links that are up."""
+    """Routes typed messages, encoded and decoded, between the links that are up."""
 
     def __init__(self) -> None:
         self.links_by_id: dict[HostId, FakeLink] = {}
@@ -102,7 +102,7 @@
 
 
 class Fleet:
-    """Hosts by name; each has its own view of the log, so that it can be cut off from it."""
+    """Hosts by name; each has its own view of the log, so that it can be isolated from it."""
 
     def __init__(self, *, nursery: trio.Nursery) -> None:
         self.network = Network()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""What the time line and `explain` tell of requests, jobs, settings and owners."""
+"""What the time line and `explain` report on requests, jobs, settings and owners."""
 
 from typing import Any
 
--- a/tests/test_http_jobs.py
+++ b/tests/test_http_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs over the routes that callers use, without sockets."""
+"""The HTTP routes of jobs, without sockets."""
 
 from typing import Any
 
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -1,4 +1,4 @@
-"""Settings taken over while running: limits by team, and spans that takeovers wait for."""
+"""Settings applied at run time: rate limits by team, and the times that takeovers wait."""
 
 import pytest
 from hypothesis import given
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -1,4 +1,4 @@
-"""Recorder, log lines, metrics page and the operators' routes over real processes' parts."""
+"""Recorder, log lines, metrics page and operators' routes, on the components of real processes."""
 
 import io
 import logging
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Entry hosts as real processes: commands, settings in force, stops, starts in bad times, keys."""
+"""Entry hosts as real processes: commands, settings in force, stops, starts under faults, keys."""
 
 import http.client
 import json
@@ -172,7 +172,7 @@
 
 class TestSettingsInForce:
     def change(self, fleet: Fleet, path: str, value: str) -> None:
-        """Change a subtree and wait until it is in force in both other data centres' hosts."""
+        """Change a subtree and wait until it is in force on the second and the far host."""
         wait_until("log up", lambda: fleet.site.status(fleet.first)["log"]["is_up"])
         shown = json.loads(
             fleet.site.cli(fleet.first, "settings", "show", path, "-o", "json").stdout
@@ -257,7 +257,7 @@
 
 class TestStops:
     def open_stream(self, node: Running) -> socket.socket:
-        """Ask for a big answer and take no more of it than its head for now."""
+        """Request a large response and read only its status line for now."""
         address, port = node.http.split(":")
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 * 1024)
@@ -390,7 +390,7 @@
         assert node.wait_ended() == 0
 
     def test_restarted_in_a_log_outage(self, fleet: Fleet) -> None:
-        """It takes the settings from a peer, although it can't read the log."""
+        """The host adopts the settings of a peer, although it can't read the log."""
         site, peer = fleet.site, fleet.first
         TestSettingsInForce().change(fleet, "teams", "packs: {weight: 7}")
         [node] = site.start_nodes("g4", data_centre="gangnam")
@@ -413,7 +413,7 @@
         node.wait_ended()
 
     def test_host_above_its_memory_limit_is_not_ready(self, fleet: Fleet) -> None:
-        """Sixty-four megabytes are less than the interpreter and the libraries take."""
+        """Sixty-four megabytes are less than the interpreter and the libraries need."""
         [node] = fleet.site.start_nodes("m2", data_centre="mapo", memory={"total_mb": 64})
 
         def reasons() -> list[str]:
--- a/tests/test_settings_service.py
+++ b/tests/test_settings_service.py
@@ -1,4 +1,4 @@
-"""Settings services racing, cut off, restarted and disagreeing."""
+"""Settings services with concurrent changes, isolation, restarts and diverging digests."""
 
 import random
 
