--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -21,7 +21,7 @@
 RECORDS_PER_CHECKPOINT: Final = 32
 """Records folded before yielding to other tasks; a settings change takes milliseconds."""
 DEFAULT_POLL_WAIT_S: Final = 1.0
-"""Also the age of the last read of the end of an idle stream, so well below the READ setting."""
+"""Also the age that the last read of an idle stream's end reaches, so well below `read_s`."""
 MIN_READ_INTERVAL_S: Final = 0.2
 """Minimum time between reads that returned records; each append wakes all followers at once."""
 RETRY_MIN_S: Final = 0.1
--- a/src/galenastall/node/settings/http_settings.py
+++ b/src/galenastall/node/settings/http_settings.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettingsView:
-    """A subtree as set, and the revision that a change to it must be based on."""
+    """A subtree as set and in force, and the revision that a change to it must be based on."""
 
     path: str
     revision: Offset
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -89,7 +89,9 @@
         assert "because it can never run: needs 9000 cores" in text
         assert "9000" in text
 
-    async def test_a_waiting_task_ends_with_what_it_waits_for(self, autojump_clock: Any) -> None:
+    async def test_explanation_of_a_waiting_task_ends_with_its_state(
+        self, autojump_clock: Any
+    ) -> None:
         async with open_cluster() as cluster:
             host = cluster.hosts[HostId("a")]
             await host.intake.submit(make_spec("full", tasks=500, run_s=500.0))
@@ -123,13 +125,13 @@
 
 class TestSentences:
     @pytest.mark.parametrize("step", [step for step in SENTENCES.names() if "test." not in step])
-    def test_each_reads_as_one_sentence_with_its_fields_or_without(self, step: str) -> None:
+    def test_each_step_renders_one_sentence_with_or_without_fields(self, step: str) -> None:
         for event in (an_event(step), an_event(step, outcome="not_run", owner="e2", offset="7")):
             sentence = SENTENCES.get(step)(event)
             assert sentence == " ".join(sentence.split())
             assert not sentence.endswith(".")
 
-    def test_names_no_other_jobs_task_of_the_same_batch(self) -> None:
+    def test_tasks_of_other_jobs_in_the_batch_are_not_named(self) -> None:
         line = merge_timelines([[an_event("worker.start")]], subject="j")
         assert explain(line).sentences == (
             "After 0.000 s tasks j/0 and j/1 were placed on w1 by e1 because so it is.",
@@ -144,7 +146,7 @@
 
 
 class TestDetails:
-    async def test_unknown_ends_are_kept_even_of_requests_that_are_left_out(self) -> None:
+    async def test_unknown_outcomes_are_recorded_for_unsampled_requests(self) -> None:
         ring = TimelineRing()
         recorder = Recorder(process="e1", clock=TrioClock(), ring=ring, detail_share=0.0)
         trace = RequestTrace(events=recorder)
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -69,7 +69,7 @@
         waits = core.timings
         assert (waits.vouch_s, waits.read_s, waits.flight_s) == (3.0, 3.0, 0.5)
 
-    def test_a_new_owner_waits_for_leases_of_an_old_value(self) -> None:
+    def test_new_owner_waits_for_leases_granted_under_an_older_setting(self) -> None:
         timings = make_worker_timings(tree(ownership={"lease_s": 4.0, "renew_s": 2.0}))
         book = LeaseTable(
             lease_s=timings.lease_s,
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -43,7 +43,7 @@
         assert line["at"] == f"{event.at.wall_ms}.{event.at.counter}"
         assert len(ring.about("r")) == 1
 
-    async def test_details_of_an_id_are_kept_everywhere_or_nowhere(self) -> None:
+    async def test_details_of_an_id_are_sampled_consistently_across_processes(self) -> None:
         recorders = [
             Recorder(process=name, clock=TrioClock(), ring=TimelineRing(), detail_share=0.5)
             for name in ("entry-a", "entry-b")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -223,7 +223,7 @@
         self.change(fleet, "leaving_upstreams", "")
         wait_until("run again", lambda: self.submit_request(fleet, "packs")["outcome"] == "done")
 
-    def test_a_drained_worker_is_emptied(self, fleet: Fleet, tmp_path: Path) -> None:
+    def test_tasks_leave_a_drained_worker(self, fleet: Fleet, tmp_path: Path) -> None:
         job = write_job(tmp_path, job_id="service", workload="service", tasks=1)
         assert fleet.site.cli(fleet.first, "submit", "job", job).exit_code == 0
 
