--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -26,13 +26,13 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink, NullEventSink
 from galenastall.protocol.job_messages import (
-    JobAsk,
-    JobBeat,
     JobCancel,
     JobCancelAnswer,
+    JobHeartbeat,
     JobHold,
+    JobQuery,
+    JobReply,
     JobView,
-    JobWord,
     ShardEpoch,
     TaskEvents,
     TaskEventsAnswer,
@@ -122,8 +122,8 @@
         link.answer(TaskEvents, self._on_events)
         link.answer(JobHold, self._on_hold)
         link.answer(JobCancel, self._on_cancel)
-        link.answer(JobAsk, self._on_ask)
-        link.on_message(JobBeat, self._on_heartbeat)
+        link.answer(JobQuery, self._on_ask)
+        link.on_message(JobHeartbeat, self._on_heartbeat)
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
 
@@ -209,7 +209,7 @@
         """Log a cancellation when the log is back."""
         self._cancels_to_log[job_id] = cause
 
-    def view(self, ask: JobAsk) -> JobView:
+    def view(self, ask: JobQuery) -> JobView:
         """Return the view of a job of an owned shard, or of one that is held here."""
         driver = self._driver_of(ask.job_id)
         run = driver.core.runs_by_id.get(ask.job_id) if driver else None
@@ -302,7 +302,7 @@
             if driver.may_act
         )
         team_updates = self._teams.take_updates(self._workers.core.reserved_by_team())
-        heartbeat = JobBeat(
+        heartbeat = JobHeartbeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
@@ -346,7 +346,7 @@
             if driver.core.on_assignee_gone(host):
                 driver.wake()
 
-    def _on_heartbeat(self, sender: HostId, heartbeat: JobBeat) -> None:
+    def _on_heartbeat(self, sender: HostId, heartbeat: JobHeartbeat) -> None:
         now = self._clock.wall()
         if self._incarnations.get(sender, heartbeat.incarnation) != heartbeat.incarnation:
             self._mark_unconfirmed(sender)
@@ -372,9 +372,9 @@
             settled=tuple(position for position, report in enumerate(reports) if id(report) in kept)
         )
 
-    async def _on_hold(self, _sender: HostId, message: JobHold) -> JobWord:
+    async def _on_hold(self, _sender: HostId, message: JobHold) -> JobReply:
         self.hold(message.spec)
-        return JobWord(ok=True)
+        return JobReply(ok=True)
 
     async def _on_cancel(self, _sender: HostId, message: JobCancel) -> Any:
         driver = self._driver_of(message.job_id)
@@ -384,7 +384,7 @@
         driver.wake()
         return JobCancelAnswer(counts=counts)
 
-    async def _on_ask(self, _sender: HostId, message: JobAsk) -> JobView:
+    async def _on_ask(self, _sender: HostId, message: JobQuery) -> JobView:
         return self.view(message)
 
 
--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -61,7 +61,7 @@
         self._poll_wait_s = poll_wait_s
         self._next = Offset(0)
         self._last_read_succeeded = False
-        self._tip_read_at: float | None = None
+        self._log_end_read_at: float | None = None
         self._folds: list[RecordFold] = []
         self._gap_callbacks: list[Callable[[Offset], None]] = []
         self._end_callbacks: list[Callable[[], None]] = []
@@ -82,9 +82,9 @@
         return self._next
 
     @property
-    def tip_read_at(self) -> float | None:
+    def log_end_read_at(self) -> float | None:
         """Runtime time at which the last read up to the log's end was sent; None if never."""
-        return self._tip_read_at
+        return self._log_end_read_at
 
     def subscribe(self, fold: RecordFold) -> None:
         """Feed every further record to `fold`; subscribe before `run`."""
@@ -170,7 +170,7 @@
                 await trio.lowlevel.checkpoint()
         self._wake_waiters()
         if self._next >= page.end:
-            self._tip_read_at = sent_at
+            self._log_end_read_at = sent_at
             for callback in self._end_callbacks:
                 callback()
 
--- a/src/galenastall/node/placement/worker_service.py
+++ b/src/galenastall/node/placement/worker_service.py
@@ -32,7 +32,7 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink, NullEventSink
 from galenastall.protocol.job_messages import (
-    JobBeat,
+    JobHeartbeat,
 )
 from galenastall.protocol.ownership_view import OwnershipView
 from galenastall.protocol.platform import WorkerService as WorkerCalls
@@ -190,7 +190,7 @@
         """Run a decision soon."""
         self._wake.set()
 
-    def on_heartbeat(self, sender: HostId, heartbeat: JobBeat) -> None:
+    def on_heartbeat(self, sender: HostId, heartbeat: JobHeartbeat) -> None:
         """Apply a shard owner's heartbeat, which extends the validity of its assignments."""
         for each in heartbeat.shards:
             self._inbox.note_owner(each.shard, sender, each.epoch, heartbeat.valid_until)
--- a/src/galenastall/node/settings/settings_catch_up.py
+++ b/src/galenastall/node/settings/settings_catch_up.py
@@ -22,7 +22,7 @@
     SettingsFetch,
     SettingsFetched,
     SettingsPosition,
-    SettingsPositionAsk,
+    SettingsPositionQuery,
 )
 from galenastall.state.ids import SETTINGS_STREAM, HostId, Offset, RecordId
 from galenastall.state.records import LoggedRecord, UnknownRecord
@@ -105,7 +105,7 @@
         self.digest_mismatches = 0
         """Positions received with this entry host's offset and another digest, for metrics."""
         peers.handle(SettingsPosition, self._on_position)
-        peers.handle(SettingsPositionAsk, self._on_position_request)
+        peers.handle(SettingsPositionQuery, self._on_position_request)
         peers.handle(SettingsFetch, self._on_fetch)
 
     def position(self) -> SettingsPosition:
@@ -120,7 +120,7 @@
         """Return why this entry host must not serve with its settings; empty if it may."""
         self._note_log()
         if not self._is_caught_up:
-            if self._follower.tip_read_at is not None:
+            if self._follower.log_end_read_at is not None:
                 return (
                     "the log has no snapshot of the settings that connects to its retained records",
                 )
@@ -149,12 +149,12 @@
 
     async def _start_from_peers(self, ids: Collection[HostId]) -> None:
         """Adopt the newest state of the peers that answer, while the log can't be read."""
-        if self._follower.tip_read_at is None and self._is_log_up():
+        if self._follower.log_end_read_at is None and self._is_log_up():
             return
 
         async def ask(peer: HostId) -> None:
             answer = await self._peers.call(
-                peer=peer, message=SettingsPositionAsk(), timeout_s=CALL_TIMEOUT_S
+                peer=peer, message=SettingsPositionQuery(), timeout_s=CALL_TIMEOUT_S
             )
             match answer:
                 case Success(SettingsPosition(is_ready=True) as position):
@@ -265,6 +265,6 @@
 
     def _note_log(self) -> None:
         """Set the caught-up flag once all records up to a read of the log's end are folded."""
-        if self._follower.tip_read_at is None or self._is_caught_up:
+        if self._follower.log_end_read_at is None or self._is_caught_up:
             return
         self._is_caught_up = self._fold.next_offset >= self._follower.next_offset
--- a/src/galenastall/protocol/listing_changes.py
+++ b/src/galenastall/protocol/listing_changes.py
@@ -1,7 +1,7 @@
-"""What changed between two listings of one worker, and a listing put together from that.
+"""Incremental worker listings: computes the changes between two listings and applies them.
 
-A listing repeats the specification of every task, some 400 bytes each; an owner that polls needs
-only what is new. The core goes on to see whole listings.
+A listing repeats the specification of every task, some 400 bytes each, while an owner that polls
+needs only the changes. The core still receives complete listings.
 """
 
 from dataclasses import replace
@@ -13,9 +13,9 @@
 
 
 def changes_since(base: WorkerListing, listing: WorkerListing) -> WorkerListing:
-    """Return an answer that says what makes `listing` of `base`; all of it if that is not exact.
+    """Return the changes from `base` to `listing`, or all of `listing` if they would be ambiguous.
 
-    Rows are told apart by task: a worker that runs one task twice lists everything.
+    Rows are identified by task, so a worker that runs a task twice lists everything.
     """
     known, running = _by_task(base), _by_task(listing)
     if known is None or running is None:
@@ -26,7 +26,7 @@
         before = known.get(task_id)
         if before == row:
             continue
-        if before is not None and _with_measures_of(before, row) == row:
+        if before is not None and _with_measurements_of(before, row) == row:
             changed.append((task_id, row.lease_until, row.used))
         else:
             new.append(row)
@@ -40,7 +40,7 @@
 
 
 def apply_changes(base: WorkerListing, answer: WorkerListing) -> WorkerListing | None:
-    """Return the whole listing that an answer stands for; None if it does not build on `base`."""
+    """Return the complete listing of an answer; None if it is not based on `base`."""
     if not answer.base:
         return answer
     known = _by_task(base)
@@ -52,7 +52,7 @@
         row = known.get(task_id)
         if row is None:
             return None
-        known[task_id] = _measured(row, lease_until, used)
+        known[task_id] = _with_measurements(row, lease_until, used)
     known.update((row.task.task_id, row) for row in answer.running)
     return replace(answer, running=tuple(known.values()), base="", changed=(), gone=())
 
@@ -62,12 +62,12 @@
     return rows if len(rows) == len(listing.running) else None
 
 
-def _with_measures_of(row: RunningTask, other: RunningTask) -> RunningTask:
-    return _measured(row, other.lease_until, other.used)
+def _with_measurements_of(row: RunningTask, other: RunningTask) -> RunningTask:
+    return _with_measurements(row, other.lease_until, other.used)
 
 
-def _measured(row: RunningTask, lease_until: float, used: Resources) -> RunningTask:
-    """Return the row with other measures; `replace` takes several times as long."""
+def _with_measurements(row: RunningTask, lease_until: float, used: Resources) -> RunningTask:
+    """Return the row with other measurements; `replace` takes several times as long."""
     return RunningTask(
         task=row.task,
         reserved=row.reserved,
--- a/tests/test_log_service.py
+++ b/tests/test_log_service.py
@@ -215,13 +215,13 @@
     ) -> None:
         async with running(FakeLog()) as harness:
             await trio.sleep(10.0)
-            read_at = harness.follower.tip_read_at
+            read_at = harness.follower.log_end_read_at
             assert read_at is not None
             assert 0 < trio.current_time() - read_at <= 2.1
             harness.log.is_down = True
             await trio.sleep(60.0)
-            assert harness.follower.tip_read_at is not None
-            assert trio.current_time() - harness.follower.tip_read_at > 58
+            assert harness.follower.log_end_read_at is not None
+            assert trio.current_time() - harness.follower.log_end_read_at > 58
 
     async def test_appends_of_other_writers_are_read_in_batches(
         self, autojump_clock: trio.abc.Clock
