--- a/tests/test_cell_sight.py
+++ b/tests/test_cell_sight.py
@@ -521,7 +521,7 @@
 
 
 class _Host:
-    standing = _LeadershipState()
+    leadership = _LeadershipState()
 
 
 class TestMetrics:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,11 +13,11 @@
 import trio
 from returns.result import Failure, Result
 
-from cell.world import World
+from cell.simulation import Simulation
 from galenastall.coordination.cell.advice import Approval
 from galenastall.coordination.cell.explain_logs import parse_lines
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
-from galenastall.node.cell.caller_desk import Submitted
+from galenastall.node.cell.caller_handler import SubmitOutcome
 from galenastall.node.cell.cell_metrics import CellMetrics
 from galenastall.platform.advisor import PlatformAdvisor
 from galenastall.platform.calls import AddressProvider, PlatformCalls
@@ -220,7 +220,7 @@
     async def renew(self, born_ms: int | None, called_id: str) -> tuple[ListingAnswer, str]:
         """Return the response to a renewal for `called_id`, and the id of the running executor."""
         async with trio.open_nursery() as nursery:
-            simulation = World(rng=Random(1), nursery=nursery, executors=1)
+            simulation = Simulation(rng=Random(1), nursery=nursery, executors=1)
             executor = simulation.executors["executor-1"]
             current_id = make_executor_id("executor-1", born_ms)
             executor.info = replace(executor.info, executor_id=current_id)
@@ -493,8 +493,8 @@
 class UnknownOutcomeHandler:
     """A handler that does not learn whether a job was stored."""
 
-    async def submit(self, job: CellJob, **_: object) -> Submitted:
-        return Submitted(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
+    async def submit(self, job: CellJob, **_: object) -> SubmitOutcome:
+        return SubmitOutcome(verdict=SubmitVerdict.UNKNOWN, cause="no answer", retry_after_s=0.4)
 
 
 class TestJobRoutes:
@@ -758,7 +758,7 @@
         async with trio.open_nursery() as nursery:
             store = StandinStore()
             store_address = await serve(nursery, store)
-            simulation = World(rng=Random(1), nursery=nursery, executors=2)
+            simulation = Simulation(rng=Random(1), nursery=nursery, executors=2)
             simulation.fail_share = 0.0
             advisor = await serve(nursery, AdvisorRoutes())
             for executor_id in list(simulation.executors):
@@ -801,7 +801,7 @@
             assert (await callers[1].request("POST", f"/q/{JOB}", body))[0] == 200
             assert await callers[1].wait_state(JOB, "completed") == "completed"
             assert await callers[0].request("GET", "/q/") == (200, {"pending": 0})
-            leader = 0 if processes[0].host.standing.term is not None else 1
+            leader = 0 if processes[0].host.leadership.term is not None else 1
             scopes[leader].cancel()
             other = callers[1 - leader]
             assert await other.wait_state(JOB, "completed") == "completed"
@@ -827,7 +827,7 @@
 ANY = Anything()
 
 
-def register_job(simulation: World, job_id: str, body: Any, config: CellConfig | None) -> None:
+def register_job(simulation: Simulation, job_id: str, body: Any, config: CellConfig | None) -> None:
     """Register a job with the simulation, which will be asked to run it."""
     assert config is not None
     queue = config.routes[0].queue
