--- a/src/galenastall/node/host_metrics.py
+++ b/src/galenastall/node/host_metrics.py
@@ -157,17 +157,19 @@
         )
 
 
-def _register_jobs(metrics: Metrics, side: JobSubsystem) -> None:
+def _register_jobs(metrics: Metrics, job_subsystem: JobSubsystem) -> None:
     def waiting() -> dict[Labels, float]:
-        by_class = side.core.summary().waiting_by_class
+        by_class = job_subsystem.core.summary().waiting_by_class
         return {(name,): float(count) for name, count in by_class.items()}
 
     metrics.gauge("galenastall_tasks_waiting", "tasks queued here", waiting, labels=("class",))
     metrics.gauge(
         "galenastall_tasks_placed",
         "tasks that hold capacity on owned workers",
-        lambda: float(side.core.summary().running),
+        lambda: float(job_subsystem.core.summary().running),
     )
     metrics.gauge(
-        "galenastall_job_shards", "job shards driven here", lambda: len(side.jobs.drivers_by_shard)
+        "galenastall_job_shards",
+        "job shards driven here",
+        lambda: len(job_subsystem.jobs.drivers_by_shard),
     )
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -40,7 +40,7 @@
         if found := condition():
             return found
         time.sleep(POLL_S)
-    raise AssertionError(f"never: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 @dataclass(kw_only=True)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -379,7 +379,7 @@
             site.read_bound(node)
             site.list_node("g3", node, "gangnam")
             reason = "not yet in the roster of its data centre"
-            wait_until("says why", lambda: reason in site.status(node)["reasons"])
+            wait_until("reason reported", lambda: reason in site.status(node)["reasons"])
             shown = site.cli(node, "status", "-o", "json")
             assert shown.exit_code == 4
             assert not json.loads(shown.stdout)["log"]["is_up"]
@@ -419,7 +419,7 @@
         def reasons() -> list[str]:
             return [r for r in fleet.site.status(node).get("reasons", ()) if "memory" in r]
 
-        [reason] = wait_until("it says so", reasons)
+        [reason] = wait_until("memory reason reported", reasons)
         assert "memory.total_mb is 64" in reason
         assert fleet.site.cli(node, "status").exit_code == 4
         assert node.wait_event("memory.above_limit")
@@ -490,7 +490,7 @@
         shown = guarded.site.status(guarded.nodes[0])
         assert shown["host_id"] == "a"
         wait_until(
-            "both heard",
+            "both in the roster",
             lambda: {"a", "b"} <= set(guarded.site.status(guarded.nodes[0])["roster"]),
         )
 
