--- a/src/galenastall/coordination/cell/approved_capacity.py
+++ b/src/galenastall/coordination/cell/approved_capacity.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from galenastall.coordination.cell.advice import StepAdvice
-from galenastall.coordination.cell.executors import Closed, Executor
+from galenastall.coordination.cell.executors import ClosedReason, Executor
 from galenastall.coordination.cell.fitting import may_host
 from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.state.cell.jobs import Step
@@ -33,7 +33,7 @@
     advice: StepAdvice | None,
     *,
     executors_by_id: Mapping[str, Executor],
-    closed_by_id: Mapping[str, Closed],
+    closed_by_id: Mapping[str, ClosedReason],
     plan: ReservationPlan,
 ) -> ApprovedCapacity:
     """Return the capacity for a step; without an advisor its whole service is approved."""
--- a/src/galenastall/coordination/cell/orders.py
+++ b/src/galenastall/coordination/cell/orders.py
@@ -1,4 +1,4 @@
-"""What answers to starts and stops, and their absence, say about runs."""
+"""Applies the outcomes of start and stop orders, including missing answers, to runs."""
 
 from enum import StrEnum
 from typing import Final
@@ -6,64 +6,64 @@
 from galenastall.coordination.cell.advice import AdviceTable
 from galenastall.coordination.cell.cell_state import CellState
 from galenastall.coordination.cell.commands import StartOrder, StopOrder
-from galenastall.coordination.cell.doubts import Doubts
+from galenastall.coordination.cell.executor_health import ExecutorHealth
 from galenastall.coordination.cell.mechanisms import Mechanism
 from galenastall.coordination.cell.run_ends import RunEnds
 from galenastall.coordination.cell.stop_rules import StopRule
 from galenastall.coordination.cell.task_runs import StartState, TaskRun
 from galenastall.state.cell.phases import RunEnd
 
-DOUBT_EVERY_S: Final = 0.1
-"""Between two looks at a data centre for executors that have not answered since a start left.
-Starts that a cut swallows fail together, by the hundred in a large fleet."""
+PATH_CHECK_INTERVAL_S: Final = 0.1
+"""Minimum time between two scans of a data centre for executors that have not answered since a
+start was sent. Starts lost to a network cut fail together, by the hundred in a large fleet."""
 
 
 class StartOutcome(StrEnum):
-    """What is known after a start order."""
+    """The known result of a start order."""
 
     STARTED = "started"
     NOT_STARTED = "not_started"
-    """The executor refused it, or nothing was sent: it never runs."""
+    """The executor refused it, or nothing was sent: the run never starts."""
     ENDED = "ended"
-    """This run or a later one was stopped or has ended there; a listing tells which."""
+    """This run or a later one was stopped or has ended there; a listing shows which."""
     NO_TICKET = "no_ticket"
-    """Refused for its ticket."""
+    """Refused because of its ticket."""
     UNHEALTHY = "unhealthy"
-    """Refused by an executor that needs a pause."""
+    """Refused by an executor that is to be paused."""
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be later."""
+    """No answer: it may have been carried out, or may still be."""
 
 
-class OrderBook:
-    """Applies answers to the tables."""
+class OrderOutcomes:
+    """Applies the outcomes of orders to the leader's tables."""
 
     def __init__(
-        self, *, state: CellState, ends: RunEnds, advice: AdviceTable, doubts: Doubts
+        self, *, state: CellState, ends: RunEnds, advice: AdviceTable, health: ExecutorHealth
     ) -> None:
-        """Work on these tables; `doubts` hears of starts that were taken or refused."""
+        """Work on these tables; `health` is notified of accepted and refused starts."""
         self._state = state
-        self._doubts = doubts
+        self._health = health
         self._ends = ends
-        self._doubted_at_by_data_centre: dict[str, float] = {}
+        self._path_checked_at_by_data_centre: dict[str, float] = {}
         self._advice = advice
 
     def on_start(
         self, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
     ) -> bool:
-        """Apply a start's outcome; return whether the same order should be sent once more."""
+        """Apply a start's outcome; return whether the same order should be retried."""
         task = self._state.find_ordered(order)
         if task is None:
             return False
         task.tries += 1
         if outcome is StartOutcome.STARTED:
             task.state = StartState.STARTED
-            task.known_seq = self._state.next_seq()
+            task.confirmed_seq = self._state.next_seq()
             task.began_at = now if task.began_at is None else task.began_at
             self._state.jobs_by_id[order.task.job].note_start()
-            self._doubts.on_start_taken(order.executor_id)
+            self._health.on_start_taken(order.executor_id)
             return False
         if outcome is StartOutcome.UNKNOWN:
-            self._doubt_path(task.executor_id, now)
+            self._hold_unresponsive(task.executor_id, now)
             return self._on_unknown(task)
         if outcome is StartOutcome.ENDED:
             self._on_ended(task)
@@ -71,26 +71,32 @@
         self._on_refused(order, outcome, now=now, wall=wall)
         return False
 
-    def _doubt_path(self, executor_id: str, now: float) -> None:
-        """Place nothing on an executor, or beside it, that has not answered since a start left."""
-        silent = self._state.executors_by_id.get(executor_id)
-        if silent is None or Mechanism.PATH_DOUBTS in self._state.without:
+    def _hold_unresponsive(self, executor_id: str, now: float) -> None:
+        """Hold new work from an executor that left a start unanswered.
+
+        The same applies to executors of its data centre that have not answered since that start.
+        """
+        unresponsive = self._state.executors_by_id.get(executor_id)
+        if unresponsive is None or Mechanism.PATH_DOUBTS in self._state.without:
             return
-        silent.doubted_at = now
-        self._state.request_listing(silent)
-        data_centre = silent.info.data_centre
-        if now - self._doubted_at_by_data_centre.get(data_centre, float("-inf")) < DOUBT_EVERY_S:
+        unresponsive.start_unanswered_at = now
+        self._state.request_listing(unresponsive)
+        data_centre = unresponsive.info.data_centre
+        if (
+            now - self._path_checked_at_by_data_centre.get(data_centre, float("-inf"))
+            < PATH_CHECK_INTERVAL_S
+        ):
             return
-        self._doubted_at_by_data_centre[data_centre] = now
+        self._path_checked_at_by_data_centre[data_centre] = now
         sent_at = now - self._state.timings.order_timeout_s
         for executor in self._state.executors_by_id.values():
-            is_beside = executor.info.data_centre == data_centre
+            is_same_data_centre = executor.info.data_centre == data_centre
             has_answered = executor.answered_at is not None and executor.answered_at >= sent_at
             is_in_use = bool(executor.runs_by_task) or executor.has_answered(
                 now=now, reach_s=self._state.timings.reach_s
             )
-            if is_beside and is_in_use and not has_answered:
-                executor.doubted_at = now
+            if is_same_data_centre and is_in_use and not has_answered:
+                executor.start_unanswered_at = now
                 self._state.request_listing(executor)
 
     def _on_unknown(self, task: TaskRun) -> bool:
@@ -99,19 +105,19 @@
             return False
         executor = self._state.executors_by_id.get(task.executor_id)
         job = self._state.jobs_by_id[task.key.job].job
-        has_room = executor is None or not executor.is_over
-        if not has_room or self._state.workspaces.is_over(job.workspace):
-            self._ends.stop_for_room(task)
+        has_capacity = executor is None or not executor.is_overcommitted
+        if not has_capacity or self._state.workspaces.is_over(job.workspace):
+            self._ends.stop_for_capacity(task)
             return False
         if task.tries < self._state.timings.start_tries:
             return True
-        cause = f"no answer to {task.tries} starts"
+        cause = f"no answer to {task.tries} start orders"
         self._ends.stop(task, rule=StopRule.NO_ANSWER, cause=cause)
         return False
 
     def _on_ended(self, task: TaskRun) -> None:
         task.state = StartState.STARTED
-        task.known_seq = self._state.next_seq()
+        task.confirmed_seq = self._state.next_seq()
         executor = self._state.executors_by_id.get(task.executor_id)
         if executor is not None:
             self._state.request_listing(executor)
@@ -121,15 +127,15 @@
     ) -> None:
         task = self._state.find_ordered(order)
         if task is not None and task.tries > 1:
-            # An earlier try got no answer and may still be carried out: only a stop settles it.
-            cause = f"refused as {outcome.value} after an unanswered try"
+            # An earlier try got no answer and may still be carried out; only a stop rules that out.
+            cause = f"refused as {outcome.value} after an unanswered start"
             self._ends.stop(task, rule=StopRule.REFUSED_LATER, cause=cause)
             return
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None and task is not None and outcome is StartOutcome.UNHEALTHY:
-            self._doubts.on_refusal(executor, task, now=now)
+            self._health.on_refusal(executor, task, now=now)
         elif executor is not None and outcome is StartOutcome.NOT_STARTED:
-            self._doubts.on_start_late(executor, now=now)
+            self._health.on_start_late(executor, now=now)
         if outcome is StartOutcome.NO_TICKET:
             self._advice.drop_ticket(order.task.step_key, order.executor_id)
         self._state.note(
@@ -139,12 +145,12 @@
             fields={"run": str(order.run), "executor": order.executor_id},
         )
         if task is not None:
-            # A gang would be placed by the same best fit, and refused, as often as it is tried.
+            # Otherwise best fit would place a gang here again, to be refused again.
             task.avoid(order.executor_id)
         self._ends.apply(order.task, order.run, RunEnd.NEVER_STARTED, wall=wall)
 
     def on_stop(self, order: StopOrder) -> None:
-        """Apply the answer to a stop: from now on the run is listed as ended, or never comes."""
+        """Apply the answer to a stop: the run is listed as ended from now on, or never starts."""
         executor = self._state.executors_by_id.get(order.executor_id)
         if executor is not None:
             self._state.request_listing(executor)
@@ -153,7 +159,7 @@
             task.stop_seq = self._state.next_seq()
 
     def order_stops(self, now: float) -> None:
-        """Order the stops that are wanted, and again those not listed as ended after a while."""
+        """Send pending stops, and resend those whose run is not listed as ended after a while."""
         for key in sorted(self._state.stopping):
             found = self._state.find(key)
             if found is None or not found[2].is_stopping:
@@ -163,7 +169,7 @@
                 self._state.stops.append(_stop_of(found[2]))
 
     def _is_stop_due(self, task: TaskRun, now: float) -> bool:
-        """Whether to send a stop; an order that has not left is dropped instead."""
+        """Whether to send a stop; if the start has not been sent yet, it is dropped instead."""
         if task.state is StartState.WRITING:
             return False
         return now - task.stop_sent_at >= self._state.timings.resend_after_s
--- a/src/galenastall/coordination/cell/throttling.py
+++ b/src/galenastall/coordination/cell/throttling.py
@@ -35,7 +35,7 @@
         """Adjust an executor's rate to the tail latencies in its latest listing."""
         serving, fillers = self._split(executor)
         if not fillers:
-            executor.filler_percent = FULL_PERCENT
+            executor.filler_rate_percent = FULL_PERCENT
             return
         shares = [
             task.figure / step.step.tail_target_ms for step, task in serving if task.figure > 0
@@ -48,7 +48,7 @@
         """Note that an executor has confirmed a throttling rate."""
         task = self._state.find_ordered(order)
         if task is not None:
-            task.pace_percent = order.percent
+            task.rate_percent = order.percent
 
     def _split(self, executor: Executor) -> tuple[list[tuple[StepRun, TaskRun]], list[TaskRun]]:
         serving: list[tuple[StepRun, TaskRun]] = []
@@ -65,37 +65,40 @@
 
     def _change(self, executor: Executor, worst_share: float) -> None:
         now = self._state.now
-        if now - executor.paced_at < CHANGE_INTERVAL_S:
+        if now - executor.filler_rate_set_at < CHANGE_INTERVAL_S:
             return
-        percent = executor.filler_percent
+        percent = executor.filler_rate_percent
         if worst_share > THROTTLE_ABOVE:
             percent = percent // 2 if percent // 2 >= MIN_PERCENT else 0
         elif worst_share < RAISE_BELOW:
             percent = min(percent + STEP_UP_PERCENT, FULL_PERCENT)
-        if percent == executor.filler_percent:
+        if percent == executor.filler_rate_percent:
             return
         self._state.note(
             "executor.paced",
             executor.executor_id,
             cause=f"the worst tail latency is at {worst_share:.2f} of its target",
-            fields={"percent": str(percent), "before": str(executor.filler_percent)},
+            fields={"percent": str(percent), "before": str(executor.filler_rate_percent)},
         )
-        executor.filler_percent = percent
-        executor.paced_at = now
+        executor.filler_rate_percent = percent
+        executor.filler_rate_set_at = now
 
     def _order(self, executor: Executor, task: TaskRun) -> None:
         now = self._state.now
-        if task.pace_percent == executor.filler_percent or task.is_stopping:
+        if task.rate_percent == executor.filler_rate_percent or task.is_stopping:
             return
-        if now - task.pace_sent_at < REPEAT_S and task.pace_sent_percent == executor.filler_percent:
+        if (
+            now - task.rate_sent_at < REPEAT_S
+            and task.sent_rate_percent == executor.filler_rate_percent
+        ):
             return
-        task.pace_sent_at = now
-        task.pace_sent_percent = executor.filler_percent
+        task.rate_sent_at = now
+        task.sent_rate_percent = executor.filler_rate_percent
         self._state.throttle_orders.append(
             ThrottleOrder(
                 task=task.key,
                 run=task.run,
                 executor_id=executor.executor_id,
-                percent=executor.filler_percent,
+                percent=executor.filler_rate_percent,
             )
         )
--- a/src/galenastall/coordination/cell/waiting_report.py
+++ b/src/galenastall/coordination/cell/waiting_report.py
@@ -8,7 +8,7 @@
 from galenastall.coordination.cell.advice import AdviceTable, StepAdvice
 from galenastall.coordination.cell.approved_capacity import ApprovedCapacity, capacity_for
 from galenastall.coordination.cell.cell_state import CellState
-from galenastall.coordination.cell.executors import Closed
+from galenastall.coordination.cell.executors import ClosedReason
 from galenastall.coordination.cell.job_runs import JobRun, StepRun
 from galenastall.coordination.cell.reservation_plan import ReservationPlan
 from galenastall.coordination.cell.wait_observations import WaitObservations
@@ -68,7 +68,7 @@
         self.steps_by_reason: Counter[WaitReason] = Counter()
         """Number of waiting steps at the last report."""
 
-    def report(self, closed_by_id: Mapping[str, Closed]) -> None:
+    def report(self, closed_by_id: Mapping[str, ClosedReason]) -> None:
         """Log the waiting steps; `closed_by_id` holds the executors that are not open."""
         waits = [self._refined(wait, closed_by_id) for wait in self._waits()]
         self.steps_by_reason = Counter(wait.reason for wait in waits)
@@ -97,7 +97,7 @@
             return known
         return _WaitStart(at=self._state.now, runs=runs)
 
-    def _refined(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> _Wait:
+    def _refined(self, wait: _Wait, closed_by_id: Mapping[str, ClosedReason]) -> _Wait:
         """Return the wait of a gang with a reason that is too expensive to find in a decision.
 
         This affects only gangs for which a decision searches for a start; the limits in `turns`
@@ -119,7 +119,7 @@
             fields["others"] = str(others)
         self._state.note("cell.waiting", fields=fields)
 
-    def _report_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, Closed]) -> None:
+    def _report_jobs(self, waits: list[_Wait], closed_by_id: Mapping[str, ClosedReason]) -> None:
         now = self._state.now
         oldest = now - JOB_REPORT_INTERVAL_S
         self._reported_at_by_job = {
@@ -165,7 +165,7 @@
             },
         )
 
-    def _room(self, wait: _Wait, closed_by_id: Mapping[str, Closed]) -> ApprovedCapacity:
+    def _room(self, wait: _Wait, closed_by_id: Mapping[str, ClosedReason]) -> ApprovedCapacity:
         queue = self._state.queue_of(wait.job)
         advice: StepAdvice | None = None
         if queue.advisor is not None:
--- a/tests/cell/alone.py
+++ b/tests/cell/alone.py
@@ -1,4 +1,4 @@
-"""Plays of the cluster in one order of trio's tasks, so that a seed gives the same each time."""
+"""Simulation runs with a fixed order of trio's tasks, so that a seed reproduces the same run."""
 
 import trio
 import trio.testing
@@ -8,7 +8,7 @@
 from galenastall.bench.cell_load.play import fix_order_of_tasks
 
 
-def play_alone(
+def simulate_isolated(
     scenario: Scenario,
     *,
     seed: int,
@@ -16,7 +16,7 @@
     executors: int = 4,
     keeps_ids: bool = False,
 ) -> Cluster:
-    """Play a scenario in a trio run of its own."""
+    """Run a scenario in its own trio event loop."""
 
     async def run() -> Cluster:
         return await run_scenario(
--- a/tests/test_cell_changing_capacity.py
+++ b/tests/test_cell_changing_capacity.py
@@ -1,13 +1,13 @@
-"""Executors whose capacity shrinks and grows again while starts are on their way.
+"""Executors whose capacity shrinks and grows again while starts are in flight.
 
-An executor that does not guard its capacity starts what it is told to. Starts were taken from a
-decision whose room was gone by the time at which they left: they wait until they are durable, are
-sent again without an answer, and leave with the first append after an outage, before the list of
-executors has been read again. In a minute of trouble with capacities that change the stand-in saw
+An executor that does not enforce its capacity starts everything it is ordered to. Starts were sent
+after the capacity they were decided on was gone: they wait until they are durable, are retried when
+unanswered, and are sent with the first append after an outage, before the list of executors has
+been read again. In a minute of random faults with changing capacities the stand-in reported
 
     executor-1 at 32.14 is over its capacity: Resources(cores_milli=3000, memory_mb=2000, ...)
 
-whose capacity had shrunk to 2000 thousandths at 27.49 s; the store was away from then to 32.14 s.
+whose capacity had shrunk to 2000 thousandths at 27.49 s; the store was down from then to 32.14 s.
 """
 
 from dataclasses import replace
@@ -30,7 +30,7 @@
 from galenastall.state.resources import Resources
 
 OTHER = "fedcba9876543210"
-MOST_CRASHES_BY_ONE = 5
+MAX_CRASHES_BY_ONE = 5
 """A task may be started twice more after three crashes."""
 
 
@@ -38,7 +38,7 @@
     return replace(info, capacity=replace(info.capacity, cores_milli=cores))
 
 
-class TestStartsOnTheirWay:
+class TestStartsInFlight:
     def test_a_start_that_waits_for_the_store_does_not_leave(self) -> None:
         info = make_info("e0")
         rig = Harness(info)
@@ -47,7 +47,7 @@
         rig.update_fleet(resized(info, 2000))
         assert len(rig.commit()) == 2
         withheld = [note for note in rig.core.take_notes() if note.step == "run.withheld"]
-        assert [note.cause for note in withheld] == ["no room left"] * 2
+        assert [note.cause for note in withheld] == ["no capacity left"] * 2
         assert len(rig.runs_on("e0")) == 2
         assert not rig.core.executors_by_id["e0"].free.is_negative()
 
@@ -71,7 +71,7 @@
         assert not (again and rig.core.is_needed(late))
         assert [stop.task for stop in rig.stops()] == [late.task]
 
-    def test_an_order_sent_again_is_dropped_once_the_room_is_gone(self) -> None:
+    def test_a_retried_order_is_dropped_once_the_capacity_is_gone(self) -> None:
         info = make_info("e0")
         rig = Harness(info)
         rig.submit(make_job(make_step(4)))
@@ -81,13 +81,13 @@
         rig.update_fleet(resized(info, 3000))
         assert not rig.core.is_needed(orders[0])
         assert [stop.task for stop in rig.stops()] == [orders[0].task]
-        assert rig.core.stopped_by_rule == {StopRule.ROOM_SHRANK: 1}
+        assert rig.core.stopped_by_rule == {StopRule.CAPACITY_SHRANK: 1}
 
 
-class TestBelowWhatRuns:
+class TestCapacityBelowUsage:
     @pytest.mark.parametrize("cores", [0, 1000])
     def test_nothing_starts_where_any_amount_is_over(self, cores: int) -> None:
-        """A filler reserves no processor; an executor over its capacity takes none all the same."""
+        """A filler task reserves no cores; an overcommitted executor still accepts none."""
         info = make_info("e0")
         rig = Harness(info)
         rig.submit(make_job(make_step(4)))
@@ -105,7 +105,7 @@
         assert rig.stops() == []
         assert len(rig.runs_on("e0")) == 4
 
-    def test_room_that_is_back_is_used_at_once(self) -> None:
+    def test_restored_capacity_is_used_at_once(self) -> None:
         info = make_info("e0")
         rig = Harness(info)
         rig.submit(make_job(make_step(6)))
@@ -136,12 +136,12 @@
         rig = Harness(info)
         rig.submit(make_job(make_step(4)))
         rig.confirm_starts(rig.step())
-        heir = Harness(rows=rig.rows)
-        heir.update_fleet(resized(info, 3000))
-        heir.listing("e0", tuple(ListedRun(task=task, run=1) for task in rig.runs_on("e0")))
-        assert heir.core.executors_by_id["e0"].free.cores_milli == -1000
-        heir.submit(make_job(make_step(1), job_id=OTHER))
-        assert heir.step() == []
+        successor = Harness(rows=rig.rows)
+        successor.update_fleet(resized(info, 3000))
+        successor.listing("e0", tuple(ListedRun(task=task, run=1) for task in rig.runs_on("e0")))
+        assert successor.core.executors_by_id["e0"].free.cores_milli == -1000
+        successor.submit(make_job(make_step(1), job_id=OTHER))
+        assert successor.step() == []
 
 
 class TestTrouble:
@@ -149,7 +149,7 @@
     async def test_capacities_that_change_in_a_minute_of_trouble(
         self, seed: int, autojump_clock: object
     ) -> None:
-        """No start brings an executor over what it has had for 3 s."""
+        """No start takes an executor above the capacity that it has had for 3 s."""
 
         async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
@@ -170,7 +170,7 @@
     async def test_capacities_that_shrink_while_the_store_is_away(
         self, autojump_clock: object
     ) -> None:
-        """Work waits for room; after the outage an append goes through before a list does."""
+        """Work waits for capacity; after the outage an append succeeds before the list is read."""
 
         async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.run_lasts_s = (4.0, 6.0)
@@ -188,11 +188,13 @@
         await run_scenario(scenario, seed=727, executors=4)
 
     @pytest.mark.parametrize("seed", [3004, 3005, 3006, 3007])
-    async def test_crashing_tasks_besides(self, seed: int, autojump_clock: object) -> None:
-        """With seed 3004 a task crashed five executors, the most that is allowed.
+    async def test_crashing_tasks_with_changing_capacities(
+        self, seed: int, autojump_clock: object
+    ) -> None:
+        """With seed 3004 a task crashed five executors, the maximum allowed.
 
-        One of them was cut off from its callers while the list, which could not be read, still
-        named it; its crash counted for nothing.
+        One of them was cut off from its callers while the list could not be read and still
+        contained it, so its crash was not counted.
         """
 
         async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
@@ -200,13 +202,13 @@
                 world.crashing_tasks.add(TaskKey(f"{number:016x}", 0, 0, 0))
             cluster.nursery.start_soon(change_capacities, world, Random(seed))
             await random_faults(cluster, world, rng)
-            assert max(map(len, world.crashes_of.values())) <= MOST_CRASHES_BY_ONE
+            assert max(map(len, world.crashes_of.values())) <= MAX_CRASHES_BY_ONE
 
         await run_scenario(scenario, seed=seed, executors=6)
 
 
 async def change_capacities(world: Simulation, rng: Random) -> None:
-    """Shrink executors and let them grow again, for a minute."""
+    """Shrink and restore random executors for a minute, then restore all."""
     until = trio.current_time() + 60.0
     while trio.current_time() < until:
         await trio.sleep(rng.uniform(0.1, 0.6))
--- a/tests/test_cell_executor_restarts.py
+++ b/tests/test_cell_executor_restarts.py
@@ -1,4 +1,4 @@
-"""Executors that start again under the id that they had."""
+"""Executors that restart under the same id."""
 
 from dataclasses import replace
 from functools import partial
@@ -10,9 +10,10 @@
 from returns.result import Failure, Result, Success
 
 from cell.advised import AdvisedHarness
-from cell.alone import play_alone
+from cell.alone import simulate_isolated
 from cell.cluster import Cluster
 from cell.cluster import make_job as make_cluster_job
+from cell.mutations import incarnations_are_shown_one_token, runs_are_not_transferred
 from cell.rig import JOB, TIMINGS, Harness, make_info, make_job, make_step
 from cell.scenarios import (
     check_all_end,
@@ -22,12 +23,11 @@
     submit_jobs,
 )
 from cell.simulation import Simulation
-from cell.weakenings import incarnations_are_shown_one_token, runs_are_not_handed_on
 from galenastall.coordination.cell.commands import StartOrder
-from galenastall.coordination.cell.executors import Closed
+from galenastall.coordination.cell.executors import ClosedReason
 from galenastall.coordination.cell.lease_clock import longest_lease_s
 from galenastall.coordination.cell.listings import (
-    ENDS_IN_A_LISTING,
+    MAX_LISTED_ENDS,
     ListedEnd,
     ListedRun,
     Listing,
@@ -56,7 +56,7 @@
 async def work_and_restart(
     cluster: Cluster, world: Simulation, rng: Random, *, job_every_s: float
 ) -> None:
-    """Have executors do some jobs, and restart all of them."""
+    """Run some jobs to their end, then restart all executors."""
     world.fail_share = 0.0
     await cluster.wait_for_leader()
     await submit_jobs(cluster, world, rng, 20, job_every_s)
@@ -72,7 +72,7 @@
     async def test_a_task_done_after_the_restart_is_not_started_again(
         self, autojump_clock: object
     ) -> None:
-        # Positions of ends start anew: the first ends after a restart were taken for known ones.
+        # Positions of ends start over, so the first ends after a restart were taken for known ones.
         async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.1)
             await submit_jobs(cluster, world, rng, 20, 0.1, first=100)
@@ -85,7 +85,7 @@
     async def test_a_step_begins_after_one_that_was_done_on_a_restarted_executor(
         self, autojump_clock: object
     ) -> None:
-        # Its tasks were started again and again, so the step before it never ended.
+        # Tasks of the preceding step were started over and over, so that step never ended.
         async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             await work_and_restart(cluster, world, rng, job_every_s=0.5)
             step = Step(count=2, need=Resources(cores_milli=1000, memory_mb=1000))
@@ -117,29 +117,29 @@
     async def test_restarts_where_orders_come_late_without_tickets(
         self, autojump_clock: object, seed: int
     ) -> None:
-        # A restarted executor knows no token, and takes an order of before until it is called.
+        # A restarted executor knows no token, and accepts orders sent before until its first call.
         scenario = partial(restarts_with_faults, is_late=True)
         await run_scenario(scenario, seed=seed, keeps_ids=True)
 
 
-class TestWeakenedRulesOfRestarts:
-    """Each rule is needed: without it the same seed breaks what must hold."""
+class TestRestartRuleMutations:
+    """Each rule is needed: without it the same seed violates an invariant."""
 
-    def test_without_handing_runs_on_they_start_again(self) -> None:
+    def test_without_transferring_runs_they_start_again(self) -> None:
         for seed in (0, 4, 24, 26):
-            play_alone(restarts_with_faults, seed=seed, keeps_ids=True)
-        with runs_are_not_handed_on(), pytest.raises(AssertionError, match="starts after"):
-            play_alone(restarts_with_faults, seed=24, keeps_ids=True)
+            simulate_isolated(restarts_with_faults, seed=seed, keeps_ids=True)
+        with runs_are_not_transferred(), pytest.raises(AssertionError, match="starts after"):
+            simulate_isolated(restarts_with_faults, seed=24, keeps_ids=True)
 
     def test_without_a_token_for_each_incarnation_late_calls_are_carried_out(self) -> None:
         scenario = partial(restarts_with_faults, requires_tickets=True, is_late=True)
         for seed in (1, 2, 5):
-            play_alone(scenario, seed=seed, keeps_ids=True)
+            simulate_isolated(scenario, seed=seed, keeps_ids=True)
         with (
             incarnations_are_shown_one_token(),
             pytest.raises(AssertionError, match="starts after"),
         ):
-            play_alone(scenario, seed=2, keeps_ids=True)
+            simulate_isolated(scenario, seed=2, keeps_ids=True)
 
 
 class TestExecutorIds:
@@ -157,8 +157,8 @@
         assert executor_name(EARLIER) == executor_name(LATER)
 
 
-class RestartRig(Harness):
-    """A core with one executor that runs one task, and starts again."""
+class RestartHarness(Harness):
+    """A core with one executor that runs one task and then restarts."""
 
     def __init__(self) -> None:
         super().__init__(make_info(EARLIER, host="h"))
@@ -167,7 +167,7 @@
         self.confirm_starts([self.order])
 
     def restart(self, running: tuple[ListedRun, ...] = (), *ended: ListedEnd) -> list[StartOrder]:
-        """Have the later incarnation listed, and give its first listing."""
+        """Add the later incarnation to the platform's list, and apply its first listing."""
         self.update_fleet(make_info(LATER, host="h"))
         self.listing(LATER, running, *ended)
         return self.step()
@@ -179,23 +179,23 @@
 
 class TestRunsOfAnEarlierIncarnation:
     def test_a_run_that_the_later_one_does_not_list_starts_again(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         assert [(order.run, order.executor_id) for order in rig.restart()] == [(2, LATER)]
         assert EARLIER not in rig.core.executors_by_id
 
     def test_a_run_that_the_later_one_has_carried_out_is_not_started_again(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         assert rig.restart((rig.listed_run,)) == []
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_the_end_of_a_run_that_the_later_one_has_carried_out_counts(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         end = ListedEnd(position=1, task=rig.order.task, run=rig.order.run, end=RunEnd.DONE)
         assert rig.restart((), end) == []
         assert rig.shown() is JobPhase.COMPLETED
 
     def test_a_stop_that_the_earlier_one_has_answered_is_sent_to_the_later_one(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.cancel(JOB, wall=rig.wall)
         rig.commit()
         (stop,) = rig.stops()
@@ -207,16 +207,16 @@
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_a_full_listing_proves_no_run_gone(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         others = [
             ListedEnd(position=n, task=TaskKey("f" * 16, 0, 0, n), run=1, end=RunEnd.DONE)
-            for n in range(1, ENDS_IN_A_LISTING + 1)
+            for n in range(1, MAX_LISTED_ENDS + 1)
         ]
         assert rig.restart((), *others) == []
         assert rig.runs_on(LATER) == {rig.order.task}
 
     def test_ends_of_the_later_one_count_from_the_first(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.end(rig.order, RunEnd.FAILED, position=40)
         rig.commit()
         (order,) = rig.restart()
@@ -226,18 +226,18 @@
         assert rig.shown() is JobPhase.COMPLETED
 
     def test_ends_of_the_earlier_one_are_not_acknowledged_to_the_later_one(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.end(rig.order, RunEnd.FAILED, position=40)
         batch = rig.core.take_batch()
         rig.update_fleet(make_info(LATER, host="h"))
         rig.listing(LATER)
         rig.core.commit(batch, wall=rig.wall)
-        assert rig.core.executors_by_id[LATER].durable == 0
+        assert rig.core.executors_by_id[LATER].durable_position == 0
 
     @pytest.mark.parametrize("born_ms", [2_000, 500])
     def test_the_order_of_answers_tells_which_is_later(self, born_ms: int) -> None:
-        # Clocks of hosts may go back between two births.
-        rig = RestartRig()
+        # A host's clock may be set back between the starts of two incarnations.
+        rig = RestartHarness()
         later = make_executor_id("e", born_ms)
         rig.update_fleet(make_info(later, host="h"))
         rig.listing(later)
@@ -245,7 +245,7 @@
         assert set(rig.core.executors_by_id) == {later}
 
     def test_a_new_leader_finds_a_run_that_an_earlier_order_began(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         following = Harness(rows=rig.rows)
         following.update_fleet(make_info(LATER, host="h"))
         following.listing(LATER, (rig.listed_run,))
@@ -253,7 +253,7 @@
         assert following.runs_on(LATER) == {rig.order.task}
 
     def test_a_new_leader_starts_again_what_the_later_one_lacks(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         following = Harness(rows=rig.rows)
         following.update_fleet(make_info(LATER, host="h"))
         following.listing(LATER)
@@ -269,26 +269,26 @@
         assert following.runs_on(LATER) == {order.task}
 
     def test_an_executor_that_has_restarted_is_closed_and_its_runs_are_waited_for(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.on_restart(EARLIER, LATER, now=rig.now)
         earlier, later = (rig.core.executors_by_id[e] for e in (EARLIER, LATER))
         reach = {"now": rig.now, "reach_s": 2.0, "delisted_grace_s": 2.0}
-        assert earlier.why_closed(**reach) is Closed.RESTARTED
-        assert later.why_closed(**reach) is Closed.UNUSABLE
+        assert earlier.why_closed(**reach) is ClosedReason.RESTARTED
+        assert later.why_closed(**reach) is ClosedReason.UNUSABLE
         rig.now += 9.9
         assert rig.step() == []
         assert rig.runs_on(EARLIER) == {rig.order.task}
 
     def test_one_known_by_its_answer_takes_work_once_its_entry_and_its_listing_came(self) -> None:
-        rig = RestartRig()
+        rig = RestartHarness()
         rig.core.on_restart(EARLIER, LATER, now=rig.now)
         rig.listing(LATER)
         assert rig.step() == []
         rig.update_fleet(make_info(LATER, host="h"))
         assert [order.executor_id for order in rig.step()] == [LATER]
 
-    def test_an_answer_of_one_that_is_over_brings_it_not_back(self) -> None:
-        rig = RestartRig()
+    def test_an_answer_of_an_ended_incarnation_does_not_restore_it(self) -> None:
+        rig = RestartHarness()
         rig.restart()
         rig.core.on_restart(LATER, EARLIER, now=rig.now)
         assert EARLIER not in rig.core.executors_by_id
@@ -296,7 +296,7 @@
 
 class TestAdviceForALaterIncarnation:
     def test_one_that_was_not_approved_is_asked_about_again_after_its_restart(self) -> None:
-        # A restarted executor may be of another kind, and tickets hold for one incarnation.
+        # A restarted executor may be of another kind, and tickets are valid for one incarnation.
         rig = AdvisedHarness(executors=0, hosts=4)
         rig.update_fleet(make_info(EARLIER, host="h"))
         rig.listing(EARLIER)
@@ -310,7 +310,7 @@
 
 
 class Port:
-    """An executor that answers as it is told to, and keeps what it was called with."""
+    """An executor with scripted answers that records the arguments of its calls."""
 
     def __init__(self) -> None:
         self.answerer = EARLIER
@@ -342,7 +342,7 @@
         return Success(OrderAnswer(verdict=self.verdict, clock_ms=None))
 
 
-class SessionRig:
+class SessionHarness:
     """A session with an executor's first incarnation."""
 
     def __init__(self) -> None:
@@ -368,7 +368,7 @@
         return ExecutorSession(context=self.context, executor=executor)
 
     async def place(self) -> StartOrder:
-        """Give the executor a run once it has answered, and return its order."""
+        """Poll the executor, assign a run to it, and return the start order."""
         await self.poll()
         self.rig.now = trio.current_time()
         self.rig.submit(make_job(make_step(1)))
@@ -376,7 +376,7 @@
         return order
 
     async def poll(self, session: ExecutorSession | None = None) -> dict[str, Any]:
-        """Ask for a listing, and return what the executor was called with."""
+        """Request a listing, and return the arguments of the call."""
         await (session or self.session).poll_now()
         return self.port.renewals[-1]
 
@@ -385,7 +385,7 @@
     async def test_the_later_incarnation_is_shown_a_higher_token(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         earlier = await rig.poll()
         rig.port.answerer = LATER
         await rig.poll()
@@ -396,14 +396,14 @@
         assert set(rig.rig.core.executors_by_id) == {LATER}
 
     async def test_tokens_of_a_later_term_are_higher(self, autojump_clock: object) -> None:
-        rig, following = SessionRig(), SessionRig()
+        rig, following = SessionHarness(), SessionHarness()
         following.context.token = TOKEN + 1
         assert (await following.poll())["token"] > (await rig.poll())["token"]
 
     async def test_a_call_to_the_earlier_one_that_is_fenced_does_not_end_the_term(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await rig.poll()
         rig.context.raise_token(LATER)
         rig.port.verdict = StartVerdict.FENCED
@@ -413,7 +413,7 @@
     async def test_an_executor_that_has_seen_a_later_term_ends_this_one(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         rig.port.verdict = StartVerdict.FENCED
         await rig.poll()
         assert len(rig.losses) == 1
@@ -422,10 +422,10 @@
     async def test_no_end_is_acknowledged_to_one_that_may_have_started_again(
         self, autojump_clock: object, is_silent: bool
     ) -> None:
-        # Its first ends would be forgotten before anybody has read them.
-        rig = SessionRig()
+        # A later incarnation would discard its first ends before the leader has read them.
+        rig = SessionHarness()
         await rig.poll()
-        rig.rig.core.executors_by_id[EARLIER].durable = 5
+        rig.rig.core.executors_by_id[EARLIER].durable_position = 5
         assert (await rig.poll())["noted"] == 5
         rig.port.is_silent = is_silent
         await rig.poll()
@@ -436,7 +436,7 @@
     async def test_nothing_is_started_on_one_that_has_restarted(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.answerer = LATER
         await rig.poll()
@@ -444,11 +444,11 @@
         assert rig.port.starts == []
         assert rig.rig.runs_on(EARLIER) == set()
 
-    async def test_nothing_is_named_to_or_started_on_one_that_does_not_answer(
+    async def test_no_deadline_is_sent_to_and_no_run_started_on_an_unresponsive_executor(
         self, autojump_clock: object
     ) -> None:
-        # A deadline on the clock of before would be a lease of full length after a restart.
-        rig = SessionRig()
+        # A deadline on the clock of before the restart could grant a lease of full length after it.
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.is_silent = True
         await rig.poll()
@@ -459,7 +459,7 @@
     async def test_one_that_does_not_answer_is_asked_without_waiting_for_an_end(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await rig.poll()
         rig.port.is_silent = True
         with trio.move_on_after(3.0):
@@ -471,7 +471,7 @@
     async def test_an_order_without_an_answer_is_sent_again_only_after_a_listing(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         order = await rig.place()
         rig.port.is_silent = True
         async with trio.open_nursery() as nursery:
@@ -485,7 +485,7 @@
     async def test_leases_that_an_unanswered_order_may_have_granted_are_waited_for(
         self, autojump_clock: object
     ) -> None:
-        rig = SessionRig()
+        rig = SessionHarness()
         await trio.sleep(200.0)
         order = await rig.place()
         rig.port.is_silent = True
@@ -496,12 +496,12 @@
         assert not clock.has_lapsed(sent_at + longest_lease_s(TIMINGS) - 0.1)
         assert clock.has_lapsed(sent_at + longest_lease_s(TIMINGS) + 0.1)
 
-    async def test_one_that_falls_silent_is_shown_a_higher_token_from_then_on(
+    async def test_an_executor_that_stops_answering_is_shown_a_higher_token_from_then_on(
         self, autojump_clock: object
     ) -> None:
-        # A start sent before the silence was carried out by a later incarnation after its first
-        # call, which had shown it no higher token.
-        rig = SessionRig()
+        # A start sent before the executor stopped answering was carried out by a later incarnation
+        # after its first call, which had not carried a higher token.
+        rig = SessionHarness()
         before = (await rig.poll())["token"]
         rig.port.is_silent = True
         await rig.poll()
