--- a/tests/test_http_jobs.py
+++ b/tests/test_http_jobs.py
@@ -77,8 +77,8 @@
             assert shown["tasks_by_phase"] == {"running": 3}
             _, tasks = await caller.send("GET", f"{path}/tasks", first="1", count="1")
             assert [task["phase"] for task in tasks["tasks"]] == ["running"]
-            _, expected = await caller.send("GET", f"{path}/tasks/0/explain")
-            assert "is running on w" in " ".join(expected["sentences"])
+            _, explained = await caller.send("GET", f"{path}/tasks/0/explain")
+            assert "is running on w" in " ".join(explained["sentences"])
             _, workers = await caller.send("GET", "/v1/workers")
             owned = [worker for worker in workers["workers"] if worker["owner"] == "a"]
             assert [worker["is_adopted"] for worker in owned] == [True, True]
--- a/tests/test_live_settings.py
+++ b/tests/test_live_settings.py
@@ -71,17 +71,17 @@
 
     def test_new_owner_waits_for_leases_granted_under_an_older_setting(self) -> None:
         timings = make_worker_timings(tree(ownership={"lease_s": 4.0, "renew_s": 2.0}))
-        book = LeaseTable(
+        table = LeaseTable(
             lease_s=timings.lease_s,
             renew_every_s=timings.renew_every_s,
             peer_report_max_age_s=1000.0,
             longest_lease_s=timings.longest_lease_s,
         )
-        book.add(W1, 0.0)
-        book.note_peer_renewals(PEER, (), 0.0)
-        assert book.grant(W1, 0.0) == 4.0
-        assert not book.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S)
-        assert book.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S + 0.1)
+        table.add(W1, 0.0)
+        table.note_peer_renewals(PEER, (), 0.0)
+        assert table.grant(W1, 0.0) == 4.0
+        assert not table.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S)
+        assert table.has_expired(W1, [PEER], LEASE_CAP_S + CLOCK_SKEW_S + 0.1)
 
     def test_permits(self) -> None:
         section = {"permits": {"longest_s": 5.0}}
