--- a/src/galenastall/node/jobs/job_service.py
+++ b/src/galenastall/node/jobs/job_service.py
@@ -1,4 +1,4 @@
-"""Owner of job shards: a core for each owned shard, fed from the log and by the peers."""
+"""Runs the owned job shards: a core for each, fed from the log and by peers."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -11,8 +11,8 @@
 from galenastall.coordination.placement.placement_commands import CapacitySummary
 from galenastall.coordination.placement.team_gossip import TeamGossip
 from galenastall.node.jobs.job_link import JobLink
+from galenastall.node.jobs.job_maintenance import JobMaintenance
 from galenastall.node.jobs.job_timings import JobTimings
-from galenastall.node.jobs.job_upkeep import JobUpkeep
 from galenastall.node.jobs.job_views import view_run, view_state
 from galenastall.node.jobs.shard_driver import ShardDriver
 from galenastall.node.placement.known_workers import KnownWorkers
@@ -55,11 +55,11 @@
 from galenastall.state.work import JobSpec
 
 READ_POLL_S = 0.1
-"""How often a shard that waits for the log is looked at, in seconds."""
+"""How often a shard that waits for the log is checked, in seconds."""
 
 
 class JobService(JobListener):
-    """All job shards that this entry host owns, and the beats to the other entry hosts."""
+    """All job shards that this entry host owns, and its heartbeats to the other entry hosts."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self._events = events or NullEventSink()
         self._nursery: trio.Nursery | None = None
         self._summaries: dict[HostId, CapacitySummary] = {}
-        self._heard_at: dict[HostId, float] = {}
+        self._last_seen_at: dict[HostId, float] = {}
         self._incarnations: dict[HostId, str] = {}
         self._void_at: dict[HostId, float] = {}
         self._held: dict[JobId, JobState] = {}
@@ -105,7 +105,7 @@
             clock=clock,
             vanished_s=self._timings.vanished_s,
         )
-        self._upkeep = JobUpkeep(
+        self._maintenance = JobMaintenance(
             fold=fold,
             known_workers=self._known_workers,
             drivers=lambda: list(self.drivers_by_shard.values()),
@@ -123,7 +123,7 @@
         link.answer(JobHold, self._on_hold)
         link.answer(JobCancel, self._on_cancel)
         link.answer(JobQuery, self._on_ask)
-        link.take(JobHeartbeat, self._on_beat)
+        link.on_message(JobHeartbeat, self._on_heartbeat)
         ownership.on_activated(self._on_activated)
         ownership.on_lost(self._on_lost)
 
@@ -133,28 +133,30 @@
             self._nursery = nursery
             for driver in self.drivers_by_shard.values():
                 nursery.start_soon(driver.run)
-            nursery.start_soon(self._upkeep.run)
+            nursery.start_soon(self._maintenance.run)
             task_status.started()
             while True:
-                self._beat()
+                self._send_heartbeat()
                 peers = len(self._ownership.roster())
-                await trio.sleep(self._timings.beat_s + self._timings.beat_s_per_peer * peers)
+                await trio.sleep(
+                    self._timings.heartbeat_s + self._timings.heartbeat_s_per_peer * peers
+                )
 
     async def drain(self) -> None:
-        """Give out nothing more; what is decided and not yet logged is logged first."""
+        """Stop assigning tasks, and log all ends that are decided and not yet logged."""
         self._is_draining = True
         for driver in self.drivers_by_shard.values():
             await driver.drain()
 
     def on_job(self, job: JobState) -> None:
-        """Take on a job of an owned shard that the log now holds."""
+        """Add a job of an owned shard that the log now holds."""
         self._held.pop(job.spec.job_id, None)
         driver = self._driver_of(job.spec.job_id)
         if driver is not None:
             self._add(driver, job)
 
     def on_tasks_ended(self, end: EndedRanges) -> None:
-        """Tell an owned shard of ends that the log now holds."""
+        """Pass task ends that the log now holds to their shard, if it is owned."""
         driver = self._driver_of(end.job_id)
         if driver is not None:
             driver.core.on_tasks_ended(end)
@@ -168,32 +170,32 @@
             driver.wake()
 
     def on_ended(self, job: JobState) -> None:
-        """Forget a job of an owned shard."""
+        """Remove an ended job from its shard, if it is owned."""
         driver = self._driver_of(job.spec.job_id)
         if driver is not None:
             driver.core.forget(job.spec.job_id)
 
     def owner_of(self, job_id: JobId) -> HostId | None:
-        """Return the owner of a job's shard as far as the log was read."""
+        """Return the owner of a job's shard, according to the log read so far."""
         return self._ownership.owner_of(_ownable_of(job_id, self._shards))
 
     def held(self, job_id: JobId) -> JobState | None:
-        """Return a job that this entry host keeps while the log can't take it."""
+        """Return a job that this entry host holds while the log can't take it."""
         return self._held.get(job_id)
 
     def summaries(self) -> Mapping[HostId, CapacitySummary]:
-        """Return the newest capacity summary of each entry host that was heard lately."""
+        """Return the newest capacity summary of each entry host that sent a heartbeat recently."""
         now = self._clock.wall()
         fresh = {
             host: summary
             for host, summary in self._summaries.items()
-            if now <= self._heard_at.get(host, 0.0) + self._timings.silent_s
+            if now <= self._last_seen_at.get(host, 0.0) + self._timings.silent_s
         }
         fresh[self._link.host_id] = self._own_summary()
         return fresh
 
     def hold(self, spec: JobSpec) -> None:
-        """Keep a job until the log can take it; run it if its shard is owned here."""
+        """Hold a job until the log can take it; run it if its shard is owned here."""
         if self.fold.get(spec.job_id) is not None or spec.job_id in self._held:
             return
         state = JobState(spec=spec, accepted_at=None, was_held=True)
@@ -203,12 +205,12 @@
             driver.core.add_job(state, is_fresh=False, now=self._clock.wall())
             driver.wake()
 
-    def cancel_later(self, job_id: JobId, cause: str) -> None:
+    def log_cancellation_later(self, job_id: JobId, cause: str) -> None:
         """Log a cancellation when the log is back."""
         self._cancels_to_log[job_id] = cause
 
     def view(self, ask: JobQuery) -> JobView:
-        """Return how a job of an owned shard, or one that is held here, stands."""
+        """Return the view of a job of an owned shard, or of one that is held here."""
         driver = self._driver_of(ask.job_id)
         run = driver.core.runs_by_id.get(ask.job_id) if driver else None
         if run is not None:
@@ -223,7 +225,7 @@
         return self.drivers_by_shard.get(shard_of(job_id, shards=self._shards))
 
     def _add(self, driver: ShardDriver, job: JobState) -> None:
-        # A job logged after this shard's claim was never given out by an earlier owner.
+        # A job logged after this shard's claim was never assigned by an earlier owner.
         is_fresh = (
             job.accepted_at is not None and job.accepted_at > driver.core.epoch and not job.was_held
         )
@@ -231,11 +233,11 @@
         driver.wake()
 
     async def _activate_once_read(self, ownable: OwnableId, epoch: Epoch) -> None:
-        """Serve a shard only from a fold that holds all that earlier owners logged.
+        """Activate a shard only once the fold holds all that earlier owners logged.
 
-        Ownership may be ahead of it, since it also follows the log through peers.
+        Ownership may be ahead of the fold, since it also follows the log through peers.
         """
-        # The follower has no event for an offset; this happens only in a cut from the log.
+        # The follower has no event for an offset; this happens only without access to the log.
         while self._follower.next_offset < epoch:  # noqa: ASYNC110
             await trio.sleep(READ_POLL_S)
         while ownable in self._ownership.owned():
@@ -288,72 +290,72 @@
         if driver is not None:
             driver.cancel()
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self._clock.wall()
         self._known_workers.note(now)
         first = self.drivers_by_shard.get(0)
         if first is not None and first.may_act and self._nursery is not None:
-            self._nursery.start_soon(self._upkeep.log_workers)
+            self._nursery.start_soon(self._maintenance.log_workers)
         shards = tuple(
             ShardEpoch(shard=shard, epoch=driver.core.epoch)
             for shard, driver in self.drivers_by_shard.items()
             if driver.may_act
         )
-        told = self._teams.take_updates(self._workers.core.reserved_by_team())
-        beat = JobHeartbeat(
+        team_updates = self._teams.take_updates(self._workers.core.reserved_by_team())
+        heartbeat = JobHeartbeat(
             incarnation=self._incarnation,
             shards=shards,
             valid_until=now + self._timings.valid_s,
             summary=pack_summary(self._own_summary()),
             renewing=self._workers.peer_renewer.renewing(),
-            reserved_by_team={team: pack_amount(amount) for team, amount in told.items()},
+            reserved_by_team={team: pack_amount(amount) for team, amount in team_updates.items()},
         )
         self._workers.core.set_reserved_elsewhere(self._teams.reserved_elsewhere())
-        # Without shards it keeps nothing valid that the host may have queued.
-        silent = replace(beat, shards=(), valid_until=0.0)
+        # A heartbeat without shards does not extend the validity of the host's queued tasks.
+        without_shards = replace(heartbeat, shards=(), valid_until=0.0)
         me = self._link.host_id
-        self._workers.on_heartbeat(me, beat)
+        self._workers.on_heartbeat(me, heartbeat)
         roster = self._ownership.roster()
         for host in roster - {me}:
-            is_silent = now > self._heard_at.get(host, 0.0) + self._timings.silent_s
-            self._link.send(host, silent if is_silent else beat)
-            if is_silent:
-                self._on_silent(host, now)
+            is_unresponsive = now > self._last_seen_at.get(host, 0.0) + self._timings.silent_s
+            self._link.send(host, without_shards if is_unresponsive else heartbeat)
+            if is_unresponsive:
+                self._on_unresponsive(host, now)
             else:
                 self._void_at.pop(host, None)
-        for host in self._heard_at.keys() - roster:
+        for host in self._last_seen_at.keys() - roster:
             self._forget_host(host)
 
-    def _on_silent(self, host: HostId, now: float) -> None:
-        """Stop keeping a silent host's queued tasks valid; once they are void, doubt them."""
+    def _on_unresponsive(self, host: HostId, now: float) -> None:
+        """Let an unresponsive host's queued tasks expire; then mark them unconfirmed."""
         void_at = self._void_at.setdefault(host, now + self._timings.valid_s + self._timings.skew_s)
         if now > void_at:
             self._void_at[host] = now + self._timings.valid_s + self._timings.skew_s
-            self._doubt(host)
+            self._mark_unconfirmed(host)
 
     def _forget_host(self, host: HostId) -> None:
-        self._heard_at.pop(host, None)
+        self._last_seen_at.pop(host, None)
         self._summaries.pop(host, None)
         self._incarnations.pop(host, None)
         self._void_at.pop(host, None)
         self._teams.forget(host)
-        self._doubt(host)
+        self._mark_unconfirmed(host)
 
-    def _doubt(self, host: HostId) -> None:
+    def _mark_unconfirmed(self, host: HostId) -> None:
         for driver in self.drivers_by_shard.values():
             if driver.core.on_assignee_gone(host):
                 driver.wake()
 
-    def _on_beat(self, sender: HostId, beat: JobHeartbeat) -> None:
+    def _on_heartbeat(self, sender: HostId, heartbeat: JobHeartbeat) -> None:
         now = self._clock.wall()
-        if self._incarnations.get(sender, beat.incarnation) != beat.incarnation:
-            self._doubt(sender)
-        self._incarnations[sender] = beat.incarnation
-        self._heard_at[sender] = now
-        self._summaries[sender] = unpack_summary(beat.summary)
-        heard = {team: unpack_amount(row) for team, row in beat.reserved_by_team.items()}
-        self._teams.apply_updates(sender, heard)
-        self._workers.on_heartbeat(sender, beat)
+        if self._incarnations.get(sender, heartbeat.incarnation) != heartbeat.incarnation:
+            self._mark_unconfirmed(sender)
+        self._incarnations[sender] = heartbeat.incarnation
+        self._last_seen_at[sender] = now
+        self._summaries[sender] = unpack_summary(heartbeat.summary)
+        reserved = {team: unpack_amount(row) for team, row in heartbeat.reserved_by_team.items()}
+        self._teams.apply_updates(sender, reserved)
+        self._workers.on_heartbeat(sender, heartbeat)
 
     async def _on_events(self, sender: HostId, message: TaskEvents) -> Any:
         driver = self.drivers_by_shard.get(message.shard)
--- a/src/galenastall/node/log/stream_follower.py
+++ b/src/galenastall/node/log/stream_follower.py
@@ -18,20 +18,20 @@
 from galenastall.state.records import LoggedRecord, RecordFold, UnknownRecord
 
 PAGE_RECORDS: Final = 1000
-RECORDS_A_TURN: Final = 32
-"""Records folded before other tasks get a turn; a settings change takes milliseconds."""
+RECORDS_PER_CHECKPOINT: Final = 32
+"""Records folded before yielding to other tasks; a settings change takes milliseconds."""
 DEFAULT_POLL_WAIT_S: Final = 1.0
-"""Also the age that `log_end_read_at` reaches in quiet times, so well below the READ setting."""
-READ_GAP_S: Final = 0.2
-"""Least time between two reads that brought records; each append wakes all followers at once."""
+"""Also the age that the last read of an idle stream's end reaches, so well below `read_s`."""
+MIN_READ_INTERVAL_S: Final = 0.2
+"""Minimum time between reads that returned records; each append wakes all followers at once."""
 RETRY_MIN_S: Final = 0.1
 RETRY_MAX_S: Final = 2.0
 UNREADABLE: Final = "unreadable"
-"""Type name given to a record that can't be decoded; folds pass over it like an unknown one."""
+"""Type name given to a record that can't be decoded; folds skip it like one of unknown type."""
 
 
 class LogHealth:
-    """Whether the log answers, as the last call of any component found it."""
+    """Whether the last call to the log, by any component, succeeded."""
 
     def __init__(self) -> None:
         self.is_up = False
@@ -39,7 +39,7 @@
 
 
 class LogStreamFollower:
-    """One stream, read from its oldest kept record on; see protocol.log_access."""
+    """Follows one stream from its oldest retained record on; see protocol.log_access."""
 
     def __init__(
         self,
@@ -60,14 +60,14 @@
         self._events = events or NullEventSink()
         self._poll_wait_s = poll_wait_s
         self._next = Offset(0)
-        self._answered = False
-        self._tip_read_at: float | None = None
+        self._last_read_succeeded = False
+        self._log_end_read_at: float | None = None
         self._folds: list[RecordFold] = []
         self._gap_callbacks: list[Callable[[Offset], None]] = []
-        self._tip_callbacks: list[Callable[[], None]] = []
+        self._end_callbacks: list[Callable[[], None]] = []
         self._waiters: list[tuple[int, int, trio.Event]] = []
         self._waiter_count = itertools.count()
-        self._awaited = trio.Event()
+        self._waiter_added = trio.Event()
         """Set by a waiter; ends the pause between two reads."""
         self._retry_s = RETRY_MIN_S
 
@@ -83,24 +83,24 @@
 
     @property
     def log_end_read_at(self) -> float | None:
-        """Runtime time at which the last read that reached the tip was sent; None if never."""
-        return self._tip_read_at
+        """Runtime time at which the last read up to the log's end was sent; None if never."""
+        return self._log_end_read_at
 
     def subscribe(self, fold: RecordFold) -> None:
         """Feed every further record to `fold`; subscribe before `run`."""
         self._folds.append(fold)
 
     def on_gap(self, callback: Callable[[Offset], None]) -> None:
-        """Call back with the offset at which reading goes on, before its record is folded.
+        """Call `callback` with the offset where reading resumes, before its record is folded.
 
-        Happens when the log no longer keeps the next record, also at the start: what the skipped
-        records said is unknown, and a snapshot must make up for them.
+        Happens when the log no longer retains the next record, also at the start: the content of
+        the skipped records is unknown, and a snapshot must replace them.
         """
         self._gap_callbacks.append(callback)
 
-    def on_tip(self, callback: Callable[[], None]) -> None:
-        """Call back after each read that reached the tip, once its records were folded."""
-        self._tip_callbacks.append(callback)
+    def on_end_reached(self, callback: Callable[[], None]) -> None:
+        """Call `callback` after each read up to the log's end, once its records were folded."""
+        self._end_callbacks.append(callback)
 
     async def wait_for(self, offset: Offset) -> None:
         """Return once the record at `offset` has been folded."""
@@ -109,11 +109,11 @@
             return
         folded = trio.Event()
         heapq.heappush(self._waiters, (offset, next(self._waiter_count), folded))
-        self._awaited.set()
+        self._waiter_added.set()
         await folded.wait()
 
     async def catch_up(self) -> Result[None, StepError]:
-        """Return once everything is folded that the log holds now, or why that is not known."""
+        """Wait until all records now in the log are folded; Failure if its end is not known."""
         read = await self._log.read(stream=self._stream, start=self._next, limit=1, wait_s=0.0)
         if isinstance(read, Failure):
             return read
@@ -129,9 +129,9 @@
             await self._read_once()
 
     async def _read_once(self) -> None:
-        """Read a page; at the start and after a failure without a long poll, to find out soon."""
+        """Read a page, without long poll at the start and after a failure, to get a result soon."""
         sent_at = self._clock.now()
-        wait_s = self._poll_wait_s if self._answered else 0.0
+        wait_s = self._poll_wait_s if self._last_read_succeeded else 0.0
         read = await self._log.read(
             stream=self._stream, start=self._next, limit=PAGE_RECORDS, wait_s=wait_s
         )
@@ -139,20 +139,20 @@
             case Success(page):
                 await self._take_page(page, sent_at)
                 if page.entries and self._next >= page.end:
-                    await self._pause(sent_at + READ_GAP_S)
+                    await self._pause(sent_at + MIN_READ_INTERVAL_S)
             case Failure(error) if error.reason is Reason.TRIMMED and error.detail.isdecimal():
                 self._skip_to(Offset(int(error.detail)))
             case Failure(error):
                 await self._back_off(error)
 
     async def _pause(self, until: float) -> None:
-        """Let appends gather until a runtime time, unless somebody waits for a record."""
+        """Let appends accumulate until runtime time `until`, unless a caller waits for a record."""
         left_s = until - self._clock.now()
         if left_s <= 0 or self._waiters:
             return
-        self._awaited = trio.Event()
+        self._waiter_added = trio.Event()
         with trio.move_on_after(left_s):
-            await self._awaited.wait()
+            await self._waiter_added.wait()
 
     async def _take_page(self, page: LogPage, sent_at: float) -> None:
         if page.end < self._next:
@@ -162,16 +162,16 @@
         if not self._health.is_up:
             self._events.record("log.up", subjects=(self._stream,))
         self._health.is_up = True
-        self._answered = True
+        self._last_read_succeeded = True
         self._retry_s = RETRY_MIN_S
         for index, entry in enumerate(page.entries, start=1):
             self._fold(entry)
-            if index % RECORDS_A_TURN == 0:
+            if index % RECORDS_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
         self._wake_waiters()
         if self._next >= page.end:
-            self._tip_read_at = sent_at
-            for callback in self._tip_callbacks:
+            self._log_end_read_at = sent_at
+            for callback in self._end_callbacks:
                 callback()
 
     def _fold(self, entry: LogEntry) -> None:
@@ -200,7 +200,7 @@
     def _skip_to(self, start: Offset) -> None:
         if start <= self._next:
             return
-        cause = f"the log no longer keeps offsets {self._next} to {start - 1}"
+        cause = f"the log no longer retains offsets {self._next} to {start - 1}"
         self._events.record("log.gap", subjects=(self._stream,), cause=cause)
         self._next = start
         for callback in self._gap_callbacks:
@@ -215,7 +215,7 @@
         if self._health.is_up:
             self._events.record("log.down", subjects=(self._stream,), cause=str(error))
         self._health.is_up = False
-        self._answered = False
+        self._last_read_succeeded = False
         await trio.sleep(self._retry_s * self._rng.uniform(0.5, 1.0))
         self._retry_s = min(RETRY_MAX_S, 2 * self._retry_s)
 
