--- a/src/galenastall/cli/log_files.py
+++ b/src/galenastall/cli/log_files.py
@@ -26,18 +26,18 @@
 
 def show_explanation(job: str, logs: list[str]) -> None:
     """Say what became of a job: the cause first, then delays, then all lines."""
-    story = explain_job(_read(logs), job)
-    typer.echo(story.verdict)
-    for delay in story.delays:
+    summary = explain_job(_read(logs), job)
+    typer.echo(summary.verdict)
+    for delay in summary.delays:
         typer.echo(f"  {delay}")
-    _show(story.lines)
+    _show(summary.lines)
 
 
 def show_waits(logs: list[str]) -> None:
     """Say by queue what jobs waited for, which waited longest, and what the leader told of it."""
     lines = _read(logs)
-    told = format_reasons(reasons_by_queue(lines))
-    for text in [*told, *format_waits(waits_of(lines), longest=LONGEST_WAITS)]:
+    reasons = format_reasons(reasons_by_queue(lines))
+    for text in [*reasons, *format_waits(waits_of(lines), longest=LONGEST_WAITS)]:
         typer.echo(text)
 
 
--- a/src/galenastall/cli/output.py
+++ b/src/galenastall/cli/output.py
@@ -44,13 +44,17 @@
 
 def _lines(value: Any, *, indent: str) -> list[str]:
     if isinstance(value, dict):
-        return [line for name, item in value.items() for line in _named(name, item, indent=indent)]
+        return [
+            line
+            for name, item in value.items()
+            for line in _labelled_lines(name, item, indent=indent)
+        ]
     if isinstance(value, list):
-        return [line for item in value for line in _named("-", item, indent=indent)]
+        return [line for item in value for line in _labelled_lines("-", item, indent=indent)]
     return [f"{indent}{value}"]
 
 
-def _named(name: str, item: Any, *, indent: str) -> list[str]:
+def _labelled_lines(name: str, item: Any, *, indent: str) -> list[str]:
     label = name if name == "-" else f"{name}:"
     if isinstance(item, dict | list):
         return [f"{indent}{label}", *_lines(item, indent=indent + "  ")]
--- a/src/galenastall/cli/work_commands.py
+++ b/src/galenastall/cli/work_commands.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RequestEnding:
+class RequestResult:
     """How a request ended, as one object."""
 
     request_id: str
@@ -59,7 +59,9 @@
     entry host answered or it can't accept now, 5 it may be accepted: repeat it with its id.
     """
     job = _read_mapping(file)
-    _finish(call_entry_json(entry=entry, method="POST", path="/v1/jobs", message=job), output)
+    _print_or_fail(
+        call_entry_json(entry=entry, method="POST", path="/v1/jobs", message=job), output
+    )
 
 
 @submit_app.command("request")
@@ -106,15 +108,17 @@
     )
     if isinstance(answered, Failure):
         fail(answered.failure(), output)
-    ended = _ending_of(answered.unwrap(), request_id=request_id, entry=entry, output=output)
+    result = _parse_request_result(
+        answered.unwrap(), request_id=request_id, entry=entry, output=output
+    )
     if output is OutputFormat.JSON:
-        print_value(ended, output)
+        print_value(result, output)
     else:
-        typer.echo(f"{request_id}: {ended.outcome} {ended.reason}".rstrip(), err=True)
+        typer.echo(f"{request_id}: {result.outcome} {result.reason}".rstrip(), err=True)
         typer.echo(answered.unwrap().body, nl=False)
-    if ended.reason in _REASONS_OF_BAD_INPUT:
+    if result.reason in _REASONS_OF_BAD_INPUT:
         raise typer.Exit(ExitCode.USAGE)
-    raise typer.Exit(_EXIT_BY_OUTCOME[Outcome(ended.outcome)])
+    raise typer.Exit(_EXIT_BY_OUTCOME[Outcome(result.outcome)])
 
 
 def cancel(
@@ -128,7 +132,7 @@
     again, 6 no such job.
     """
     path = f"/v1/jobs/{quote(job)}/cancel"
-    _finish(call_entry_json(entry=entry, method="POST", path=path, message={}), output)
+    _print_or_fail(call_entry_json(entry=entry, method="POST", path=path, message={}), output)
 
 
 def status(
@@ -149,19 +153,19 @@
     path = f"/v1/jobs/{quote(item)}"
     if item.startswith("request:"):
         path = f"/v1/requests/{quote(item.removeprefix('request:'))}"
-    _finish(call_entry_json(entry=entry, method="GET", path=path), output)
+    _print_or_fail(call_entry_json(entry=entry, method="GET", path=path), output)
 
 
 def _show_host(entry: str, output: OutputFormat) -> None:
     shown = call_entry_json(entry=entry, method="GET", path="/v1/status")
-    _finish(shown, output)
+    _print_or_fail(shown, output)
     if not shown.unwrap()["ready"]:
         raise typer.Exit(ExitCode.UNREACHABLE)
 
 
-def _ending_of(
+def _parse_request_result(
     answer: WholeAnswer, *, request_id: str, entry: str, output: OutputFormat
-) -> RequestEnding:
+) -> RequestResult:
     outcome = answer.headers.get("galenastall-outcome", "")
     if outcome not in set(Outcome):
         fail(error_of_answer(answer, step="cli.submit_request", peer=entry), output)
@@ -170,7 +174,7 @@
         body, encoding = answer.body.decode(), "utf-8"
     except UnicodeDecodeError:
         body, encoding = base64.b64encode(answer.body).decode(), "base64"
-    return RequestEnding(
+    return RequestResult(
         request_id=request_id,
         outcome=outcome,
         reason=answer.headers.get("galenastall-reason", ""),
@@ -182,7 +186,7 @@
     )
 
 
-def _finish(result: Result[Any, StepError], output: OutputFormat) -> None:
+def _print_or_fail(result: Result[Any, StepError], output: OutputFormat) -> None:
     match result:
         case Success(value):
             print_value(value, output)
--- a/src/galenastall/demo/__main__.py
+++ b/src/galenastall/demo/__main__.py
@@ -12,7 +12,7 @@
 import yaml
 from returns.result import Failure
 
-from galenastall.demo.fleet import DemoFleet, raise_fleet
+from galenastall.demo.fleet import DemoFleet, run_fleet
 from galenastall.demo.platform_path import run_platform_demo
 from galenastall.node.entry_host import EntryHost
 from galenastall.state.settings_paths import NO_REVISION
@@ -20,8 +20,8 @@
 ENTRY_HOSTS: Final = ("gangnam-entry-1", "mapo-entry-1")
 REQUESTS: Final = 12
 TIMEOUT_S: Final = 20.0
-JOB_WITHIN_S: Final = 30.0
-IN_FORCE_WITHIN_S: Final = 5.0
+JOB_TIMEOUT_S: Final = 30.0
+SETTINGS_TIMEOUT_S: Final = 5.0
 OPERATIONS: Final = ("packs/preview", "packs/redact", "packs/assemble")
 BATCH: Final = {
     "job_id": "demo-redactions",
@@ -44,21 +44,21 @@
 
 async def run_demo(examples: Path) -> bool:
     """Run all of it; return whether everything came out as promised."""
-    async with raise_fleet(examples=examples, names=ENTRY_HOSTS) as fleet:
-        _say("two entry hosts are ready:")
+    async with run_fleet(examples=examples, names=ENTRY_HOSTS) as fleet:
+        _print_line("two entry hosts are ready:")
         for host in fleet.hosts:
-            _say(f"  {host.host_id} in {host.data_centre}, http {host.server.address}")
+            _print_line(f"  {host.host_id} in {host.data_centre}, http {host.server.address}")
         is_set = await _apply_settings(fleet, fleet.hosts[0], examples / "dongmun" / "shared.yaml")
         results = [await _send_request(fleet, number) for number in range(REQUESTS)]
         jobs = [
             await _run_job(fleet, fleet.hosts[0], BATCH),
             await _run_job(fleet, fleet.hosts[1], GANG),
         ]
-        _say("\ntime line of request demo-0, over all processes:")
-        _say(await _fetch_text(fleet, fleet.hosts[0], "/v1/timeline/demo-0?format=text"))
+        _print_line("\ntime line of request demo-0, over all processes:")
+        _print_line(await _fetch_text(fleet, fleet.hosts[0], "/v1/timeline/demo-0?format=text"))
         for host, subject in zip(fleet.hosts, ("demo-0", "demo-full-pack"), strict=True):
-            _say(f"what happened to {subject}:")
-            _say(await _fetch_text(fleet, host, f"/v1/explain/{subject}?format=text"))
+            _print_line(f"what happened to {subject}:")
+            _print_line(await _fetch_text(fleet, host, f"/v1/explain/{subject}?format=text"))
     return is_set and all(results) and all(jobs)
 
 
@@ -78,15 +78,15 @@
         timeout_s=TIMEOUT_S,
     )
     if isinstance(answered, Failure):
-        _say(f"settings of {file}: {answered.failure()}")
+        _print_line(f"settings of {file}: {answered.failure()}")
         return False
     verdict = msgspec.json.decode(answered.unwrap().body)
-    _say(f"settings of {file}: {verdict.get('kind', verdict)}\n")
-    with trio.move_on_after(IN_FORCE_WITHIN_S):
+    _print_line(f"settings of {file}: {verdict.get('kind', verdict)}\n")
+    with trio.move_on_after(SETTINGS_TIMEOUT_S):
         while not all(each.shared.current.teams for each in fleet.hosts):  # noqa: ASYNC110
             await trio.sleep(0.05)
         return bool(verdict.get("kind") == "accepted")
-    _say(f"they were not in force everywhere within {IN_FORCE_WITHIN_S:.0f} s")
+    _print_line(f"they were not in force everywhere within {SETTINGS_TIMEOUT_S:.0f} s")
     return False
 
 
@@ -109,12 +109,12 @@
         timeout_s=TIMEOUT_S,
     )
     if isinstance(answered, Failure):
-        _say(f"request demo-{number} by {host.host_id}: {answered.failure()}")
+        _print_line(f"request demo-{number} by {host.host_id}: {answered.failure()}")
         return False
     answer = answered.unwrap()
     outcome = answer.headers.get("galenastall-outcome", "none")
     upstream = answer.headers.get("galenastall-upstream", "?")
-    _say(
+    _print_line(
         f"request demo-{number} ({operation}) by {host.host_id}: {outcome} at {upstream}, "
         f"{len(answer.body)} bytes"
     )
@@ -130,20 +130,22 @@
         timeout_s=TIMEOUT_S,
     )
     if isinstance(accepted, Failure):
-        _say(f"job {job['job_id']} by {host.host_id}: {accepted.failure()}")
+        _print_line(f"job {job['job_id']} by {host.host_id}: {accepted.failure()}")
         return False
-    _say(f"\njob {job['job_id']} ({job['workload']}) accepted, durable in {_durability(accepted)}")
-    places: dict[str, str] = {}
-    with trio.move_on_after(JOB_WITHIN_S):
+    _print_line(
+        f"\njob {job['job_id']} ({job['workload']}) accepted, durable in {_durability(accepted)}"
+    )
+    workers_by_task: dict[str, str] = {}
+    with trio.move_on_after(JOB_TIMEOUT_S):
         state = "live"
         while state == "live":
             await trio.sleep(0.1)
-            state = await _job_state(fleet, host, job, places)
-        for task_id, place in sorted(places.items()):
-            _say(f"  task {task_id} ran on {place}")
-        _say(f"  job {job['job_id']}: {state}")
-        return state == "done" and len(places) == job["tasks"]
-    _say(f"  job {job['job_id']} did not end within {JOB_WITHIN_S:.0f} s")
+            state = await _job_state(fleet, host, job, workers_by_task)
+        for task_id, worker in sorted(workers_by_task.items()):
+            _print_line(f"  task {task_id} ran on {worker}")
+        _print_line(f"  job {job['job_id']}: {state}")
+        return state == "done" and len(workers_by_task) == job["tasks"]
+    _print_line(f"  job {job['job_id']} did not end within {JOB_TIMEOUT_S:.0f} s")
     return False
 
 
@@ -152,13 +154,13 @@
 
 
 async def _job_state(
-    fleet: DemoFleet, host: EntryHost, job: dict[str, Any], places: dict[str, str]
+    fleet: DemoFleet, host: EntryHost, job: dict[str, Any], workers_by_task: dict[str, str]
 ) -> str:
     path = f"/v1/jobs/{job['job_id']}"
     tasks = await _get(fleet, host, f"{path}/tasks")
     for task in tasks["tasks"]:
         if task["worker"]:
-            places[task["task_id"]] = task["worker"]
+            workers_by_task[task["task_id"]] = task["worker"]
     return str((await _get(fleet, host, path))["state"])
 
 
@@ -176,7 +178,7 @@
     return answered.unwrap().body.decode()
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f"{line}\n")
 
 
@@ -185,9 +187,13 @@
     examples = Path("examples")
     if not examples.is_dir():
         sys.exit("run the demo from the repository's root: no directory 'examples' here")
-    is_good = trio.run(run_demo, examples) and trio.run(run_platform_demo, _say)
-    _say("everything came out as promised" if is_good else "something did not come out as promised")
-    sys.exit(0 if is_good else 1)
+    has_passed = trio.run(run_demo, examples) and trio.run(run_platform_demo, _print_line)
+    _print_line(
+        "everything came out as promised"
+        if has_passed
+        else "something did not come out as promised"
+    )
+    sys.exit(0 if has_passed else 1)
 
 
 if __name__ == "__main__":
--- a/src/galenastall/demo/fleet.py
+++ b/src/galenastall/demo/fleet.py
@@ -20,7 +20,7 @@
 from galenastall.transport.http_client import HttpClient
 
 LOOPBACK = "127.0.0.1:0"
-READY_WITHIN_S = 30.0
+READY_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -33,7 +33,7 @@
 
 
 @asynccontextmanager
-async def raise_fleet(*, examples: Path, names: tuple[str, ...]) -> AsyncIterator[DemoFleet]:
+async def run_fleet(*, examples: Path, names: tuple[str, ...]) -> AsyncIterator[DemoFleet]:
     """Run the stand-in and the entry hosts of these example files until the context ends."""
     clock = TrioClock()
     client = HttpClient(clock=clock)
@@ -47,8 +47,8 @@
         )
         for host in hosts:
             await nursery.start(host.run)
-            standin.model.add_host(_listed(host))
-        with trio.fail_after(READY_WITHIN_S):
+            standin.model.add_host(_make_listed_host(host))
+        with trio.fail_after(READY_TIMEOUT_S):
             for host in hosts:
                 await _wait_ready(host)
         yield DemoFleet(standin=standin, hosts=hosts, client=client)
@@ -75,7 +75,7 @@
     )
 
 
-def _listed(host: EntryHost) -> ListedHost:
+def _make_listed_host(host: EntryHost) -> ListedHost:
     return ListedHost(
         host_id=HostId(host.settings.host_id),
         kind=HostKind.ENTRY,
--- a/src/galenastall/demo/platform_path.py
+++ b/src/galenastall/demo/platform_path.py
@@ -22,8 +22,8 @@
 from galenastall.transport.clock import TrioClock
 
 HOSTS: Final = {"gangnam": ("gangnam-1", "gangnam-2"), "mapo": ("mapo-1",)}
-READY_WITHIN_S: Final = 20.0
-JOB_WITHIN_S: Final = 30.0
+READY_TIMEOUT_S: Final = 20.0
+JOB_TIMEOUT_S: Final = 30.0
 POLL_S: Final = 0.1
 ACCEPTED: Final = 200
 UNAUTHORIZED: Final = 401
@@ -46,17 +46,17 @@
     steps=(StepPayload(count=4, cores_milli=16_000, memory_mb=16_384, is_gang=True, run_s=3.0),),
 )
 
-Say = Callable[[str], None]
+PrintLine = Callable[[str], None]
 
 
 @dataclass(kw_only=True, slots=True)
-class _Running:
+class _RunningHost:
     host: StandinHost
     process: EntryProcess
     scope: trio.CancelScope
 
 
-async def run_platform_demo(say: Say) -> bool:
+async def run_platform_demo(print_line: PrintLine) -> bool:
     """Run all of it; return whether everything came out as promised."""
     clock = TrioClock()
     plan = StandinPlan(executors_by_data_centre={"gangnam": 3, "mapo": 3})
@@ -70,38 +70,42 @@
             tenants=[WORKSPACE],
         )
         running = await _start_hosts(nursery, standin)
-        with trio.fail_after(READY_WITHIN_S):
+        with trio.fail_after(READY_TIMEOUT_S):
             for each in running:
                 await caller.wait_ready(each.host)
-        say("\non the operations platform's stand-in, three entry hosts are ready:")
+        print_line("\non the operations platform's stand-in, three entry hosts are ready:")
         for each in running:
-            say(f"  {each.host.name} in {each.host.data_centre}, http {each.host.callers_address}")
-        is_good = await _run_jobs(running, caller, standin, say)
+            print_line(
+                f"  {each.host.name} in {each.host.data_centre}, http {each.host.callers_address}"
+            )
+        has_passed = await _run_jobs(running, caller, standin, print_line)
         nursery.cancel_scope.cancel()
-    return is_good
+    return has_passed
 
 
-async def _start_hosts(nursery: trio.Nursery, standin: PlatformStandin) -> list[_Running]:
+async def _start_hosts(nursery: trio.Nursery, standin: PlatformStandin) -> list[_RunningHost]:
     return [await nursery.start(_run_host, host, standin) for host in make_hosts(HOSTS)]
 
 
 async def _run_host(
     host: StandinHost,
     standin: PlatformStandin,
-    task_status: trio.TaskStatus[_Running] = trio.TASK_STATUS_IGNORED,
+    task_status: trio.TaskStatus[_RunningHost] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    with tempfile.TemporaryDirectory() as folder, _nowhere() as nowhere:
+    with tempfile.TemporaryDirectory() as folder, _open_null_device() as null_descriptor:
         path = Path(folder) / "node.toml"
         await trio.Path(path).write_text(host.settings_text(standin))
-        process = EntryProcess(settings=load_settings(path), path=path, log_descriptor=nowhere)
+        process = EntryProcess(
+            settings=load_settings(path), path=path, log_descriptor=null_descriptor
+        )
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await process.start(nursery)
-                task_status.started(_Running(host=host, process=process, scope=scope))
+                task_status.started(_RunningHost(host=host, process=process, scope=scope))
 
 
 @contextmanager
-def _nowhere() -> Iterator[int]:
+def _open_null_device() -> Iterator[int]:
     """Give a descriptor that swallows what is written."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     try:
@@ -111,38 +115,43 @@
 
 
 async def _run_jobs(
-    running: list[_Running], caller: StandinCaller, standin: PlatformStandin, say: Say
+    running: list[_RunningHost],
+    caller: StandinCaller,
+    standin: PlatformStandin,
+    print_line: PrintLine,
 ) -> bool:
     first = running[0].host
     status, _ = await StandinCaller(key="made-up").submit(first, "redaction", BATCH_ID, BATCH)
-    say(f"job {BATCH_ID} with a key that no workspace has: status {status}")
+    print_line(f"job {BATCH_ID} with a key that no workspace has: status {status}")
     if status != UNAUTHORIZED:
         return False
     limit = WORKSPACE.limit
-    say(f"workspace {WORKSPACE.name} may have {limit.cores_milli // 1000} cores at once")
+    print_line(f"workspace {WORKSPACE.name} may have {limit.cores_milli // 1000} cores at once")
     for route, job_id, payload in (
         ("redaction", BATCH_ID, BATCH),
         ("packs", GANG_ID, GANG),
     ):
         status, _ = await caller.submit(first, route, job_id, payload)
-        say(f"job {job_id} of {route}, {payload.steps[0].count} tasks: status {status}")
+        print_line(f"job {job_id} of {route}, {payload.steps[0].count} tasks: status {status}")
         if status != ACCEPTED:
             return False
     await trio.sleep(0.5)
     leader = next(each for each in running if each.process.host.standing.is_leading)
-    say(f"{leader.host.name} leads; it is stopped without notice")
+    print_line(f"{leader.host.name} leads; it is stopped without notice")
     leader.scope.cancel()
-    left = [each for each in running if each is not leader]
+    survivors = [each for each in running if each is not leader]
     states = [
-        await _wait_ended(caller, left[0].host, "redaction", BATCH_ID),
-        await _wait_ended(caller, left[1].host, "packs", GANG_ID),
+        await _wait_ended(caller, survivors[0].host, "redaction", BATCH_ID),
+        await _wait_ended(caller, survivors[1].host, "packs", GANG_ID),
     ]
-    say(f"asked at the others: the batch is {states[0]}, the gang is {states[1]}")
-    new = next(each for each in left if each.process.host.standing.is_leading)
-    say(f"{new.host.name} leads now; what its log, and that of the one before, say of the gang:")
+    print_line(f"asked at the others: the batch is {states[0]}, the gang is {states[1]}")
+    new = next(each for each in survivors if each.process.host.standing.is_leading)
+    print_line(
+        f"{new.host.name} leads now; what its log, and that of the one before, say of the gang:"
+    )
     for line in _lines_about(GANG_ID, [leader, new]):
-        say(f"  {line}")
-    say(
+        print_line(f"  {line}")
+    print_line(
         f"starts: {standin.simulation.starts}; "
         f"rules broken: {standin.simulation.violations or 'none'}"
     )
@@ -151,14 +160,14 @@
 
 async def _wait_ended(caller: StandinCaller, host: StandinHost, route: str, job_id: str) -> str:
     state = "not asked"
-    with trio.move_on_after(JOB_WITHIN_S):
+    with trio.move_on_after(JOB_TIMEOUT_S):
         while state not in {"completed", "failed", "cancelled"}:
             state = await caller.state(host, route, job_id)
             await trio.sleep(POLL_S)
     return state
 
 
-def _lines_about(job_id: str, running: list[_Running]) -> list[str]:
+def _lines_about(job_id: str, running: list[_RunningHost]) -> list[str]:
     rings: list[TimelineRing] = [each.process.recorder.ring for each in running]
     lines = [
         LogLine(
@@ -174,5 +183,5 @@
         for event in ring
     ]
     lines.sort(key=lambda line: (line.at_s, line.counter))
-    story = explain_job(lines, job_id)
-    return [story.verdict, *(line.text(story.lines[0].at_s) for line in story.lines)]
+    summary = explain_job(lines, job_id)
+    return [summary.verdict, *(line.text(summary.lines[0].at_s) for line in summary.lines)]
--- a/src/galenastall/standin/caller_services.py
+++ b/src/galenastall/standin/caller_services.py
@@ -40,16 +40,16 @@
     def is_cut(self) -> bool:
         return self._cuts.is_cut(self._caller, self._service)
 
-    async def lose(self, step: str, peer: str) -> Failure[StepError]:
-        return Failure(await self._cuts.lose(step=step, peer=peer))
+    async def time_out(self, step: str, peer: str) -> Failure[StepError]:
+        return Failure(await self._cuts.time_out(step=step, peer=peer))
 
-    async def pass_on(
+    async def forward(
         self, step: str, peer: str, send: Callable[[], Awaitable[Result[T, StepError]]]
     ) -> Result[T, StepError]:
         if self.is_cut:
-            return await self.lose(step, peer)
+            return await self.time_out(step, peer)
         answer = await send()
-        return await self.lose(step, peer) if self.is_cut else answer
+        return await self.time_out(step, peer) if self.is_cut else answer
 
 
 class _CallerLog:
@@ -60,14 +60,14 @@
     async def append(
         self, *, stream: StreamName, texts: Sequence[str]
     ) -> Result[Offset, StepError]:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "log.append", "log", lambda: self._log.append(stream=stream, texts=texts)
         )
 
     async def read(
         self, *, stream: StreamName, start: Offset, limit: int = 1000, wait_s: float = 0.0
     ) -> Result[LogPage, StepError]:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "log.read",
             "log",
             lambda: self._log.read(stream=stream, start=start, limit=limit, wait_s=wait_s),
@@ -86,7 +86,7 @@
         kind: HostKind | None = None,
         known_version: str | None = None,
     ) -> Result[HostListing, StepError]:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "host_list.fetch",
             "host-list",
             lambda: self._host_list.fetch(
@@ -101,19 +101,19 @@
         self._gate = gate
 
     async def start(self, *, address: str, batch: StartBatch) -> Answers:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.start", address, lambda: self._workers.start(address=address, batch=batch)
         )
 
     async def renew(self, *, address: str, tasks: Sequence[TaskId], lease_until: float) -> Answers:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.renew",
             address,
             lambda: self._workers.renew(address=address, tasks=tasks, lease_until=lease_until),
         )
 
     async def checkpoint(self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch) -> Answers:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.checkpoint",
             address,
             lambda: self._workers.checkpoint(address=address, tasks=tasks, epoch=epoch),
@@ -122,14 +122,14 @@
     async def throttle(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch, share: float
     ) -> Answers:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.throttle",
             address,
             lambda: self._workers.throttle(address=address, tasks=tasks, epoch=epoch, share=share),
         )
 
     async def stop(self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch) -> Answers:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.stop",
             address,
             lambda: self._workers.stop(address=address, tasks=tasks, epoch=epoch),
@@ -138,14 +138,14 @@
     async def acknowledge(
         self, *, address: str, tasks: Sequence[TaskId]
     ) -> Result[None, StepError]:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.acknowledge",
             address,
             lambda: self._workers.acknowledge(address=address, tasks=tasks),
         )
 
     async def listing(self, *, address: str, since: str = "") -> Result[WorkerListing, StepError]:
-        return await self._gate.pass_on(
+        return await self._gate.forward(
             "worker.listing", address, lambda: self._workers.listing(address=address, since=since)
         )
 
@@ -160,10 +160,12 @@
         self, *, address: str, call: UpstreamCall, body: AsyncIterator[bytes]
     ) -> AsyncIterator[Result[UpstreamAnswer, StepError]]:
         if self._gate.is_cut:
-            yield await self._gate.lose("upstream.call", address)
+            yield await self._gate.time_out("upstream.call", address)
             return
         async with self._upstreams.call(address=address, call=call, body=body) as answer:
-            yield await self._gate.lose("upstream.call", address) if self._gate.is_cut else answer
+            yield (
+                await self._gate.time_out("upstream.call", address) if self._gate.is_cut else answer
+            )
 
 
 def services_of_caller(*, platform: Platform, cuts: Cuts, caller: HostId) -> Platform:
--- a/src/galenastall/standin/capacity.py
+++ b/src/galenastall/standin/capacity.py
@@ -29,7 +29,7 @@
 from galenastall.transport.platform_http_log import AppendMessage
 
 DEFAULT_SECONDS: Final = 5.0
-FAR: Final = 1e12
+FAR_FUTURE: Final = 1e12
 BATCH: Final = 20
 READ_BYTES: Final = 65_536
 
@@ -73,7 +73,7 @@
     name = f"request-{number:010d}"
     headers = (
         f"content-type: text/plain\r\n{REQUEST_ID}: {name}\r\n{ATTEMPT_ID}: {name}#1\r\n"
-        f"{EPOCH}: 7\r\n{NOT_AFTER}: {FAR}\r\n"
+        f"{EPOCH}: 7\r\n{NOT_AFTER}: {FAR_FUTURE}\r\n"
     )
     return _post("/packs/preview", b"%0200d" % number, headers)
 
@@ -90,11 +90,11 @@
         StartRequest(
             task=_make_task(number * BATCH + index),
             reserved=Resources(cores_milli=10, memory_mb=10),
-            lease_until=FAR,
+            lease_until=FAR_FUTURE,
         )
         for index in range(BATCH)
     )
-    batch = StartBatch(owner=HostId("entry"), epoch=Epoch(1), not_after=FAR, starts=starts)
+    batch = StartBatch(owner=HostId("entry"), epoch=Epoch(1), not_after=FAR_FUTURE, starts=starts)
     return _post(f"{path}/start", msgspec.json.encode(batch))
 
 
--- a/src/galenastall/standin/control_client.py
+++ b/src/galenastall/standin/control_client.py
@@ -129,7 +129,7 @@
         )
         if isinstance(answer, Failure):
             return answer
-        whole = answer.unwrap()
-        if whole.status != _OK:
-            return Failure(error_of_answer(whole, step=step, peer=self._address))
-        return decode_json(whole.body, answer_type, step=step, peer=self._address)
+        response = answer.unwrap()
+        if response.status != _OK:
+            return Failure(error_of_answer(response, step=step, peer=self._address))
+        return decode_json(response.body, answer_type, step=step, peer=self._address)
--- a/src/galenastall/standin/control_http_face.py
+++ b/src/galenastall/standin/control_routes.py
@@ -31,10 +31,10 @@
 """Runs or executions in one answer."""
 
 
-class HostRaiser(Protocol):
+class HostManager(Protocol):
     """Brings hosts up on ports of their own and takes them down."""
 
-    def raise_host(self, host: ListedHost) -> ListedHost:
+    def start_host(self, host: ListedHost) -> ListedHost:
         """Bring up a host without an address and list it; one with an address is only listed."""
 
     def remove_host(self, host_id: HostId) -> None:
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Knob:
+class _FaultAccessor:
     """One replaceable set of faults."""
 
     faults_type: type[Any]
@@ -50,48 +50,48 @@
     write: Callable[[Any], None]
 
 
-class ControlFace:
+class ControlRoutes:
     """Routes under /control."""
 
-    def __init__(self, *, model: MemoryPlatform, raiser: HostRaiser) -> None:
+    def __init__(self, *, model: MemoryPlatform, host_manager: HostManager) -> None:
         self._model = model
-        self._raiser = raiser
+        self._host_manager = host_manager
 
     @route("GET", "/control/faults/{target*}")
     async def faults(self, request: HttpRequest) -> HttpResponse:
         """Return the knobs of one target by name."""
-        knobs = self._knobs(request.path_params["target"])
-        if not knobs:
+        accessors = self._fault_accessors(request.path_params["target"])
+        if not accessors:
             return _not_found(request, request.path_params["target"])
-        return json_response(200, {name: knob.read() for name, knob in knobs.items()})
+        return json_response(200, {name: accessor.read() for name, accessor in accessors.items()})
 
     @route("PUT", "/control/faults/{target*}")
     async def set_faults(self, request: HttpRequest) -> HttpResponse:
         """Replace the knobs of `log`, `host-list`, `workers/<id>` or `executors/<id>`."""
-        return await self._write_faults(request, is_whole=True)
+        return await self._write_faults(request, is_replacement=True)
 
     @route("PATCH", "/control/faults/{target*}")
     async def change_faults(self, request: HttpRequest) -> HttpResponse:
         """Change the knobs that the body names and leave the others as they are."""
-        return await self._write_faults(request, is_whole=False)
+        return await self._write_faults(request, is_replacement=False)
 
-    async def _write_faults(self, request: HttpRequest, *, is_whole: bool) -> HttpResponse:
+    async def _write_faults(self, request: HttpRequest, *, is_replacement: bool) -> HttpResponse:
         target = request.path_params["target"]
-        knobs = self._knobs(target)
-        if not knobs:
+        accessors = self._fault_accessors(target)
+        if not accessors:
             return _not_found(request, target)
         changes = await parse_json(request, dict[str, Any])
         if isinstance(changes, Failure):
             return error_response(changes.failure())
         parsed: dict[str, Any] = {}
-        for name, knob in knobs.items():
-            kept = {} if is_whole else msgspec.to_builtins(knob.read())
-            faults = _parse_faults(request, kept, changes.unwrap(), knob.faults_type)
+        for name, accessor in accessors.items():
+            kept = {} if is_replacement else msgspec.to_builtins(accessor.read())
+            faults = _parse_faults(request, kept, changes.unwrap(), accessor.faults_type)
             if isinstance(faults, Failure):
                 return error_response(faults.failure())
             parsed[name] = faults.unwrap()
         for name, faults in parsed.items():
-            knobs[name].write(faults)
+            accessors[name].write(faults)
         return json_response(200, parsed)
 
     @route("GET", "/control/cuts")
@@ -119,7 +119,7 @@
         host = await parse_json(request, ListedHost)
         if isinstance(host, Failure):
             return error_response(host.failure())
-        return json_response(200, self._raiser.raise_host(host.unwrap()))
+        return json_response(200, self._host_manager.start_host(host.unwrap()))
 
     @route("PUT", "/control/hosts/{host_id}/state")
     async def set_state(self, request: HttpRequest) -> HttpResponse:
@@ -139,7 +139,7 @@
         host_id = HostId(request.path_params["host_id"])
         if host_id not in self._model.host_list.current():
             return _not_found(request, host_id)
-        self._raiser.remove_host(host_id)
+        self._host_manager.remove_host(host_id)
         return json_response(200, None)
 
     @route("POST", "/control/trim")
@@ -162,14 +162,16 @@
         """Return task runs from the position `start`."""
         self._model.workers.settle()
         records, position = self._model.workers.ledger.records.page(
-            _start_of(request), PAGE_RECORDS
+            _parse_start(request), PAGE_RECORDS
         )
         return json_response(200, RunPage(records=records, next=position))
 
     @route("GET", "/control/executions")
     async def executions(self, request: HttpRequest) -> HttpResponse:
         """Return executions from the position `start`."""
-        records, position = self._model.executors.log.records.page(_start_of(request), PAGE_RECORDS)
+        records, position = self._model.executors.log.records.page(
+            _parse_start(request), PAGE_RECORDS
+        )
         return json_response(200, ExecutionPage(records=records, next=position))
 
     @route("GET", "/control/repeats")
@@ -189,18 +191,18 @@
         report = ViolationReport(counts_by_kind=dict(seen.counts_by_kind), kept=tuple(seen.kept))
         return json_response(200, report)
 
-    def _knobs(self, target: str) -> dict[str, _Knob]:
+    def _fault_accessors(self, target: str) -> dict[str, _FaultAccessor]:
         kind, _, host = target.partition("/")
         if target == "log":
-            return {"log": self._log_knob()}
+            return {"log": self._log_accessor()}
         if target == "host-list":
-            return {"host-list": self._host_list_knob()}
+            return {"host-list": self._host_list_accessor()}
         if kind == "workers":
             hosts = self._hosts(HostKind.WORKER, host)
-            return {found.host_id: self._worker_knob(found.address) for found in hosts}
+            return {found.host_id: self._worker_accessor(found.address) for found in hosts}
         if kind == "executors":
             hosts = self._hosts(HostKind.UPSTREAM, host)
-            return {found.host_id: self._executor_knob(found.address) for found in hosts}
+            return {found.host_id: self._executor_accessor(found.address) for found in hosts}
         return {}
 
     def _hosts(self, kind: HostKind, host: str) -> Iterable[ListedHost]:
@@ -216,25 +218,27 @@
             )
         )
 
-    def _log_knob(self) -> _Knob:
+    def _log_accessor(self) -> _FaultAccessor:
         log = self._model.log
-        return _Knob(faults_type=LogFaults, read=lambda: log.faults, write=log.set_faults)
+        return _FaultAccessor(faults_type=LogFaults, read=lambda: log.faults, write=log.set_faults)
 
-    def _host_list_knob(self) -> _Knob:
+    def _host_list_accessor(self) -> _FaultAccessor:
         hosts = self._model.host_list
-        return _Knob(faults_type=HostListFaults, read=lambda: hosts.faults, write=hosts.set_faults)
+        return _FaultAccessor(
+            faults_type=HostListFaults, read=lambda: hosts.faults, write=hosts.set_faults
+        )
 
-    def _worker_knob(self, address: str) -> _Knob:
+    def _worker_accessor(self, address: str) -> _FaultAccessor:
         workers = self._model.workers
-        return _Knob(
+        return _FaultAccessor(
             faults_type=WorkerFaults,
             read=lambda: workers.by_address[address].faults,
             write=lambda faults: workers.set_faults(address, faults),
         )
 
-    def _executor_knob(self, address: str) -> _Knob:
+    def _executor_accessor(self, address: str) -> _FaultAccessor:
         executors = self._model.executors
-        return _Knob(
+        return _FaultAccessor(
             faults_type=ExecutorFaults,
             read=lambda: executors.by_address[address].faults,
             write=lambda faults: executors.set_faults(address, faults),
@@ -272,7 +276,7 @@
     return decode_json(body, faults_type, step="control", peer=request.client)
 
 
-def _start_of(request: HttpRequest) -> int:
+def _parse_start(request: HttpRequest) -> int:
     text = request.query.get("start", "0")
     return int(text) if text.isdecimal() else 0
 
--- a/src/galenastall/standin/cuts.py
+++ b/src/galenastall/standin/cuts.py
@@ -54,7 +54,7 @@
         """Return whether the caller can't reach the service."""
         return service in self._services_by_caller.get(caller, frozenset())
 
-    async def lose(self, *, step: str, peer: str) -> StepError:
+    async def time_out(self, *, step: str, peer: str) -> StepError:
         """Return what the caller learns from silence, once it has waited."""
         await trio.sleep(self.timeout_s)
         return StepError(step=step, peer=peer, reason=Reason.TIMEOUT, detail="cut off")
--- a/src/galenastall/standin/executor.py
+++ b/src/galenastall/standin/executor.py
@@ -160,9 +160,9 @@
             body_digest=body_digest,
         )
         body = encode_echo(echo, size=faults.answer_bytes)
-        has_failed = self._happens(faults.fail)
-        is_cut = self._happens(faults.cut)
-        is_late = self._happens(faults.late)
+        has_failed = self._draw_bool(faults.fail)
+        is_cut = self._draw_bool(faults.cut)
+        is_late = self._draw_bool(faults.late)
         counters.failed += has_failed
         counters.answers_cut += is_cut
         counters.answers_late += is_late
@@ -199,5 +199,5 @@
             leaving=self.faults.leaving,
         )
 
-    def _happens(self, probability: float) -> bool:
+    def _draw_bool(self, probability: float) -> bool:
         return probability > 0.0 and self._rng.random() < probability
--- a/src/galenastall/standin/executor_http.py
+++ b/src/galenastall/standin/executor_http.py
@@ -16,7 +16,7 @@
 )
 from galenastall.standin.cuts import Service
 from galenastall.standin.executor import RETRY_AFTER_S, ExecutorPlan, Verdict
-from galenastall.standin.lean_http import LeanAnswer, LeanRequest, LeanServer
+from galenastall.standin.lean_http import LeanRequest, LeanResponse, LeanServer
 from galenastall.standin.memory_platform import MemoryPlatform
 from galenastall.state.ids import AttemptId, Epoch, RequestId
 from galenastall.state.outcomes import Outcome
@@ -28,7 +28,7 @@
 _CALLER: Final = CALLER.encode()
 
 
-def _start_of_answer(status: int, phrase: str, outcome: Outcome) -> str:
+def _format_status_and_headers(status: int, phrase: str, outcome: Outcome) -> str:
     retry_after = f"retry-after: {RETRY_AFTER_S:.0f}\r\n" if outcome is Outcome.NOT_RUN else ""
     return (
         f"HTTP/1.1 {status} {phrase}\r\ncontent-type: text/plain\r\n"
@@ -36,13 +36,13 @@
     )
 
 
-_STARTS_BY_VERDICT: Final = {
-    Verdict.RUN: _start_of_answer(200, "OK", Outcome.DONE),
-    Verdict.RUN_AND_FAIL: _start_of_answer(500, "Internal Server Error", Outcome.FAILED),
-    Verdict.FULL: _start_of_answer(503, "Service Unavailable", Outcome.NOT_RUN),
-    Verdict.TOO_LATE: _start_of_answer(403, "Forbidden", Outcome.NOT_RUN),
+_HEADERS_BY_VERDICT: Final = {
+    Verdict.RUN: _format_status_and_headers(200, "OK", Outcome.DONE),
+    Verdict.RUN_AND_FAIL: _format_status_and_headers(500, "Internal Server Error", Outcome.FAILED),
+    Verdict.FULL: _format_status_and_headers(503, "Service Unavailable", Outcome.NOT_RUN),
+    Verdict.TOO_LATE: _format_status_and_headers(403, "Forbidden", Outcome.NOT_RUN),
 }
-_BAD_REQUEST: Final = LeanAnswer(
+_BAD_REQUEST: Final = LeanResponse(
     data=(
         b"HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 34\r\n\r\n"
         b"the headers of a call are missing\n"
@@ -81,8 +81,8 @@
         finally:
             self._server.close()
 
-    async def _answer(self, request: LeanRequest) -> LeanAnswer | None:
-        call = _call_of(request)
+    async def _answer(self, request: LeanRequest) -> LeanResponse | None:
+        call = _parse_call(request)
         if call is None:
             return _BAD_REQUEST
         caller = request.headers.get(_CALLER, b"").decode("latin-1")
@@ -92,8 +92,8 @@
         plan = await self._carry_out(call, request.body)
         if plan is None or plan.is_lost or self._cuts.is_cut(caller, Service.UPSTREAMS):
             return None
-        data = _head_of(plan, call) + plan.body[: plan.sent_bytes]
-        return LeanAnswer(data=data, keeps_connection=not plan.is_cut)
+        data = _format_head(plan, call) + plan.body[: plan.sent_bytes]
+        return LeanResponse(data=data, keeps_connection=not plan.is_cut)
 
     async def _carry_out(self, call: UpstreamCall, body: bytes) -> ExecutorPlan | None:
         executor = self._executors.by_address.get(self._address)
@@ -108,15 +108,15 @@
             executor.open_calls -= 1
 
 
-def _head_of(plan: ExecutorPlan, call: UpstreamCall) -> bytes:
+def _format_head(plan: ExecutorPlan, call: UpstreamCall) -> bytes:
     leaving = f"{LEAVING}: 1\r\n" if plan.leaving else ""
     return (
-        f"{_STARTS_BY_VERDICT[plan.verdict]}{ATTEMPT_ID}: {call.attempt_id}\r\n{leaving}"
+        f"{_HEADERS_BY_VERDICT[plan.verdict]}{ATTEMPT_ID}: {call.attempt_id}\r\n{leaving}"
         f"content-length: {len(plan.body)}\r\n\r\n"
     ).encode("latin-1")
 
 
-def _call_of(request: LeanRequest) -> UpstreamCall | None:
+def _parse_call(request: LeanRequest) -> UpstreamCall | None:
     headers = request.headers
     try:
         return UpstreamCall(
--- a/src/galenastall/standin/executors.py
+++ b/src/galenastall/standin/executors.py
@@ -19,7 +19,7 @@
     Verdict,
 )
 from galenastall.standin.executor_log import ExecutionLog
-from galenastall.standin.faults import ExecutorFaults, draw_fate
+from galenastall.standin.faults import ExecutorFaults, draw_call_outcome
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.ids import HostId
 from galenastall.state.outcomes import Outcome
@@ -123,11 +123,11 @@
         """
         executor = self.by_address[address]
         faults = executor.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
-        if fate.lost:
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
+        if outcome.lost:
             await trio.sleep(faults.call_timeout_s)
             return executor.plan_loss()
-        arrival = Arrival(call=call, body=body, is_answer_lost=fate.answer_lost)
+        arrival = Arrival(call=call, body=body, is_answer_lost=outcome.answer_lost)
         executor.receive(arrival)
         if arrival.plan is None:
             await arrival.planned.wait()
--- a/src/galenastall/standin/faults.py
+++ b/src/galenastall/standin/faults.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Fate:
+class CallOutcome:
     """What the gates decided for one call."""
 
     due: float
@@ -116,14 +116,14 @@
     answer_lost: bool
 
 
-def draw_fate(*, faults: CallFaults, clock: Clock, rng: random.Random) -> Fate:
+def draw_call_outcome(*, faults: CallFaults, clock: Clock, rng: random.Random) -> CallOutcome:
     """Return the fate of a call that is sent now."""
-    return Fate(
+    return CallOutcome(
         due=clock.now() + faults.delay_s,
-        lost=_happens(rng, faults.drop_before),
-        answer_lost=_happens(rng, faults.drop_after),
+        lost=_draw_bool(rng, faults.drop_before),
+        answer_lost=_draw_bool(rng, faults.drop_after),
     )
 
 
-def _happens(rng: random.Random, probability: float) -> bool:
+def _draw_bool(rng: random.Random, probability: float) -> bool:
     return probability > 0.0 and rng.random() < probability
--- a/src/galenastall/standin/host_list.py
+++ b/src/galenastall/standin/host_list.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from galenastall.protocol.clock import Clock
-from galenastall.standin.faults import HostListFaults, draw_fate
+from galenastall.standin.faults import HostListFaults, draw_call_outcome
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.hosts import HostKind, HostListing, HostState, ListedHost
 from galenastall.state.ids import DataCentre, HostId
@@ -76,23 +76,23 @@
     ) -> Result[HostListing, StepError]:
         """Return the list as it was `lag_s` ago; see HostListService."""
         faults = self.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         if faults.unreachable:
             return Failure(_error(Reason.UNREACHABLE))
-        if fate.lost or fate.answer_lost or faults.delay_s >= faults.call_timeout_s:
+        if outcome.lost or outcome.answer_lost or faults.delay_s >= faults.call_timeout_s:
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error(Reason.TIMEOUT))
         await trio.sleep(faults.delay_s)
         if self.faults.outage:
             return Failure(_error(Reason.UNAVAILABLE))
         lag_s = self.faults.lag_s
-        cut = self._as_of(self._clock.now() - lag_s).cut(data_centre, kind)
-        is_unchanged = known_version == cut.name
+        selection = self._as_of(self._clock.now() - lag_s).selection(data_centre, kind)
+        is_unchanged = known_version == selection.name
         return Success(
             HostListing(
                 as_of=self._clock.wall() - lag_s,
-                by_id={} if is_unchanged else dict(cut.hosts),
-                version=cut.name,
+                by_id={} if is_unchanged else dict(selection.hosts),
+                version=selection.name,
                 is_unchanged=is_unchanged,
             )
         )
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Cut:
+class _Selection:
     """Some rows of a version, named by what they say, so that a restart changes no name."""
 
     name: str
@@ -122,11 +122,13 @@
     since: float
     """Runtime seconds."""
     hosts: dict[HostId, ListedHost]
-    cuts: dict[tuple[DataCentre | None, HostKind | None], _Cut] = field(default_factory=dict)
+    selections: dict[tuple[DataCentre | None, HostKind | None], _Selection] = field(
+        default_factory=dict
+    )
 
-    def cut(self, data_centre: DataCentre | None, kind: HostKind | None) -> _Cut:
+    def selection(self, data_centre: DataCentre | None, kind: HostKind | None) -> _Selection:
         """Return the rows of a data centre and a kind; None stands for all."""
-        found = self.cuts.get((data_centre, kind))
+        found = self.selections.get((data_centre, kind))
         if found is not None:
             return found
         hosts = {
@@ -136,8 +138,8 @@
         }
         rows = sorted(hosts.values(), key=lambda host: host.host_id)
         name = xxhash.xxh3_128_hexdigest(msgspec.json.encode(rows))
-        cut = self.cuts[data_centre, kind] = _Cut(name=name, hosts=hosts)
-        return cut
+        selection = self.selections[data_centre, kind] = _Selection(name=name, hosts=hosts)
+        return selection
 
 
 def _error(reason: Reason) -> StepError:
--- a/src/galenastall/standin/lean_http.py
+++ b/src/galenastall/standin/lean_http.py
@@ -30,21 +30,23 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeanAnswer:
+class LeanResponse:
     """Bytes to send; a body that is shorter than announced is a cut answer."""
 
     data: bytes
     keeps_connection: bool = True
 
 
-Answerer = Callable[[LeanRequest], Awaitable[LeanAnswer | None]]
+RequestHandler = Callable[[LeanRequest], Awaitable[LeanResponse | None]]
 """Answers a request; None breaks the connection without a byte."""
 
 
 class LeanServer:
     """Listens on one port; each connection carries one request at a time."""
 
-    def __init__(self, *, answer: Answerer, bind_host: str = "127.0.0.1", port: int = 0) -> None:
+    def __init__(
+        self, *, answer: RequestHandler, bind_host: str = "127.0.0.1", port: int = 0
+    ) -> None:
         """Bind now, so that the address is known; port 0 lets the system choose."""
         self._answer = answer
         self._bind_host = bind_host
@@ -89,7 +91,7 @@
 class _Connection:
     """One client's connection."""
 
-    def __init__(self, *, stream: trio.SocketStream, answer: Answerer) -> None:
+    def __init__(self, *, stream: trio.SocketStream, answer: RequestHandler) -> None:
         self._stream = stream
         self._answer = answer
         self._http = h11.Connection(h11.SERVER)
--- a/src/galenastall/standin/lean_routes.py
+++ b/src/galenastall/standin/lean_routes.py
@@ -5,7 +5,7 @@
 from typing import Final
 from urllib.parse import parse_qsl
 
-from galenastall.standin.lean_http import LeanAnswer, LeanRequest
+from galenastall.standin.lean_http import LeanRequest, LeanResponse
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.http_json import error_response
 from galenastall.transport.http_messages import BodyStream, HttpRequest, HttpResponse
@@ -14,18 +14,18 @@
 _PHRASES_BY_STATUS: Final = {status.value: status.phrase for status in HTTPStatus}
 
 
-class LostAnswerError(Exception):
+class LostResponseError(Exception):
     """An answer that is to get lost: the connection breaks instead."""
 
 
-class RoutedAnswerer:
+class RoutedRequestHandler:
     """Answers by the routes of its handlers, which must give whole bodies."""
 
     def __init__(self, *, handlers: Iterable[object]) -> None:
         """Collect the handlers' routes."""
         self._routes = RouteTable(handlers=handlers)
 
-    async def __call__(self, request: LeanRequest) -> LeanAnswer | None:
+    async def __call__(self, request: LeanRequest) -> LeanResponse | None:
         """Return the handler's response as bytes; None for one that is to get lost."""
         method = request.method.decode("latin-1")
         path, _, query = request.target.decode("latin-1").partition("?")
@@ -35,10 +35,10 @@
             error = StepError(
                 step="http.route", peer=request.client, reason=Reason.NOT_FOUND, detail=detail
             )
-            return LeanAnswer(data=_encode(error_response(error)))
+            return LeanResponse(data=_encode(error_response(error)))
         route, params = found
         headers = request.headers
-        seen = HttpRequest(
+        http_request = HttpRequest(
             method=method,
             path=path,
             path_params=params,
@@ -48,10 +48,10 @@
             stream=BodyStream.of(request.body),
         )
         try:
-            response = await route.handler(seen)
-        except LostAnswerError:
+            response = await route.handler(http_request)
+        except LostResponseError:
             return None
-        return LeanAnswer(data=_encode(response))
+        return LeanResponse(data=_encode(response))
 
 
 def _encode(response: HttpResponse) -> bytes:
--- a/src/galenastall/standin/log.py
+++ b/src/galenastall/standin/log.py
@@ -11,7 +11,7 @@
 
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.platform import LogEntry, LogPage
-from galenastall.standin.faults import LogFaults, draw_fate
+from galenastall.standin.faults import LogFaults, draw_call_outcome
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.ids import Offset, StreamName
 
@@ -87,11 +87,11 @@
         self._streams_by_name: dict[StreamName, _Stream] = {}
         self._late: list[tuple[float, int, StreamName, tuple[str, ...]]] = []
         self._late_count = 0
-        self._credit = 0.0
-        self._credit_at = clock.now()
+        self._tokens = 0.0
+        self._refilled_at = clock.now()
         self.counters = LogCounters()
         self.faults = faults or LogFaults()
-        self._credit = self._burst()
+        self._tokens = self._burst()
 
     def set_faults(self, faults: LogFaults) -> None:
         """Replace the knobs; waiting reads notice."""
@@ -117,20 +117,20 @@
     ) -> Result[Offset, StepError]:
         """Append as one; see LogService. OVERLOADED beyond the rate limit: not appended."""
         faults = self.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         if faults.unreachable:
             return Failure(_error("log.append", Reason.UNREACHABLE))
-        if fate.lost:
+        if outcome.lost:
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error("log.append", Reason.TIMEOUT, "no answer"))
         batch = tuple(texts)
         if faults.delay_s >= faults.call_timeout_s:
-            self._append_later(fate.due, stream, batch)
+            self._append_later(outcome.due, stream, batch)
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error("log.append", Reason.TIMEOUT, "no answer"))
         await trio.sleep(faults.delay_s)
         appended = self._append_now(stream, batch)
-        if fate.answer_lost:
+        if outcome.answer_lost:
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error("log.append", Reason.TIMEOUT, "no answer"))
         return appended
@@ -140,10 +140,10 @@
     ) -> Result[LogPage, StepError]:
         """Read from `start`, waiting for the first entry; see LogService."""
         faults = self.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         if faults.unreachable:
             return Failure(_error("log.read", Reason.UNREACHABLE))
-        if fate.lost or fate.answer_lost or faults.delay_s >= faults.call_timeout_s:
+        if outcome.lost or outcome.answer_lost or faults.delay_s >= faults.call_timeout_s:
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error("log.read", Reason.TIMEOUT, "no answer"))
         await trio.sleep(faults.delay_s)
@@ -192,7 +192,7 @@
     def _append_now(self, name: StreamName, texts: tuple[str, ...]) -> Result[Offset, StepError]:
         if self.faults.outage:
             return Failure(_error("log.append", Reason.UNAVAILABLE, "outage"))
-        wait_s = self._take_credit()
+        wait_s = self._take_token()
         if wait_s > 0:
             self.counters.refused_appends += 1
             return Failure(
@@ -214,15 +214,15 @@
         stream.notify()
         return Success(Offset(first))
 
-    def _take_credit(self) -> float:
+    def _take_token(self) -> float:
         """Use up one append of the rate limit; return seconds to wait if there is none."""
         now = self._clock.now()
         rate = self.faults.appends_per_s
-        self._credit = min(self._burst(), self._credit + (now - self._credit_at) * rate)
-        self._credit_at = now
-        if self._credit < 1.0:
-            return (1.0 - self._credit) / rate
-        self._credit -= 1.0
+        self._tokens = min(self._burst(), self._tokens + (now - self._refilled_at) * rate)
+        self._refilled_at = now
+        if self._tokens < 1.0:
+            return (1.0 - self._tokens) / rate
+        self._tokens -= 1.0
         return 0.0
 
     def _burst(self) -> float:
--- a/src/galenastall/standin/platform_http_face.py
+++ b/src/galenastall/standin/platform_routes.py
@@ -7,7 +7,7 @@
 
 from galenastall.protocol.platform import Platform
 from galenastall.protocol.upstream_headers import CALLER
-from galenastall.standin.lean_routes import LostAnswerError
+from galenastall.standin.lean_routes import LostResponseError
 from galenastall.standin.memory_platform import MemoryPlatform
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.hosts import HostKind
@@ -23,7 +23,7 @@
 _HOST_KINDS: Final = frozenset(kind.value for kind in HostKind)
 
 
-class PlatformFace:
+class PlatformRoutes:
     """Routes of the log and the host list."""
 
     def __init__(self, *, model: MemoryPlatform) -> None:
@@ -43,10 +43,10 @@
     @route("GET", "/log/{stream}")
     async def read(self, request: HttpRequest) -> HttpResponse:
         """Read from `start`, waiting up to `wait_s`."""
-        asked = _parse_read(request)
-        if isinstance(asked, Failure):
-            return error_response(asked.failure())
-        read = asked.unwrap()
+        parsed = _parse_read(request)
+        if isinstance(parsed, Failure):
+            return error_response(parsed.failure())
+        read = parsed.unwrap()
         stream = StreamName(request.path_params["stream"])
         log = services_for(self._model, request).log
         return respond(
@@ -57,14 +57,14 @@
     async def hosts(self, request: HttpRequest) -> HttpResponse:
         """Return the lagging list, cut as the query says."""
         query = request.query
-        asked_kind = query.get("kind")
-        if asked_kind is not None and asked_kind not in _HOST_KINDS:
-            detail = f"unknown kind {asked_kind!r}; allowed: {', '.join(sorted(_HOST_KINDS))}"
+        kind = query.get("kind")
+        if kind is not None and kind not in _HOST_KINDS:
+            detail = f"unknown kind {kind!r}; allowed: {', '.join(sorted(_HOST_KINDS))}"
             return error_response(_invalid(request, detail, step="host_list.fetch"))
         data_centre = query.get("data_centre")
         fetched = await services_for(self._model, request).host_list.fetch(
             data_centre=None if data_centre is None else DataCentre(data_centre),
-            kind=None if asked_kind is None else HostKind(asked_kind),
+            kind=None if kind is None else HostKind(kind),
             known_version=query.get("known_version"),
         )
         return respond(fetched)
@@ -113,5 +113,5 @@
         return json_response(200, result.unwrap())
     error: StepError = result.failure()
     if error.may_have_taken_effect:
-        raise LostAnswerError
+        raise LostResponseError
     return error_response(error)
--- a/src/galenastall/standin/process.py
+++ b/src/galenastall/standin/process.py
@@ -40,7 +40,7 @@
         port=port,
         control_bind=settings.control_bind,
         on_error=on_error,
-        on_raised=partial(_set_first_faults, model=model, settings=settings),
+        on_host_started=partial(_set_initial_faults, model=model, settings=settings),
     )
 
 
@@ -70,7 +70,7 @@
                 return
 
 
-def _set_first_faults(
+def _set_initial_faults(
     host: ListedHost, *, model: MemoryPlatform, settings: StandinSettings
 ) -> None:
     if host.kind is HostKind.WORKER:
--- a/src/galenastall/standin/run.py
+++ b/src/galenastall/standin/run.py
@@ -19,7 +19,7 @@
     epoch: int
     lease_until: float
     """Wall time in seconds, as the owner gave it."""
-    lapses_at: float
+    expires_at: float
     payload: TaskPayload
     usage_factor: float
     started_at: float
@@ -66,11 +66,11 @@
 
     def peak(self) -> Resources:
         """Return the most that it ever uses."""
-        declared, said, factor = self.task.resources, self.payload, self.usage_factor
+        declared, payload, factor = self.task.resources, self.payload, self.usage_factor
         return Resources(
-            cores_milli=_or(said.cores_milli, int(declared.cores_milli * factor)),
-            memory_mb=_or(said.peak_mb, int(declared.memory_mb * factor)),
-            accelerators=_or(said.accelerators, declared.accelerators),
+            cores_milli=_value_or(payload.cores_milli, int(declared.cores_milli * factor)),
+            memory_mb=_value_or(payload.peak_mb, int(declared.memory_mb * factor)),
+            accelerators=_value_or(payload.accelerators, declared.accelerators),
         )
 
     def listed(self, now: float, usage_lag_s: float) -> RunningTask:
@@ -101,5 +101,5 @@
     """How it ended: a TaskEnd, or `done`."""
 
 
-def _or(value: int | None, default: int) -> int:
+def _value_or(value: int | None, default: int) -> int:
     return default if value is None else value
--- a/src/galenastall/standin/server.py
+++ b/src/galenastall/standin/server.py
@@ -6,14 +6,14 @@
 import trio
 
 from galenastall.protocol.clock import Clock
-from galenastall.standin.control_http_face import ControlFace
+from galenastall.standin.control_routes import ControlRoutes
 from galenastall.standin.executor_http import ExecutorServer
 from galenastall.standin.fleet import FleetShape, make_hosts
 from galenastall.standin.lean_http import LeanServer
-from galenastall.standin.lean_routes import RoutedAnswerer
+from galenastall.standin.lean_routes import RoutedRequestHandler
 from galenastall.standin.memory_platform import MemoryPlatform
-from galenastall.standin.platform_http_face import PlatformFace
-from galenastall.standin.workers_http_face import WorkersFace
+from galenastall.standin.platform_routes import PlatformRoutes
+from galenastall.standin.worker_routes import WorkerRoutes
 from galenastall.state.errors import StepError
 from galenastall.state.hosts import HostKind, ListedHost
 from galenastall.state.ids import HostId
@@ -47,7 +47,7 @@
         port: int = 0,
         control_bind: str = "127.0.0.1:0",
         on_error: ErrorSink | None = None,
-        on_raised: Callable[[ListedHost], None] | None = None,
+        on_host_started: Callable[[ListedHost], None] | None = None,
     ) -> None:
         """Serve `model` and bring up the hosts of `shape`; port 0 lets the system choose.
 
@@ -57,21 +57,23 @@
         self.model = model
         self._shape = shape
         self._bind_host = bind_host
-        self._on_raised = on_raised or (lambda host: None)
+        self._on_host_started = on_host_started or (lambda host: None)
         self._nursery: trio.Nursery | None = None
         self._control = HttpServer(
-            handlers=[ControlFace(model=model, raiser=self)],
+            handlers=[ControlRoutes(model=model, host_manager=self)],
             clock=clock,
             bind=control_bind,
             log_error=on_error,
         )
         self._platform = LeanServer(
-            answer=RoutedAnswerer(handlers=[PlatformFace(model=model)]),
+            answer=RoutedRequestHandler(handlers=[PlatformRoutes(model=model)]),
             bind_host=bind_host,
             port=port,
         )
-        workers = WorkersFace(model=model, address_of=self._worker_address)
-        self._workers = LeanServer(answer=RoutedAnswerer(handlers=[workers]), bind_host=bind_host)
+        workers = WorkerRoutes(model=model, address_of=self._worker_address)
+        self._workers = LeanServer(
+            answer=RoutedRequestHandler(handlers=[workers]), bind_host=bind_host
+        )
 
     @property
     def addresses(self) -> StandinAddresses:
@@ -94,34 +96,34 @@
             nursery.start_soon(self._platform.run)
             nursery.start_soon(self._workers.run)
             for host in make_hosts(self._shape):
-                self.raise_host(replace(host, address=""))
+                self.start_host(replace(host, address=""))
             self.model.host_list.catch_up()
             task_status.started(self.addresses)
 
-    def raise_host(self, host: ListedHost) -> ListedHost:
+    def start_host(self, host: ListedHost) -> ListedHost:
         """Bring up a host without an address and list it; one with an address is only listed."""
         if host.address or host.kind is HostKind.ENTRY:
             self.model.host_list.put(host)
             return host
         if host.kind is HostKind.WORKER:
-            raised = replace(host, address=self._worker_address(host.host_id))
-            self.model.add_host(raised)
-            self._on_raised(raised)
-            return raised
-        return self._raise_executor(host)
+            started = replace(host, address=self._worker_address(host.host_id))
+            self.model.add_host(started)
+            self._on_host_started(started)
+            return started
+        return self._start_executor(host)
 
     def remove_host(self, host_id: HostId) -> None:
         """Take a host down and off the list; raises KeyError for an unknown host."""
         self.model.remove_host(host_id)
 
-    def _raise_executor(self, host: ListedHost) -> ListedHost:
+    def _start_executor(self, host: ListedHost) -> ListedHost:
         assert self._nursery is not None, "hosts are brought up while the server runs"
         server = ExecutorServer(model=self.model, bind_host=self._bind_host)
-        raised = replace(host, address=server.address)
-        self.model.add_host(raised)
-        self._on_raised(raised)
+        started = replace(host, address=server.address)
+        self.model.add_host(started)
+        self._on_host_started(started)
         self._nursery.start_soon(server.run)
-        return raised
+        return started
 
     def _worker_address(self, host_id: str) -> str:
         return f"{self._workers.address}/workers/{host_id}"
--- a/src/galenastall/standin/task_payload.py
+++ b/src/galenastall/standin/task_payload.py
@@ -25,17 +25,17 @@
 
 
 _decoder = msgspec.json.Decoder(TaskPayload)
-_NOTHING_SAID: Final = TaskPayload()
+_EMPTY_PAYLOAD: Final = TaskPayload()
 
 
 def read_payload(text: str) -> TaskPayload:
     """Return the payload's behaviour; text that isn't such a JSON object says nothing."""
     if not text:
-        return _NOTHING_SAID
+        return _EMPTY_PAYLOAD
     try:
         return _decoder.decode(text)
     except msgspec.MsgspecError:
-        return _NOTHING_SAID
+        return _EMPTY_PAYLOAD
 
 
 def run_time_of(task: TaskSpec, payload: TaskPayload) -> float:
--- a/src/galenastall/standin/worker.py
+++ b/src/galenastall/standin/worker.py
@@ -72,11 +72,11 @@
         """Extend leases."""
 
         def extend(run: Run) -> None:
-            lapses_at = self._runtime(lease_until)
-            is_sooner = lapses_at < run.lapses_at
-            run.lease_until, run.lapses_at = lease_until, lapses_at
+            expires_at = self._runtime(lease_until)
+            is_sooner = expires_at < run.expires_at
+            run.lease_until, run.expires_at = lease_until, expires_at
             if is_sooner:
-                self._watch_lease(run)
+                self._schedule_lease_expiry(run)
 
         return Success(self._for_each(tasks, extend))
 
@@ -87,15 +87,18 @@
         refusal = self._refusal("worker.checkpoint", epoch, now)
         if refusal is not None:
             return Failure(refusal)
-        able: list[TaskId] = []
-        unable: list[TaskId] = []
+        checkpointable: list[TaskId] = []
+        not_checkpointable: list[TaskId] = []
         for task in tasks:
             runs = self._runs_by_task.get(task, ())
-            is_able = all(run.task.checkpointable for run in runs)
-            (able if is_able else unable).append(task)
-        answers = self._for_each(able, lambda run: self._end(run, TaskEnd.CHECKPOINTED, now))
+            can_checkpoint = all(run.task.checkpointable for run in runs)
+            (checkpointable if can_checkpoint else not_checkpointable).append(task)
+        answers = self._for_each(
+            checkpointable, lambda run: self._end(run, TaskEnd.CHECKPOINTED, now)
+        )
         refused = (
-            TaskAnswer(task_id=task, ok=False, detail="not checkpointable") for task in unable
+            TaskAnswer(task_id=task, ok=False, detail="not checkpointable")
+            for task in not_checkpointable
         )
         return Success((*answers, *refused))
 
@@ -109,7 +112,7 @@
 
         def slow_down(run: Run) -> None:
             run.throttle(share, now)
-            self._watch_end(run)
+            self._schedule_end(run)
 
         return Success(self._for_each(tasks, slow_down))
 
@@ -166,8 +169,8 @@
         if not self._reserved.fits_in(self.capacity):
             detail = f"{self._reserved} of {self.capacity}"
             self._report(ViolationKind.OVERCOMMIT, task.task_id, detail)
-        self._watch_end(run)
-        self._watch_lease(run)
+        self._schedule_end(run)
+        self._schedule_lease_expiry(run)
         return TaskAnswer(task_id=task.task_id, ok=True)
 
     def _make_run(self, start: StartRequest, epoch: Epoch, now: float) -> Run:
@@ -179,7 +182,7 @@
             reserved=start.reserved,
             epoch=epoch,
             lease_until=start.lease_until,
-            lapses_at=self._runtime(start.lease_until),
+            expires_at=self._runtime(start.lease_until),
             payload=payload,
             usage_factor=self.faults.usage_factor,
             started_at=now,
@@ -189,23 +192,23 @@
             fails_at=None if fail_after_s is None else now + fail_after_s,
         )
 
-    def _watch_end(self, run: Run) -> None:
-        self._events.push(run.ends_at(), partial(self._reach_end, run, run.version))
+    def _schedule_end(self, run: Run) -> None:
+        self._events.push(run.ends_at(), partial(self._on_end_due, run, run.version))
 
-    def _reach_end(self, run: Run, version: int, now: float) -> None:
+    def _on_end_due(self, run: Run, version: int, now: float) -> None:
         if run.version != version or not self._is_running(run):
             return
         has_failed = run.payload.fail or (run.fails_at is not None and now >= run.fails_at)
         self._end(run, TaskEnd.FAILED if has_failed else TaskEnd.DONE, now)
 
-    def _watch_lease(self, run: Run) -> None:
-        self._events.push(run.lapses_at, partial(self._reach_lease_end, run))
+    def _schedule_lease_expiry(self, run: Run) -> None:
+        self._events.push(run.expires_at, partial(self._on_lease_expiry, run))
 
-    def _reach_lease_end(self, run: Run, now: float) -> None:
+    def _on_lease_expiry(self, run: Run, now: float) -> None:
         if not self._is_running(run):
             return
-        if run.lapses_at > now:
-            self._watch_lease(run)
+        if run.expires_at > now:
+            self._schedule_lease_expiry(run)
             return
         self._end(run, TaskEnd.LEASE_LAPSED, now)
 
--- a/src/galenastall/standin/workers_http_face.py
+++ b/src/galenastall/standin/worker_routes.py
@@ -8,7 +8,7 @@
 
 from galenastall.protocol.platform import StartBatch, WorkerService
 from galenastall.standin.memory_platform import MemoryPlatform
-from galenastall.standin.platform_http_face import respond, services_for
+from galenastall.standin.platform_routes import respond, services_for
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.registry import Registry
 from galenastall.transport.http_json import error_response, parse_json
@@ -45,7 +45,7 @@
     return add
 
 
-class WorkersFace:
+class WorkerRoutes:
     """Routes of all workers."""
 
     def __init__(self, *, model: MemoryPlatform, address_of: Callable[[str], str]) -> None:
--- a/src/galenastall/standin/workers.py
+++ b/src/galenastall/standin/workers.py
@@ -10,7 +10,7 @@
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.platform import StartBatch, TaskAnswer, WorkerListing
 from galenastall.standin.event_queue import EventQueue
-from galenastall.standin.faults import WorkerFaults, draw_fate
+from galenastall.standin.faults import WorkerFaults, draw_call_outcome
 from galenastall.standin.run_ledger import RunLedger
 from galenastall.standin.violations import ViolationLog
 from galenastall.standin.worker import MemoryWorker
@@ -152,18 +152,18 @@
         if worker is None or worker.faults.unreachable or worker.faults.down:
             return Failure(StepError(step=step, peer=address, reason=Reason.UNREACHABLE))
         faults = worker.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         command = _Command(worker=worker, step=step, effect=effect)
-        if not fate.lost:
-            self._events.push(fate.due, command.arrive)
+        if not outcome.lost:
+            self._events.push(outcome.due, command.arrive)
             self._events.settle()
         if command.answer is None:
             with trio.move_on_after(faults.call_timeout_s):
-                await self._wait_for(command, fate.due)
+                await self._wait_for(command, outcome.due)
         else:
             await trio.lowlevel.checkpoint()
-        if command.answer is None or fate.answer_lost:
-            await trio.sleep(faults.call_timeout_s if fate.answer_lost else 0)
+        if command.answer is None or outcome.answer_lost:
+            await trio.sleep(faults.call_timeout_s if outcome.answer_lost else 0)
             return Failure(StepError(step=step, peer=address, reason=Reason.TIMEOUT))
         return command.answer
 
--- a/tests/standin_cases.py
+++ b/tests/standin_cases.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Rig:
+class Harness:
     """What a case gets: the model to set knobs on and the services under test."""
 
     model: MemoryPlatform
@@ -61,14 +61,14 @@
         return self.model.clock.wall() + seconds
 
 
-OpenRig = Callable[[], AbstractAsyncContextManager[Rig]]
+OpenHarness = Callable[[], AbstractAsyncContextManager[Harness]]
 
 
 @asynccontextmanager
-async def open_memory_rig() -> AsyncIterator[Rig]:
+async def open_memory_harness() -> AsyncIterator[Harness]:
     hosts = tuple(make_hosts(SHAPE))
     model = MemoryPlatform(clock=TrioClock(wall_at_start=1e9), seed=1, hosts=hosts)
-    yield Rig(model=model, services=model.services(), hosts=hosts)
+    yield Harness(model=model, services=model.services(), hosts=hosts)
 
 
 def make_task(index: int = 0, *, payload: str = "", run_s: float | None = None) -> TaskSpec:
@@ -118,7 +118,7 @@
 
 
 @asynccontextmanager
-async def open_http_rig() -> AsyncIterator[Rig]:
+async def open_http_harness() -> AsyncIterator[Harness]:
     clock = TrioClock(wall_at_start=1e9)
     model = MemoryPlatform(clock=clock, seed=1)
     server = StandinServer(model=model, clock=clock, shape=SHAPE)
@@ -128,6 +128,6 @@
         services = build_http_platform(
             address=addresses.platform, client=client, clock=clock, timeout_s=CLIENT_TIMEOUT_S
         )
-        yield Rig(model=model, services=services, hosts=addresses.hosts)
+        yield Harness(model=model, services=services, hosts=addresses.hosts)
         await client.aclose()
         nursery.cancel_scope.cancel()
--- a/tests/test_platform_http_upstreams.py
+++ b/tests/test_platform_http_upstreams.py
@@ -9,7 +9,7 @@
 from trio.testing import MockClock
 
 from galenastall.protocol.platform import UpstreamAnswer, UpstreamCutError
-from galenastall.standin.lean_http import LeanAnswer, LeanRequest, LeanServer
+from galenastall.standin.lean_http import LeanRequest, LeanResponse, LeanServer
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.outcomes import Outcome
 from galenastall.transport.clock import TrioClock
@@ -33,10 +33,10 @@
 ) -> AsyncIterator[Result[UpstreamAnswer, StepError]]:
     """Call a server that answers with `data`, or never if that is None."""
 
-    async def answer(request: LeanRequest) -> LeanAnswer:
+    async def answer(request: LeanRequest) -> LeanResponse:
         if data is None:
             await trio.sleep_forever()
-        return LeanAnswer(data=data or b"", keeps_connection=False)
+        return LeanResponse(data=data or b"", keeps_connection=False)
 
     clock = TrioClock(wall_at_start=1e9)
     server = LeanServer(answer=answer)
--- a/tests/test_standin_server.py
+++ b/tests/test_standin_server.py
@@ -30,7 +30,7 @@
     make_call,
     make_task,
     one_chunk,
-    open_memory_rig,
+    open_memory_harness,
 )
 
 STREAM = StreamName("settings")
@@ -78,7 +78,7 @@
 
 
 class TestControl:
-    async def test_knobs_are_set_for_one_target_or_all(self, jumping_clock: MockClock) -> None:
+    async def test_faults_are_set_for_one_target_or_all(self, jumping_clock: MockClock) -> None:
         async with open_process() as process:
             control = process.control
             worker = process.host(HostKind.WORKER).host_id
@@ -103,7 +103,7 @@
                 ) as answer:
                     assert answer.unwrap().leaving
 
-    async def test_change_leaves_other_knobs_alone(self, jumping_clock: MockClock) -> None:
+    async def test_change_leaves_other_faults_alone(self, jumping_clock: MockClock) -> None:
         async with open_process() as process:
             control = process.control
             await control.set_executor_faults("all", ExecutorFaults(answer_bytes=500, late_s=3.0))
@@ -176,7 +176,7 @@
 
 
 class TestHosts:
-    async def test_raised_executor_serves_and_removed_one_does_not(
+    async def test_started_executor_serves_and_removed_one_does_not(
         self, jumping_clock: MockClock
     ) -> None:
         async with open_process() as process:
@@ -256,20 +256,20 @@
     async def test_answer_into_a_cut_is_lost_after_its_effect(
         self, jumping_clock: MockClock
     ) -> None:
-        async with open_memory_rig() as rig:
-            services = rig.model.services(caller=ENTRY)
-            rig.model.workers.set_faults(rig.worker, WorkerFaults(delay_s=1.0))
-            batch = make_batch(make_task(run_s=60), lease_until=rig.lease(30))
+        async with open_memory_harness() as harness:
+            services = harness.model.services(caller=ENTRY)
+            harness.model.workers.set_faults(harness.worker, WorkerFaults(delay_s=1.0))
+            batch = make_batch(make_task(run_s=60), lease_until=harness.lease(30))
             async with trio.open_nursery() as nursery:
 
                 async def cut() -> None:
                     await trio.sleep(0.5)
-                    rig.model.cuts.replace([Cut(caller=ENTRY, services=ALL_SERVICES)])
+                    harness.model.cuts.replace([Cut(caller=ENTRY, services=ALL_SERVICES)])
 
                 nursery.start_soon(cut)
-                started = await services.workers.start(address=rig.worker, batch=batch)
+                started = await services.workers.start(address=harness.worker, batch=batch)
             assert started.failure().may_have_taken_effect
-            assert rig.model.workers.ledger.running() == 1
+            assert harness.model.workers.ledger.running() == 1
 
 
 class TestBadClients:
@@ -320,7 +320,7 @@
             assert answers.startswith(b"HTTP/1.1 200 OK\r\n")
             assert answers.count(b"HTTP/1.1 404 Not Found\r\n") == 1
 
-    async def test_cut_answer_breaks_the_stream(self, jumping_clock: MockClock) -> None:
+    async def test_truncated_answer_breaks_the_stream(self, jumping_clock: MockClock) -> None:
         async with open_process() as process:
             host = process.host(HostKind.UPSTREAM)
             await process.control.set_executor_faults(host.host_id, ExecutorFaults(cut=1.0))
