--- a/src/galenastall/node/cell/advice_recovery.py
+++ b/src/galenastall/node/cell/advice_recovery.py
@@ -1,4 +1,4 @@
-"""A new leader collects the advice that hosts got for earlier leaders."""
+"""Lets a new leader collect the advice that hosts received for earlier leaders."""
 
 from collections.abc import Callable
 from typing import Final
@@ -6,7 +6,7 @@
 import trio
 from returns.result import Failure
 
-from galenastall.node.cell.advice_desk import ADVICE_SLACK_S, AdviceDesk
+from galenastall.node.cell.advice_dispatcher import ADVICE_SLACK_S, AdviceDispatcher
 from galenastall.node.cell.term_context import TermContext
 from galenastall.protocol.cell.messages import (
     AdviceAnswer,
@@ -21,21 +21,21 @@
 from galenastall.state.ids import HostId
 
 COLLECT_FOR_S: Final = 3.0
-"""How long hosts that a new leader hears for the first time are asked: tickets last for 2.5 s, and
-each host makes itself known within 0.5 s."""
+"""How long a new leader queries hosts that appear: tickets are valid for 2.5 s, and each host
+announces itself within 0.5 s."""
 ANSWER_WITHIN_S: Final = 0.5
-"""Wait for a host's answer, which takes some milliseconds."""
-FIRST_WITHIN_S: Final = 0.15
-"""How long the first decision waits for the answers: a question put before would be put twice, and
-takes a second. Executors have not yet told what they run either."""
-LOOK_EVERY_S: Final = 0.05
+"""Time-out for a host's answer, which takes some milliseconds."""
+FIRST_ANSWERS_WITHIN_S: Final = 0.15
+"""How long the first decision waits for the answers: without them it would repeat calls that take
+a second. Executors have not yet listed their runs by then either."""
+POLL_EVERY_S: Final = 0.05
 
 
 class AdviceRecovery:
-    """Asks each host once, and waits for the calls that are under way there.
+    """Queries each host once for cached answers, and awaits the call that is under way there.
 
-    Without it the hosts of a new leader are busy for up to 1.1 s with calls whose answers are lost,
-    and everything is asked again.
+    Without it the hosts are busy for up to 1.1 s with calls whose answers are lost, and the new
+    leader has to repeat all calls.
     """
 
     def __init__(
@@ -43,39 +43,39 @@
         *,
         context: TermContext,
         link: PeerLink,
-        desk: AdviceDesk,
-        helpers: Callable[[], tuple[HostId, ...]],
+        dispatcher: AdviceDispatcher,
+        available_hosts: Callable[[], tuple[HostId, ...]],
     ) -> None:
-        """Ask `helpers`, which include this host; `desk` is told which of them are busy."""
+        """Query `available_hosts`, which include this host, and keep `dispatcher` off busy ones."""
         self._context = context
         self._link = link
-        self._desk = desk
-        self._helpers = helpers
-        self._asked: set[HostId] = set()
+        self._dispatcher = dispatcher
+        self._available_hosts = available_hosts
+        self._queried: set[HostId] = set()
         self._unanswered: set[HostId] = set()
         self._answered = trio.Event()
-        """Set, and replaced, whenever a host has answered or failed to."""
+        """Set and replaced whenever a host has answered or its query has failed."""
         self._adopted = 0
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Collect; reports started once the hosts that are known have answered."""
+        """Collect advice; reports started once the known hosts have answered or timed out."""
         steps = self._context.core.inherited_advice.wanted_steps()
         until = trio.current_time() + COLLECT_FOR_S
         async with trio.open_nursery() as nursery:
-            self._ask_new(nursery, steps)
-            with trio.move_on_after(FIRST_WITHIN_S):
+            self._query_new_hosts(nursery, steps)
+            with trio.move_on_after(FIRST_ANSWERS_WITHIN_S):
                 while self._unanswered:
                     await self._answered.wait()
-            fields = {"hosts": str(len(self._asked)), "answers": str(self._adopted)}
+            fields = {"hosts": str(len(self._queried)), "answers": str(self._adopted)}
             self._context.note("advice.recovered", **fields)
             task_status.started()
             while trio.current_time() < until:
-                await trio.sleep(LOOK_EVERY_S)
-                self._ask_new(nursery, steps)
+                await trio.sleep(POLL_EVERY_S)
+                self._query_new_hosts(nursery, steps)
 
-    def _ask_new(self, nursery: trio.Nursery, steps: tuple[StepKey, ...]) -> None:
-        for host in set(self._helpers()) - self._asked:
-            self._asked.add(host)
+    def _query_new_hosts(self, nursery: trio.Nursery, steps: tuple[StepKey, ...]) -> None:
+        for host in set(self._available_hosts()) - self._queried:
+            self._queried.add(host)
             self._unanswered.add(host)
             nursery.start_soon(self._recover, nursery, host, RecoverAdvice(steps=steps))
 
@@ -94,7 +94,11 @@
         event.set()
 
     def _adopt(self, answers: tuple[CachedAdvice, ...], *, asked_at: float) -> None:
-        """Take a host's answers; it measured the tickets' time after it was asked."""
+        """Adopt a host's answers.
+
+        The host measured the tickets' remaining time after `asked_at`, so counting from `asked_at`
+        is safe.
+        """
         for kept in answers:
             self._adopted += self._context.core.inherited_advice.adopt(
                 kept.step,
@@ -107,19 +111,19 @@
 
     async def _await_call(self, host: HostId, call: PendingAdviceCall) -> None:
         core = self._context.core
-        ask = core.inherited_advice.begin(call.step, call.executor_ids, now=trio.current_time())
-        with self._desk.holding(host):
+        request = core.inherited_advice.begin(call.step, call.executor_ids, now=trio.current_time())
+        with self._dispatcher.holding(host):
             answer = await self._link.call(
                 peer=host,
                 message=AwaitAdvice(step=call.step),
                 timeout_s=max(call.left_s, 0.0) + ADVICE_SLACK_S,
             )
         now = trio.current_time()
-        if ask is None:
+        if request is None:
             return
         if isinstance(answer, Failure):
-            core.on_advice_failed(ask, now=now)
+            core.on_advice_failed(request, now=now)
         else:
             advice: AdviceAnswer = answer.unwrap()
-            core.on_advice(ask, advice.approved, validity_s=advice.validity_s, now=now)
+            core.on_advice(request, advice.approved, validity_s=advice.validity_s, now=now)
         self._context.wake()
--- a/src/galenastall/node/cell/standing.py
+++ b/src/galenastall/node/cell/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, as this host knows it: heartbeats, looks at the store, claims and terms."""
+"""This host's leadership state: heartbeats, reads of the store, claims and terms."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -12,7 +12,7 @@
 from galenastall.coordination.cell.timings import CellTimings
 from galenastall.coordination.cell.wait_reasons import WaitReason
 from galenastall.node.cell.handover import LeaderHandover
-from galenastall.node.cell.leader_desk import LeaderDesk
+from galenastall.node.cell.leader_handler import LeaderHandler
 from galenastall.node.cell.leader_search import LeaderSearch
 from galenastall.node.cell.leader_term import LeaderTerm, TermParts
 from galenastall.node.cell.membership import Membership
@@ -26,15 +26,15 @@
 from galenastall.transport.logs import Recorder
 
 TICK_S: Final = 0.05
-"""Between two looks at what to do about the leadership."""
+"""Interval between two steps of the election."""
 HELLO_EVERY_S: Final = 0.5
-"""Between two messages by which a standby makes itself known to the leader."""
+"""Interval between two `Hello` messages of a standby to the leader."""
 HANDOVER_TRIES: Final = 3
-"""Looks and claims at a handover; an append of the leader that stops may come in between."""
+"""Reads and claims at a handover: an append of the stopping leader between them fails a claim."""
 
 
-class Standing:
-    """Runs the election on this host, and the term when it wins."""
+class Leadership:
+    """Runs the election on this host, and a leader term whenever this host wins."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         timings: CellTimings,
         on_newer_config: Callable[[int], None],
     ) -> None:
-        """`on_newer_config` takes a version of the configuration that a leader has."""
+        """`on_newer_config` is called with the configuration version that a leader announces."""
         self._host_id = host_id
         self._members = members
         self._election = election
@@ -55,35 +55,35 @@
         self._on_newer_config = on_newer_config
         self._is_asked_to_claim = False
         self._has_claimed = False
-        """Whether this process has ever sent a claim; any other claim of this host is of an earlier
-        life."""
+        """Whether this process has sent a claim; otherwise a claim in this host's name is of an
+        earlier process."""
         self._link: PeerLink = parts.link
         self._recorder: Recorder = parts.recorder
         self._search = LeaderSearch(link=self._link, view=self)
         self.changed = trio.Event()
-        """Set, and replaced, whenever another host leads."""
+        """Set and replaced whenever the leader changes."""
         self.term: LeaderTerm | None = None
         """The term of this host, if it leads."""
-        self.desk: LeaderDesk | None = None
-        self._link.handle(Heartbeat, self._on_beat)
+        self.leader_handler: LeaderHandler | None = None
+        self._link.handle(Heartbeat, self._on_heartbeat)
         self._link.handle(TakeOver, self._on_take_over)
         self._link.handle(CanLead, self._on_can_lead)
 
     @property
     def leader(self) -> HostId | None:
-        """The host that leads, or None if none is heard."""
+        """The current leader; None if no heartbeat has arrived recently."""
         if self.term is not None:
             return self._host_id
-        return HostId(self._election.leader) if self.is_heard and self._election.leader else None
+        return HostId(self._election.leader) if self.has_leader and self._election.leader else None
 
     @property
-    def is_heard(self) -> bool:
-        """Whether this host leads or hears who does."""
+    def has_leader(self) -> bool:
+        """Whether this host leads or receives a leader's heartbeats."""
         return self.term is not None or self._election.has_recent_heartbeat(trio.current_time())
 
     @property
     def last_leader(self) -> str:
-        """The leader that was heard last; empty if none was."""
+        """The leader whose heartbeat arrived last; empty if none ever did."""
         return self._election.leader
 
     @property
@@ -98,50 +98,50 @@
 
     @property
     def token(self) -> int:
-        """Token of this host's term, or of the leader that it hears."""
+        """Token of this host's term, or of the leader that it follows."""
         return self.term.token if self.term is not None else self._election.token
 
     @property
     def job_count(self) -> int:
-        """Jobs that this host knows as leader."""
+        """Jobs in this host's state as leader; 0 unless it leads."""
         return len(self.term.core.jobs_by_id) if self.term is not None else 0
 
     @property
     def executor_count(self) -> int:
-        """Executors that this host knows as leader."""
+        """Executors in this host's table as leader; 0 unless it leads."""
         return len(self.term.core.executors_by_id) if self.term is not None else 0
 
     @property
     def waiting_by_reason(self) -> dict[WaitReason, int]:
-        """Steps that wait for this host as leader, by what kept them from starting."""
+        """Number of waiting steps by wait reason; empty unless this host leads."""
         return self.term.core.waiting_by_reason if self.term is not None else {}
 
     @property
     def used_by_workspace(self) -> dict[str, Resources]:
-        """What each workspace may have running, as this host knows it as leader."""
+        """Resources counted against each workspace's limit; empty unless this host leads."""
         return self.term.core.used_by_workspace if self.term is not None else {}
 
     @property
     def stopped_by_rule(self) -> dict[StopRule, int]:
-        """Runs that this host has stopped in its term as leader."""
+        """Runs stopped in this host's current term, by rule; empty unless this host leads."""
         return self.term.core.stopped_by_rule if self.term is not None else {}
 
     @property
     def last_append_s(self) -> float:
-        """How long this host's last append as leader took."""
+        """Duration of this host's last append as leader."""
         return self.term.last_append_s if self.term is not None else 0.0
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a leader is heard whom the store has just confirmed: callers may come here."""
+        """Whether the store has confirmed the current leader recently, so callers can be served."""
         longest_s = self._timings.ready_confirm_s
         if self.term is not None:
             return self.term.confirm_age_s <= longest_s
         return self._election.is_confirmed(trio.current_time(), longest_s)
 
-    def helpers(self) -> tuple[HostId, ...]:
-        """Return the hosts that can be asked to do something for the leader, itself included."""
-        return (self._host_id, *self._members.heard.fit(trio.current_time()))
+    def available_hosts(self) -> tuple[HostId, ...]:
+        """Return the hosts that can make calls on the leader's behalf, this one included."""
+        return (self._host_id, *self._members.peers.available(trio.current_time()))
 
     async def run(self) -> None:
         """Run the election until cancelled."""
@@ -153,13 +153,13 @@
                 await self._step(nursery)
                 await trio.sleep(TICK_S)
 
-    async def leave(self, patience_s: float) -> None:
-        """Hand the leadership over, if this host has it, and claim no more.
+    async def leave(self, timeout_s: float) -> None:
+        """Hand over the leadership if this host has it, and stop claiming it.
 
-        Waits up to `patience_s` for a slow store: a takeover in the midst of it costs a second.
+        Waits up to `timeout_s` while the store is slow: a takeover then takes a second longer.
         """
         self._members.is_leaving = True
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             while self.term is not None and self.term.is_store_slow:
                 await self.term.context.committed.wait()
         term = self.term
@@ -168,14 +168,14 @@
             if leader:
                 self._members.say_hello(leader)
             return
-        successor = self._members.heard.successor(trio.current_time())
-        term.give_up("this process stops")
+        successor = self._members.peers.successor(trio.current_time())
+        term.give_up("this process is stopping")
         if successor is not None:
             self._recorder.record("leader.hands_over", peer=successor)
             self._link.send(peer=successor, message=TakeOver(token=term.token))
 
     def _has_followers(self) -> bool:
-        return self._members.heard.has_followers(trio.current_time())
+        return self._members.peers.has_followers(trio.current_time())
 
     async def _step(self, nursery: trio.Nursery) -> None:
         if self.term is not None or self._members.is_leaving:
@@ -186,22 +186,23 @@
             return
         move = self._election.next_action(trio.current_time())
         if move is ElectionAction.POLL_STORE:
-            nursery.start_soon(self._look)
+            nursery.start_soon(self._read_store)
         elif move is ElectionAction.CLAIM:
-            # Another claim may have come since the last look; two claims cost a second takeover.
-            await self._look()
+            # Another host may have claimed since the last read; a second claim causes a second
+            # takeover.
+            await self._read_store()
             if self._election.next_action(trio.current_time()) is ElectionAction.CLAIM:
-                await self._claim(nursery, cause="no heartbeat, and the state's end stands still")
+                await self._claim(nursery, cause="no heartbeat, and no append to the state log")
 
     async def _take_over(self, nursery: trio.Nursery) -> None:
-        """Claim at the request of a leader that stops; its last append may still move the end."""
+        """Claim at a stopping leader's request; its last append may still move the log end."""
         for _ in range(HANDOVER_TRIES):
-            await self._look()
-            await self._claim(nursery, cause="the leader hands over")
+            await self._read_store()
+            await self._claim(nursery, cause="handover from the previous leader")
             if self.term is not None:
                 return
 
-    async def _look(self) -> None:
+    async def _read_store(self) -> None:
         answer = await self._parts.state.poll()
         if isinstance(answer, Failure):
             return
@@ -221,7 +222,9 @@
     async def _claim(self, nursery: trio.Nursery, *, cause: str) -> None:
         log_end = self._election.log_end
         if log_end is None:
-            self._recorder.record("leader.claim_failed", cause="the state's end is not known")
+            self._recorder.record(
+                "leader.claim_failed", cause="the end of the state log is not known"
+            )
             return
         claimed_at = trio.current_time()
         self._has_claimed = True
@@ -241,52 +244,54 @@
         self._recorder.record("leader.claimed", cause=cause, fields=fields)
         term = LeaderTerm(parts=self._parts, token=token, claimed_at=claimed_at)
         self.term = term
-        self.desk = LeaderDesk(term=term, host_id=self._host_id, has_followers=self._has_followers)
+        self.leader_handler = LeaderHandler(
+            term=term, host_id=self._host_id, has_followers=self._has_followers
+        )
         self._members.begin_term()
-        self._tell_changed()
+        self._notify_changed()
         nursery.start_soon(self._lead, term)
 
     async def _lead(self, term: LeaderTerm) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._beat_forever, term)
+            nursery.start_soon(self._send_heartbeats_forever, term)
             nursery.start_soon(self._handover_of(term).run)
             await term.run()
             nursery.cancel_scope.cancel()
         self.term = None
-        self.desk = None
+        self.leader_handler = None
         self._election.withdraw(trio.current_time() + self._timings.withdrawn_pause_s)
-        self._tell_changed()
+        self._notify_changed()
 
     def _handover_of(self, term: LeaderTerm) -> LeaderHandover:
         return LeaderHandover(
             term=term,
-            heard=self._members.heard,
+            peers=self._members.peers,
             weight=self._members.weight,
             lag=self._members.lag,
             link=self._link,
             recorder=self._recorder,
-            look=self._parts.state.poll,
+            read_store=self._parts.state.poll,
             on_behind=self._on_behind,
         )
 
     def _on_behind(self) -> None:
         self._members.refuse_to_lead(self._timings.fell_behind_pause_s)
 
-    async def _beat_forever(self, term: LeaderTerm) -> None:
+    async def _send_heartbeats_forever(self, term: LeaderTerm) -> None:
         while True:
-            self._beat(term)
+            self._send_heartbeat(term)
             await trio.sleep(self._timings.heartbeat_interval_s)
 
-    def _beat(self, term: LeaderTerm) -> None:
+    def _send_heartbeat(self, term: LeaderTerm) -> None:
         config: CellConfig | None = self._parts.config()
         plain = Heartbeat(
             token=term.token,
             address=self._members.address,
             confirm_age_s=term.confirm_age_s,
             config_version=config.version if config else 0,
-            heaviest=heaviest_of(self._members.heard.contenders(trio.current_time())),
+            heaviest=heaviest_of(self._members.peers.candidates(trio.current_time())),
         )
-        self._members.send_beats(plain)
+        self._members.send_heartbeats(plain)
 
     async def _say_hello(self) -> None:
         while True:
@@ -295,47 +300,49 @@
                 self._members.say_hello(leader)
             await trio.sleep(HELLO_EVERY_S)
 
-    def sight(self) -> LeaderAnswer:
-        """Return the leader that is heard here, for a host that hears none."""
+    def leader_answer(self) -> LeaderAnswer:
+        """Return the leader that this host follows, for a host that has none."""
         leader = self.leader
         if leader is None:
             return LeaderAnswer()
         known = self._members.address if self.is_leading else self._members.address_of(leader)
         return LeaderAnswer(token=self.token, host_id=leader, address=known)
 
-    def take_sight(self, found: LeaderAnswer) -> None:
-        """Follow a leader that another host hears, unless it is older than the one heard last."""
+    def on_leader_answer(self, found: LeaderAnswer) -> None:
+        """Follow a leader that another host named, unless its token is older than the last one."""
         is_other = found.address and found.host_id != self._host_id
-        if is_other and not self.is_heard and found.token >= self._election.token:
+        if is_other and not self.has_leader and found.token >= self._election.token:
             self._members.make_known_to(found.host_id, found.address)
 
-    async def _on_beat(self, sender: HostId, beat: Heartbeat) -> Any:
-        if self.term is not None and beat.token < self.term.token:
+    async def _on_heartbeat(self, sender: HostId, heartbeat: Heartbeat) -> Any:
+        if self.term is not None and heartbeat.token < self.term.token:
             return None
         now = trio.current_time()
-        heard = ReceivedHeartbeat(
-            token=beat.token,
+        received = ReceivedHeartbeat(
+            token=heartbeat.token,
             leader=sender,
             received_at=now,
-            confirm_age_s=beat.confirm_age_s,
-            heaviest=beat.heaviest,
+            confirm_age_s=heartbeat.confirm_age_s,
+            heaviest=heartbeat.heaviest,
         )
         before = self._election.leader, self._election.token
-        if not self._election.on_heartbeat(heard):
+        if not self._election.on_heartbeat(received):
             return None
-        if self.term is not None and beat.token > self.term.token:
+        if self.term is not None and heartbeat.token > self.term.token:
             self.term.give_up(f"{sender} leads with a higher token")
-        self._members.take_addresses(sender, beat)
+        self._members.learn_addresses(sender, heartbeat)
         if (self._election.leader, self._election.token) != before:
-            self._recorder.record("leader.heard", peer=sender, fields={"token": str(beat.token)})
+            self._recorder.record(
+                "leader.heard", peer=sender, fields={"token": str(heartbeat.token)}
+            )
             self._members.say_hello(sender)
-            self._tell_changed()
-        self._on_newer_config(beat.config_version)
+            self._notify_changed()
+        self._on_newer_config(heartbeat.config_version)
         return None
 
     async def _on_can_lead(self, sender: HostId, _: CanLead) -> Any:
         if self._members.is_leaving:
-            detail = "this host stops"
+            detail = "this host is stopping"
             return StepError(
                 step="leader.can_lead", peer=self._host_id, reason=Reason.REFUSED, detail=detail
             )
@@ -347,6 +354,6 @@
             self._is_asked_to_claim = True
         return None
 
-    def _tell_changed(self) -> None:
+    def _notify_changed(self) -> None:
         event, self.changed = self.changed, trio.Event()
         event.set()
--- a/src/galenastall/platform/job_routes.py
+++ b/src/galenastall/platform/job_routes.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Result
 
-from galenastall.node.cell.caller_desk import RETRY_AFTER_S, CallerDesk, Submitted
+from galenastall.node.cell.caller_handler import RETRY_AFTER_S, CallerHandler, SubmitOutcome
 from galenastall.platform.access import KEY_HEADER, Admission, KeyCheck
 from galenastall.platform.submissions import decode_job
 from galenastall.protocol.cell.config import CellConfig
@@ -49,7 +49,7 @@
     def __init__(
         self,
         *,
-        handler: CallerDesk,
+        handler: CallerHandler,
         config: ConfigSource,
         clock: Clock,
         recorder: Recorder,
@@ -94,10 +94,10 @@
 
     async def _submit(
         self, request: HttpRequest, admission: Admission, job: CellJob
-    ) -> Submitted | HttpResponse:
+    ) -> SubmitOutcome | HttpResponse:
         """Submit a job; if the leader's configuration is newer, admit the caller again."""
         may_be_stored = False
-        submitted = Submitted(verdict=SubmitVerdict.UNKNOWN)
+        submitted = SubmitOutcome(verdict=SubmitVerdict.UNKNOWN)
         for _ in range(MAX_ADMISSION_ATTEMPTS):
             submitted = await self._handler.submit(
                 job,
@@ -116,7 +116,7 @@
         return submitted
 
     def _submit_response(
-        self, request: HttpRequest, job_id: str, submitted: Submitted
+        self, request: HttpRequest, job_id: str, submitted: SubmitOutcome
     ) -> HttpResponse:
         if submitted.verdict is SubmitVerdict.ACCEPTED:
             return json_response(200, {})
--- a/src/galenastall/platform/process.py
+++ b/src/galenastall/platform/process.py
@@ -132,7 +132,7 @@
             lambda: float(self._log.dropped),
         )
         jobs = JobRoutes(
-            handler=self.host.desk,
+            handler=self.host.caller_handler,
             config=self.host.config,
             clock=self._clock,
             recorder=self.recorder,
--- a/tests/test_cell_hosts.py
+++ b/tests/test_cell_hosts.py
@@ -8,10 +8,10 @@
 import trio
 
 from cell.cluster import Cluster
-from cell.play import check_all_end, hand_in, play
+from cell.fault_injection import crashes, inject_faults
 from cell.rig import Harness, make_info, make_job, make_step
-from cell.trouble import crashes, trouble
-from cell.world import World
+from cell.scenarios import check_all_end, run_scenario, submit_jobs
+from cell.simulation import Simulation
 from galenastall.coordination.cell.availability import AVAILABLE_AFTER_S
 from galenastall.coordination.cell.commands import StartOrder
 from galenastall.coordination.cell.host_orders import HostOrder, HostOutcome
@@ -304,30 +304,30 @@
         assert following.core.hosts.take_ready() == [HostOrder(host="spare", pool="s")]
 
 
-async def random_waves(cluster: Cluster, world: World, rng: Random) -> None:
+async def random_waves(cluster: Cluster, world: Simulation, rng: Random) -> None:
     """Take down all hosts in turn, in two waves, under random faults."""
     await cluster.wait_for_leader()
     until = trio.current_time() + 30.0
     hosts = sorted({executor.info.host for executor in world.executors.values()})
     cluster.nursery.start_soon(crashes, world, rng, until)
-    cluster.nursery.start_soon(hand_in, cluster, world, rng, 40, 0.5)
+    cluster.nursery.start_soon(submit_jobs, cluster, world, rng, 40, 0.5)
     for number in (1, 2):
         wave = replace(make_wave(*hosts, most_down=number), number=number)
         world.hosts.waves.append(wave)
-        await trouble(cluster, world, rng, trio.current_time() + 15.0)
+        await inject_faults(cluster, world, rng, trio.current_time() + 15.0)
     world.faults.clear()
     for name in cluster.names:
         if name not in cluster.live:
             await cluster.start(name)
     await check_all_end(cluster)
     with trio.fail_after(60.0):
-        while world.hosts.told != {1: True, 2: True}:  # noqa: ASYNC110 - no event to wait for
+        while world.hosts.reported != {1: True, 2: True}:  # noqa: ASYNC110 - no event to wait for
             await trio.sleep(0.2)
 
 
 class TestUnreadableHostList:
     async def test_an_unreadable_list_is_logged_once(self, autojump_clock: object) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             leader = await cluster.wait_for_leader()
             world.faults.cut.add((leader, "hosts"))
             world.hosts.waves.append(make_wave("h0"))
@@ -337,25 +337,25 @@
             assert len(unreadable) == 1
             assert unreadable[0].cause
 
-        await play(scenario, seed=31)
+        await run_scenario(scenario, seed=31)
 
 
 class TestWavesUnderFaults:
     async def test_a_standby_host_is_added_when_capacity_runs_out(
         self, autojump_clock: object
     ) -> None:
-        async def scenario(cluster: Cluster, world: World, rng: Random) -> None:
+        async def scenario(cluster: Cluster, world: Simulation, rng: Random) -> None:
             world.hosts.pools["spare"] = "off"
             world.config = replace(world.config, standby_services=frozenset({"off"}))
             await cluster.wait_for_leader()
-            await hand_in(cluster, world, rng, 60, 0.01)
+            await submit_jobs(cluster, world, rng, 60, 0.01)
             await check_all_end(cluster)
             assert any(e.info.host == "spare" for e in world.executors.values())
 
-        await play(scenario, seed=30)
+        await run_scenario(scenario, seed=30)
 
     @pytest.mark.parametrize("seed", range(200, 206))
     async def test_limits_are_kept_and_waves_completed(
         self, autojump_clock: object, seed: int
     ) -> None:
-        await play(random_waves, seed=seed, executors=5)
+        await run_scenario(random_waves, seed=seed, executors=5)
