--- a/src/galenastall/__init__.py
+++ b/src/galenastall/__init__.py
@@ -1,4 +1,4 @@
-"""A cluster scheduler for unlike workloads that can account for every piece of work."""
+"""A cluster scheduler for mixed workloads that accounts for every unit of work."""
 
 from typing import Final
 
--- a/src/galenastall/__main__.py
+++ b/src/galenastall/__main__.py
@@ -4,7 +4,7 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command-line application."""
     app()
 
 
--- a/src/galenastall/cli/__init__.py
+++ b/src/galenastall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the command line."""
+"""The command-line interface."""
--- a/src/galenastall/cli/app.py
+++ b/src/galenastall/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line: all commands in one application."""
+"""The command-line application that holds all commands."""
 
 import typer
 
--- a/src/galenastall/cli/bench_commands.py
+++ b/src/galenastall/cli/bench_commands.py
@@ -1,4 +1,4 @@
-"""Commands of `galenastall bench`: scenarios, comparisons, slopes and the capacity page."""
+"""Commands of `galenastall bench`: scenarios, comparisons, cost slopes and the capacity page."""
 
 from enum import StrEnum
 from functools import partial
@@ -25,15 +25,15 @@
 from galenastall.coordination.cell.mechanisms import Mechanism
 
 SLOPE_MODULES = (core_slopes, peer_slopes, process_slopes, wire_slopes)
-"""Imported so that the registry of slopes is full."""
+"""Imported for their registrations in SLOPES."""
 SCENARIO_MODULES = scenarios.MODULES
-"""Imported so that the registry of scenarios is full."""
+"""Imported for their registrations in SCENARIOS."""
 
 DEFAULT_SLOPES_DIRECTORY = Path("docs/measurements/slopes")
 
 bench_app = typer.Typer(no_args_is_help=True, help="Measure and stress galenastall on one machine.")
 
-Directory = Annotated[Path, typer.Option(help="Directory that keeps the measured slopes.")]
+Directory = Annotated[Path, typer.Option(help="Directory with the measured slopes.")]
 
 
 @bench_app.command("slope")
@@ -43,7 +43,7 @@
     ] = None,
     directory: Directory = DEFAULT_SLOPES_DIRECTORY,
 ) -> None:
-    """Measure how costs grow with one size and keep the fits; takes seconds for each."""
+    """Measure how costs grow with one size and save the fits; takes seconds for each."""
     directory.mkdir(parents=True, exist_ok=True)
     for name in names or SLOPES.names():
         measured = measure_slope(name)
@@ -62,7 +62,7 @@
         Path | None, typer.Option(help="Page whose tables to replace, for example CAPACITY.md.")
     ] = None,
 ) -> None:
-    """Work out each role's cost at the size to design for, from the slopes kept."""
+    """Compute each role's cost at the design size from the saved slopes."""
     tables = render(directory)
     if write is None:
         typer.echo(tables)
@@ -71,7 +71,7 @@
 
 
 class Output(StrEnum):
-    """Forms of a result."""
+    """Output formats of a result."""
 
     TABLE = "table"
     JSON = "json"
@@ -80,7 +80,8 @@
 Name = Annotated[str, typer.Argument(help="A scenario; `galenastall bench list` names them.")]
 Seed = Annotated[int, typer.Option(help="Seed of all arrivals and faults.")]
 Scale = Annotated[
-    float, typer.Option(min=0.05, max=4.0, help="Share of the full duration; below 1 for trials.")
+    float,
+    typer.Option(min=0.05, max=4.0, help="Fraction of the full duration; below 1 for trials."),
 ]
 Keep = Annotated[
     Path | None, typer.Option(help="Directory for logs, settings files and the history.")
@@ -89,7 +90,7 @@
 
 @bench_app.command("list")
 def list_command() -> None:
-    """List the scenarios and what each shows."""
+    """List the scenarios and what each demonstrates."""
     for name, each in SCENARIOS:
         typer.echo(f"{name}: {each.shows}")
 
@@ -99,7 +100,7 @@
     name: Name,
     *,
     seed: Seed = 1,
-    output: Annotated[Output, typer.Option(help="Form of the result.")] = Output.TABLE,
+    output: Annotated[Output, typer.Option(help="Output format.")] = Output.TABLE,
     scale: Scale = 1.0,
     keep: Keep = None,
     plot: Annotated[
@@ -108,7 +109,7 @@
 ) -> None:
     """Run a scenario on real processes over loopback.
 
-    Exits with 0 if all aims are met and no invariant is broken, with 1 otherwise.
+    Exits with 0 if all objectives are met and no invariant is violated, with 1 otherwise.
     """
     directory = keep or Path(mkdtemp(prefix="galenastall-bench-"))
     settings = ExperimentSettings(seed=seed, directory=directory, scale=scale)
@@ -123,8 +124,8 @@
 def cell_load_command(
     workload: Annotated[Path, typer.Argument(help="A workload file, as in examples/cell-load.")],
     *,
-    seeds: Annotated[int, typer.Option(help="Seeds to play, from 0 on.")] = 10,
-    jobs: Annotated[int, typer.Option(help="Seeds played at a time, 1 to 4.")] = 1,
+    seeds: Annotated[int, typer.Option(help="Number of seeds to simulate, from 0 on.")] = 10,
+    jobs: Annotated[int, typer.Option(help="Seeds simulated in parallel, 1 to 4.")] = 1,
     without: Annotated[
         list[Mechanism] | None, typer.Option(help="A mechanism to switch off; may be repeated.")
     ] = None,
@@ -136,9 +137,9 @@
         Path | None, typer.Option(help="File for a plot of the first seed, .svg or .png.")
     ] = None,
 ) -> None:
-    """Play a load on the leader of a cell in virtual time, against emulated executors.
+    """Simulate a load on the leader of a cell in virtual time, with emulated executors.
 
-    Exits with 1 if anything happened that must never happen, with 2 on bad input.
+    Exits with 1 if an invariant was violated, with 2 on bad input.
     """
     try:
         figures, plays = run_seeds(
@@ -150,7 +151,7 @@
         raise typer.Exit(2) from error
     typer.echo(cell_load_table(figures))
     for difference in () if earlier is None else differences(earlier, figures):
-        typer.echo(f"against the earlier report, {difference}")
+        typer.echo(f"compared with the earlier report, {difference}")
     if report is not None:
         save_figures(figures, report)
     if plot is not None:
--- a/src/galenastall/cli/daemon_commands.py
+++ b/src/galenastall/cli/daemon_commands.py
@@ -20,13 +20,13 @@
 
 
 def node(settings: SettingsOption) -> None:
-    """Run an entry host until SIGTERM or SIGINT, then drain and leave; a second signal ends it.
+    """Run an entry host until SIGTERM or SIGINT, then drain it; a second signal aborts this.
 
-    Writes one line of JSON to standard output once it is bound, with the addresses that it listens
-    on, and its log as JSON to standard error.
+    Once its ports are bound, writes one line of JSON with its listening addresses to standard
+    output; writes its log as JSON to standard error.
 
-    Exit codes: 0 drained and cut nothing off, 1 requests were cut off or a second signal broke the
-    drain off, 2 the settings are unusable.
+    Exit codes: 0 drained without interrupting a request, 1 requests were interrupted or a second
+    signal aborted the drain, 2 the settings are invalid.
     """
     loaded = load_process_settings(settings)
     if isinstance(loaded, Failure):
@@ -43,11 +43,11 @@
 def standin(settings: SettingsOption) -> None:
     """Run a stand-in of the platform, its workers and its upstreams until SIGTERM or SIGINT.
 
-    Writes one line of JSON to standard output once all is up, with the addresses of the log and
-    host list (`platform`), the knobs (`control`) and all hosts, and its log as JSON to standard
-    error.
+    Once every service is reachable, writes one line of JSON to standard output with the addresses
+    of the log and host list (`platform`), the control port (`control`) and all hosts; writes its
+    log as JSON to standard error.
 
-    Exit codes: 0 stopped by a signal, 2 the settings are unusable.
+    Exit codes: 0 stopped by a signal, 2 the settings are invalid.
     """
     loaded = load_standin_settings(settings)
     if isinstance(loaded, Failure):
@@ -58,7 +58,7 @@
 
 
 def print_event(event: object) -> None:
-    """Write one line of JSON to standard output, for whoever started this process."""
+    """Write one line of JSON to standard output for the parent process."""
     sys.stdout.write(msgspec.json.encode(event).decode() + "\n")
     sys.stdout.flush()
 
--- a/src/galenastall/cli/entry_client.py
+++ b/src/galenastall/cli/entry_client.py
@@ -21,7 +21,7 @@
 EntryOption = Annotated[
     str,
     typer.Option(
-        "--entry", envvar="GALENASTALL_ENTRY", help="IP:port of an entry host's HTTP side."
+        "--entry", envvar="GALENASTALL_ENTRY", help="IP:port of an entry host's HTTP server."
     ),
 ]
 
@@ -35,7 +35,7 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = DEFAULT_TIMEOUT_S,
 ) -> Result[WholeAnswer, StepError]:
-    """Make one call and return its whole answer, whatever its status."""
+    """Make one call and return the buffered response, whatever its status."""
     try:
         split_address(entry)
     except ValueError as error:
@@ -64,7 +64,7 @@
 def call_entry_json(
     *, entry: str, method: str, path: str, message: Any = None
 ) -> Result[Any, StepError]:
-    """Make one call with JSON both ways; an error status becomes its typed error."""
+    """Send and receive JSON; an error status becomes a StepError."""
     body = b"" if message is None else msgspec.json.encode(message)
     headers = {"content-type": "application/json"} if body else {}
     match call_entry(entry=entry, method=method, path=path, body=body, headers=headers):
--- a/src/galenastall/cli/exit_codes.py
+++ b/src/galenastall/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of all commands; scripts may rely on them."""
+"""Exit codes of all commands, a stable interface for scripts."""
 
 from enum import IntEnum
 
@@ -6,19 +6,19 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says."""
+    """Meanings of the exit codes."""
 
     OK = 0
     FAILED = 1
-    """It ran and the answer is bad: a failed request, a job that failed."""
+    """It ran and failed: a failed request or job."""
     USAGE = 2
-    """Bad input: nothing was done."""
+    """Bad input; nothing was done."""
     REFUSED = 3
-    """Refused or in conflict: nothing was done."""
+    """Refused or in conflict; nothing was done."""
     UNREACHABLE = 4
-    """No entry host answered, or it can't do it now: nothing was done."""
+    """The entry host didn't answer or is temporarily unable to serve the call; nothing was done."""
     UNKNOWN = 5
-    """It may have taken effect; ask again by id."""
+    """The call may have taken effect; query it again by id."""
     NOT_FOUND = 6
 
 
@@ -43,5 +43,5 @@
 
 
 def exit_code_of(reason: Reason) -> ExitCode:
-    """Return the exit code that stands for a reason."""
+    """Return the exit code for the reason of an error."""
     return _CODES_BY_REASON[reason]
--- a/src/galenastall/cli/log_files.py
+++ b/src/galenastall/cli/log_files.py
@@ -1,4 +1,4 @@
-"""What log files tell of a job, without any live host."""
+"""Explain jobs from log files, without contacting a host."""
 
 import sys
 from collections.abc import Iterator
@@ -13,19 +13,19 @@
 from galenastall.coordination.cell.explain_waiting import format_waits, waits_of
 
 LONGEST_WAITS: Final = 10
-"""Jobs told one by one after the sums by queue."""
+"""Jobs listed individually after the totals by queue."""
 
 LogsOption = Annotated[
     list[str] | None,
     typer.Option(
         "--logs",
-        help="Tell it from log lines instead: a file, a folder, or - for standard input.",
+        help="Read log lines instead of asking a host: a file, a folder, or - for standard input.",
     ),
 ]
 
 
 def show_explanation(job: str, logs: list[str]) -> None:
-    """Say what became of a job: the cause first, then delays, then all lines."""
+    """Print the outcome of a job with its cause, then its delays, then all its log lines."""
     summary = explain_job(_read(logs), job)
     typer.echo(summary.verdict)
     for delay in summary.delays:
@@ -34,7 +34,7 @@
 
 
 def show_waits(logs: list[str]) -> None:
-    """Say by queue what jobs waited for, which waited longest, and what the leader told of it."""
+    """Print by queue the reported wait reasons, what jobs waited for and the longest waits."""
     lines = _read(logs)
     reasons = format_reasons(reasons_by_queue(lines))
     for text in [*reasons, *format_waits(waits_of(lines), longest=LONGEST_WAITS)]:
@@ -42,7 +42,7 @@
 
 
 def show_lines(job: str, logs: list[str]) -> None:
-    """Show a job's lines, and what happened to leaders and the store meanwhile."""
+    """Print a job's log lines with the events of leaders and the store during its life."""
     _show(explain_job(_read(logs), job).lines)
 
 
--- a/src/galenastall/cli/ops_commands.py
+++ b/src/galenastall/cli/ops_commands.py
@@ -21,7 +21,7 @@
 
 
 class TimelineFormat(StrEnum):
-    """How a time line is written."""
+    """Output formats of a time line."""
 
     TEXT = "text"
     JSON = "json"
@@ -35,15 +35,17 @@
     output: Annotated[
         TimelineFormat, typer.Option("--output", "-o", help="text, json, svg or png.")
     ] = TimelineFormat.TEXT,
-    file: Annotated[Path | None, typer.Option(help="Write here; standard output if none.")] = None,
+    file: Annotated[
+        Path | None, typer.Option(help="Output file; standard output by default.")
+    ] = None,
     logs: LogsOption = None,
 ) -> None:
-    """Show the events about an id over all processes, and which could not be reached.
+    """Show the events about an id from all processes, and which processes were unreachable.
 
-    An id that nobody knows, or that is forgotten, has no events; that is no error.
+    An id that is unknown or no longer kept has no events; this is not an error.
 
-    Exit codes: 0 shown, 2 a file can't be read or written, 4 no entry host answered or it can't
-    draw.
+    Exit codes: 0 shown, 2 a file can't be read or written, 4 no entry host answered or it
+    can't render the image.
     """
     if logs:
         show_lines(subject, logs)
@@ -60,16 +62,17 @@
 
 
 def explain(
-    subject: Annotated[str, typer.Argument(help="An id; not needed with --waiting.")] = "",
+    subject: Annotated[str, typer.Argument(help="Id to explain; not needed with --waiting.")] = "",
     entry: EntryOption = "",
     output: OutputOption = OutputFormat.TEXT,
     logs: LogsOption = None,
     *,
     waiting: Annotated[
-        bool, typer.Option("--waiting", help="With --logs: what all jobs waited for, by queue.")
+        bool,
+        typer.Option("--waiting", help="With --logs: show what all jobs waited for, by queue."),
     ] = False,
 ) -> None:
-    """Say why something waits, where it ran or why it was refused.
+    """Explain why something waits, where it ran or why it was refused.
 
     Exit codes: 0 shown, 2 a file can't be read, 4 no entry host answered.
     """
@@ -101,11 +104,11 @@
 
 
 def drain(entry: EntryOption, output: OutputOption = OutputFormat.TEXT) -> None:
-    """Ask an entry host to finish what it has, hand over and stop; warns in a log outage.
+    """Make an entry host finish its work, hand over its ownership and stop; warns in a log outage.
 
-    The answer comes at once; the process ends when it is done or its drain timeout has passed.
+    Returns at once; the process exits when it has drained or its drain timeout has passed.
 
-    Exit codes: 0 it drains, 4 no entry host answered, 5 no answer: it may drain.
+    Exit codes: 0 the drain has begun, 4 no entry host answered, 5 no answer: it may have begun.
     """
     result = call_entry_json(entry=entry, method="POST", path="/v1/drain", message={})
     if isinstance(result, Failure):
--- a/src/galenastall/cli/output.py
+++ b/src/galenastall/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing of answers, as text for people or JSON for programs."""
+"""Printing of results, as text for people or JSON for programs."""
 
 from enum import StrEnum
 from typing import Annotated, Any, NoReturn
@@ -11,7 +11,7 @@
 
 
 class OutputFormat(StrEnum):
-    """How a command prints data."""
+    """Output formats of a command."""
 
     TEXT = "text"
     JSON = "json"
@@ -21,7 +21,7 @@
 
 
 def print_value(value: Any, output: OutputFormat) -> None:
-    """Print plain data: as JSON, or a line for each field."""
+    """Print data as JSON, or as text with a line for each field."""
     if output is OutputFormat.JSON:
         typer.echo(msgspec.json.encode(value).decode())
         return
--- a/src/galenastall/cli/settings_commands.py
+++ b/src/galenastall/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""Commands for the shared tree: `settings show`, `apply`, `history` and `validate`."""
+"""Commands for the shared settings tree: `settings show`, `apply`, `history` and `validate`."""
 
 import uuid
 from pathlib import Path
@@ -22,7 +22,7 @@
 from galenastall.state.shared_settings import SharedSettings
 from galenastall.transport.http_client import WholeAnswer, error_of_answer
 
-settings_app = typer.Typer(help=f"Show and change the shared tree. {EXIT_CODE_HELP}")
+settings_app = typer.Typer(help=f"Show and change the shared settings tree. {EXIT_CODE_HELP}")
 
 _OK: Final = 200
 PROCESS_KEY: Final = "host_id"
@@ -45,14 +45,15 @@
     path: PathArgument = "",
     *,
     in_force: Annotated[
-        bool, typer.Option("--in-force", help="The whole tree with all defaults filled in.")
+        bool,
+        typer.Option("--in-force", help="Show the tree in force, with all defaults filled in."),
     ] = False,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
     """Show a subtree as it was set, and the revision that a change of it must be based on.
 
-    With --in-force the lines before the tree name the settings that this version keeps without
-    acting on them.
+    With --in-force a comment before the tree names the settings that this version stores but
+    ignores.
 
     Exit codes: 0 shown, 2 bad path, 4 no entry host answered or it is not ready.
     """
@@ -75,17 +76,17 @@
 @settings_app.command()
 def apply(
     entry: EntryOption,
-    author: Annotated[str, typer.Option(envvar="GALENASTALL_AUTHOR", help="Who changes it.")],
+    author: Annotated[str, typer.Option(envvar="GALENASTALL_AUTHOR", help="Author of the change.")],
     path: PathArgument = "",
     *,
     file: Annotated[Path | None, typer.Option(help="YAML with the new subtree.")] = None,
     value: Annotated[str | None, typer.Option(help="The new subtree as YAML text.")] = None,
-    remove: Annotated[bool, typer.Option("--remove", help="Go back to the defaults.")] = False,
+    remove: Annotated[bool, typer.Option("--remove", help="Reset to the defaults.")] = False,
     base: Annotated[
         int | None,
         typer.Option(
-            help="Revision that the change is based on, as `show` gave it; may be left out for a "
-            "path on which nothing was ever set."
+            help="Revision that the change is based on, as printed by `show`; optional for a path "
+            "that was never set."
         ),
     ] = None,
     change_id: Annotated[
@@ -93,11 +94,11 @@
     ] = None,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Replace a subtree, and answer once the change was read back from the log.
+    """Replace a subtree; returns once the change has been read back from the log.
 
-    A change by somebody else since --base makes it stale: show the path again and decide anew.
+    The change is stale if the path changed since --base: show it again and use its new revision.
     Exit codes: 0 accepted and in force, 2 invalid, 3 stale or not allowed, 4 nothing was submitted,
-    5 unknown: ask `settings status CHANGE_ID`, or repeat with the same --change-id and --base.
+    5 unknown: run `settings status CHANGE_ID`, or repeat with the same --change-id and --base.
     """
     subtree = _read_subtree(file=file, value=value, remove=remove)
     if base is None:
@@ -107,7 +108,7 @@
         base = int(shown.unwrap()["revision"])
         if base != NO_REVISION:
             fail_usage(
-                f"{path or 'the root'} was last set at {base}: look at it, give --base {base}"
+                f"{path or 'the root'} was last set at {base}: review it, then pass --base {base}"
             )
     change_id = change_id or str(uuid.uuid4())
     typer.echo(f"change id {change_id}, base {base}", err=True)
@@ -137,9 +138,9 @@
     entry: EntryOption,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Say what became of a change.
+    """Show the outcome of a change.
 
-    Exit codes: 0 known, 4 no entry host answered, 6 not seen in the log, or too long ago.
+    Exit codes: 0 known, 4 no entry host answered, 6 not in the log or no longer kept.
     """
     url = f"/v1/settings/changes/{quote(change_id, safe='')}"
     result = call_entry_json(entry=entry, method="GET", path=url)
@@ -150,7 +151,7 @@
 
 @settings_app.command()
 def history(entry: EntryOption, output: OutputOption = OutputFormat.TEXT) -> None:
-    """List the last changes and what was decided on them, oldest first.
+    """List the latest changes with their verdicts, oldest first.
 
     Exit codes: 0 shown, 4 no entry host answered.
     """
@@ -172,7 +173,7 @@
     file: Annotated[Path, typer.Argument(help="A shared tree, or the settings of a process.")],
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Check a file offline and name everything that is wrong in it.
+    """Check a file offline and print all problems in it.
 
     Exit codes: 0 valid, 2 not valid.
     """
@@ -201,7 +202,7 @@
         return
     without_effect = answer.headers.get(NO_EFFECT_HEADER, "")
     if without_effect:
-        typer.echo(f"# kept, but not acted on by this version: {without_effect}")
+        typer.echo(f"# stored, but not acted on by this version: {without_effect}")
     _print_yaml(tree)
 
 
@@ -223,7 +224,7 @@
         fail_usage(str(loaded.failure()))
     subtree = loaded.unwrap()
     if subtree is None:
-        fail_usage("the new subtree is empty: use --remove to go back to the defaults")
+        fail_usage("the new subtree is empty: use --remove to reset to the defaults")
     return subtree
 
 
--- a/src/galenastall/cli/tls_options.py
+++ b/src/galenastall/cli/tls_options.py
@@ -1,6 +1,6 @@
-"""Options of the whole command line that say how to talk TLS to an entry host.
+"""Global options for TLS connections to an entry host.
 
-They stand before the command, as they hold for all of them: `galenastall --ca-file ca.pem status`.
+They precede the command, as they apply to every one: `galenastall --ca-file ca.pem status`.
 """
 
 from contextvars import ContextVar
@@ -20,21 +20,21 @@
     typer.Option(
         "--tls",
         envvar="GALENASTALL_TLS",
-        help="Talk TLS and trust the system's authorities; implied by the other options.",
+        help="Use TLS and trust the system's authorities; implied by the other options.",
     ),
 ]
 CaFile = Annotated[
     Path | None,
     typer.Option(
         envvar="GALENASTALL_CA_FILE",
-        help="PEM of the authority that entry hosts' certificates must come from.",
+        help="PEM of the authority that must have issued entry hosts' certificates.",
     ),
 ]
 CertFile = Annotated[
     Path | None,
     typer.Option(
         envvar="GALENASTALL_CERT_FILE",
-        help="PEM of the certificate to show, where entry hosts ask for one.",
+        help="PEM of the client certificate, where entry hosts require one.",
     ),
 ]
 KeyFile = Annotated[
@@ -51,7 +51,7 @@
     cert_file: CertFile = None,
     key_file: KeyFile = None,
 ) -> None:
-    """Keep the options for the command's calls."""
+    """Store the TLS options for the calls of the command."""
     if not (tls or ca_file or cert_file or key_file):
         return
     chosen = ClientTls(ca_file=_text(ca_file), cert_file=_text(cert_file), key_file=_text(key_file))
@@ -64,7 +64,7 @@
 
 
 def current_tls() -> ClientTls | None:
-    """Return what the options of the running command say; None for plain HTTP."""
+    """Return the TLS options of the running command; None for plain HTTP."""
     return _chosen.get()
 
 
--- a/src/galenastall/cli/work_commands.py
+++ b/src/galenastall/cli/work_commands.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestResult:
-    """How a request ended, as one object."""
+    """Outcome and response of a request."""
 
     request_id: str
     outcome: str
@@ -31,7 +31,7 @@
     retry_after_ms: int | None
     body: str
     body_encoding: str
-    """`utf-8`, or `base64` if the answer is no such text."""
+    """`utf-8`, or `base64` if the body is not valid UTF-8."""
 
 
 submit_app = typer.Typer(no_args_is_help=True, help=f"Submit a job or a request. {EXIT_CODE_HELP}")
@@ -51,12 +51,12 @@
     entry: EntryOption,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Submit a job; "accepted" is said only once it is durable.
+    """Submit a job; it is reported as accepted only once it is durable.
 
-    Give the job an id of its own (job_id in the file), so that the command can be repeated.
+    Set an id (job_id in the file) to make the command safe to repeat.
 
-    Exit codes: 0 accepted, 2 the file makes no sense, 3 refused or another job has the id, 4 no
-    entry host answered or it can't accept now, 5 it may be accepted: repeat it with its id.
+    Exit codes: 0 accepted, 2 the file is invalid, 3 refused or another job has the id, 4 no entry
+    host answered or it can't accept now, 5 it may be accepted: repeat it with its id.
     """
     job = _read_mapping(file)
     _print_or_fail(
@@ -68,25 +68,26 @@
 def submit_request(  # noqa: PLR0917 (typer calls it by keyword)
     operation: Annotated[str, typer.Argument(help="Operation of the upstreams.")],
     entry: EntryOption,
-    team: Annotated[str, typer.Option(help="Team that asks.")],
+    team: Annotated[str, typer.Option(help="Team that the request belongs to.")],
     file: Annotated[Path | None, typer.Option(help="Body of the request; empty if none.")] = None,
     urgency: Annotated[str, typer.Option("--class", help="urgent, normal or backfill.")] = "normal",
-    deadline_ms: Annotated[int, typer.Option(help="Milliseconds until it is useless.")] = 30_000,
+    deadline_ms: Annotated[int, typer.Option(help="Deadline in milliseconds from now.")] = 30_000,
     idempotent: Annotated[
-        bool, typer.Option(help="Whether it may run twice; without it, at most once.")
+        bool,
+        typer.Option(help="The request may run more than once; otherwise it runs at most once."),
     ] = False,
-    key: Annotated[str, typer.Option(help="Idempotency key; repeats get the first answer.")] = "",
+    key: Annotated[str, typer.Option(help="Idempotency key; repeats get the first response.")] = "",
     request_id: Annotated[
-        str, typer.Option(help="Id for `status request:ID` and `timeline`; made up if empty.")
+        str, typer.Option(help="Id for `status request:ID` and `timeline`; generated if empty.")
     ] = "",
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Send one request; its answer goes to standard output, and how it ended to standard error.
+    """Send one request; prints its response to standard output and its outcome to standard error.
 
-    With --output json all of it goes to standard output as one object.
+    With --output json, prints both to standard output as one object.
 
     Exit codes: 0 done, 1 it ran and failed, 2 malformed, 3 not run, 4 no entry host answered, 5
-    nobody knows whether it ran.
+    it is unknown whether it ran.
     """
     request_id = request_id or uuid.uuid4().hex
     headers = {
@@ -126,10 +127,10 @@
     entry: EntryOption,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Cancel a job; the answer says which tasks never started, were stopped or were done.
+    """Cancel a job; prints which tasks never started, were stopped or had completed.
 
-    Exit codes: 0 cancelled, 4 no entry host answered or it can't now, 5 it may be cancelled: ask
-    again, 6 no such job.
+    Exit codes: 0 cancelled, 4 no entry host answered or it can't cancel now, 5 it may be cancelled:
+    repeat the command, 6 no such job.
     """
     path = f"/v1/jobs/{quote(job)}/cancel"
     _print_or_fail(call_entry_json(entry=entry, method="POST", path=path, message={}), output)
@@ -145,7 +146,7 @@
     """Show the state of a job, a request or the entry host.
 
     Exit codes: 0 shown, 4 no entry host answered or (without an item) it is not ready, 6 no such
-    job or request. Requests are known to the entry host that took them only.
+    job or request. A request is known only to the entry host that accepted it.
     """
     if not item:
         _show_host(entry, output)
--- a/src/galenastall/demo/__init__.py
+++ b/src/galenastall/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole path in one process: `python -m galenastall.demo`."""
+"""End-to-end demo in one process: `python -m galenastall.demo`."""
--- a/src/galenastall/demo/__main__.py
+++ b/src/galenastall/demo/__main__.py
@@ -1,6 +1,6 @@
-"""Send requests, a batch and a gang through entry hosts and print what became of each.
+"""Send requests, a batch and a gang through entry hosts and print their outcomes.
 
-First on the product's own stand-in, then the jobs again on that of the operations platform.
+Runs on the built-in stand-in first, then repeats the jobs on that of the operations platform.
 """
 
 import sys
@@ -43,7 +43,7 @@
 
 
 async def run_demo(examples: Path) -> bool:
-    """Run all of it; return whether everything came out as promised."""
+    """Run the demo on the built-in stand-in; return whether every step succeeded."""
     async with run_fleet(examples=examples, names=ENTRY_HOSTS) as fleet:
         _print_line("two entry hosts are ready:")
         for host in fleet.hosts:
@@ -86,7 +86,7 @@
         while not all(each.shared.current.teams for each in fleet.hosts):  # noqa: ASYNC110
             await trio.sleep(0.05)
         return bool(verdict.get("kind") == "accepted")
-    _print_line(f"they were not in force everywhere within {SETTINGS_TIMEOUT_S:.0f} s")
+    _print_line(f"settings were not in force on all hosts within {SETTINGS_TIMEOUT_S:.0f} s")
     return False
 
 
@@ -183,15 +183,13 @@
 
 
 def main() -> None:
-    """Run the demo from the repository's root; exit 1 if anything came out otherwise."""
+    """Run the demo from the repository's root; exits with 1 if any step failed."""
     examples = Path("examples")
     if not examples.is_dir():
         sys.exit("run the demo from the repository's root: no directory 'examples' here")
     has_passed = trio.run(run_demo, examples) and trio.run(run_platform_demo, _print_line)
     _print_line(
-        "everything came out as promised"
-        if has_passed
-        else "something did not come out as promised"
+        "all steps of the demo succeeded" if has_passed else "at least one step of the demo failed"
     )
     sys.exit(0 if has_passed else 1)
 
--- a/src/galenastall/demo/fleet.py
+++ b/src/galenastall/demo/fleet.py
@@ -1,4 +1,4 @@
-"""A stand-in platform and two entry hosts on loopback, fed from the example settings."""
+"""A stand-in platform and entry hosts on loopback, configured from the example settings."""
 
 import random
 from collections.abc import AsyncIterator
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DemoFleet:
-    """What runs."""
+    """The running stand-in and entry hosts, and a client to call them."""
 
     standin: StandinServer
     hosts: tuple[EntryHost, ...]
@@ -86,6 +86,6 @@
 
 
 async def _wait_ready(host: EntryHost) -> None:
-    # Polled like a balancer does: readiness has many causes and no single event.
+    # Polls like a load balancer: readiness depends on many conditions and has no single event.
     while host.not_ready_reasons():  # noqa: ASYNC110
         await trio.sleep(0.05)
--- a/src/galenastall/demo/platform_path.py
+++ b/src/galenastall/demo/platform_path.py
@@ -1,4 +1,4 @@
-"""Run the main jobs on the operations platform's stand-in, and lose the leader meanwhile."""
+"""Run jobs on the operations platform's stand-in and stop the leader while they run."""
 
 import os
 import tempfile
@@ -57,7 +57,7 @@
 
 
 async def run_platform_demo(print_line: PrintLine) -> bool:
-    """Run all of it; return whether everything came out as promised."""
+    """Run the jobs over a leader failure; return whether every step succeeded."""
     clock = TrioClock()
     plan = StandinPlan(executors_by_data_centre={"gangnam": 3, "mapo": 3})
     standin = PlatformStandin(plan=plan, clock=clock)
@@ -106,7 +106,7 @@
 
 @contextmanager
 def _open_null_device() -> Iterator[int]:
-    """Give a descriptor that swallows what is written."""
+    """Yield a descriptor of the null device."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     try:
         yield descriptor
@@ -126,7 +126,7 @@
     if status != UNAUTHORIZED:
         return False
     limit = WORKSPACE.limit
-    print_line(f"workspace {WORKSPACE.name} may have {limit.cores_milli // 1000} cores at once")
+    print_line(f"workspace {WORKSPACE.name} may use up to {limit.cores_milli // 1000} cores")
     for route, job_id, payload in (
         ("redaction", BATCH_ID, BATCH),
         ("packs", GANG_ID, GANG),
@@ -144,22 +144,22 @@
         await _wait_ended(caller, survivors[0].host, "redaction", BATCH_ID),
         await _wait_ended(caller, survivors[1].host, "packs", GANG_ID),
     ]
-    print_line(f"asked at the others: the batch is {states[0]}, the gang is {states[1]}")
+    print_line(f"states on the remaining hosts: batch {states[0]}, gang {states[1]}")
     new = next(each for each in survivors if each.process.host.leadership.is_leading)
     print_line(
-        f"{new.host.name} leads now; what its log, and that of the one before, say of the gang:"
+        f"{new.host.name} leads now; events of the gang in its log and the previous leader's:"
     )
     for line in _lines_about(GANG_ID, [leader, new]):
         print_line(f"  {line}")
     print_line(
         f"starts: {standin.simulation.starts}; "
-        f"rules broken: {standin.simulation.violations or 'none'}"
+        f"invariants violated: {standin.simulation.violations or 'none'}"
     )
     return states == ["completed", "completed"] and not standin.simulation.violations
 
 
 async def _wait_ended(caller: StandinCaller, host: StandinHost, route: str, job_id: str) -> str:
-    state = "not asked"
+    state = "not queried"
     with trio.move_on_after(JOB_TIMEOUT_S):
         while state not in {"completed", "failed", "cancelled"}:
             state = await caller.state(host, route, job_id)
--- a/src/galenastall/standin/__init__.py
+++ b/src/galenastall/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, used by the demo, the tests and the bench."""
+"""Stand-ins of the platform for the demo, the tests and the bench."""
--- a/src/galenastall/standin/__main__.py
+++ b/src/galenastall/standin/__main__.py
@@ -1,6 +1,6 @@
 """Run a stand-in process: `python -m galenastall.standin SETTINGS`.
 
-It prints its addresses as one line of JSON once everything can be reached.
+It prints its addresses as one line of JSON once every service is reachable.
 """
 
 import sys
@@ -17,13 +17,13 @@
 
 
 def print_addresses(addresses: StandinAddresses) -> None:
-    """Write the addresses as one line of JSON, so that a starter knows that all is up."""
+    """Write the addresses as one line of JSON, which tells the parent process that all is ready."""
     sys.stdout.write(msgspec.json.encode(addresses).decode() + "\n")
     sys.stdout.flush()
 
 
 def main(arguments: list[str]) -> int:
-    """Serve until told to stop; return the exit status."""
+    """Serve until a stop signal; return the exit status."""
     if len(arguments) != 1:
         sys.stderr.write("usage: python -m galenastall.standin SETTINGS\n")
         return USAGE_ERROR
--- a/src/galenastall/standin/caller_services.py
+++ b/src/galenastall/standin/caller_services.py
@@ -1,4 +1,4 @@
-"""The platform's services as one entry host reaches them, with its cuts."""
+"""The platform's services as one entry host reaches them, subject to its network cuts."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from contextlib import asynccontextmanager
@@ -29,7 +29,7 @@
 
 
 class _Gate:
-    """Loses what a cut caller sends, and the answers that come back into a cut."""
+    """Drops calls of a caller that is cut off, and responses that arrive during a cut."""
 
     def __init__(self, *, cuts: Cuts, caller: HostId, service: Service) -> None:
         self._cuts = cuts
@@ -169,7 +169,7 @@
 
 
 def services_of_caller(*, platform: Platform, cuts: Cuts, caller: HostId) -> Platform:
-    """Return the platform as `caller` reaches it."""
+    """Return the platform's services with the network cuts of `caller` applied."""
 
     def gate(service: Service) -> _Gate:
         return _Gate(cuts=cuts, caller=caller, service=service)
--- a/src/galenastall/standin/capacity.py
+++ b/src/galenastall/standin/capacity.py
@@ -1,8 +1,8 @@
-"""Measure what a stand-in process can take, so that a bench knows that it measures us.
+"""Measure the throughput of a stand-in process, to ensure that it is not a bench's bottleneck.
 
 `python -m galenastall.standin.capacity [SECONDS]` starts one stand-in process and loads it from
-this one in closed loops over raw sockets, with requests made by hand to be cheap; it prints one
-line of JSON for each case.
+this one in closed loops over raw sockets, with preformatted requests to keep the client cheap; it
+prints one line of JSON for each case.
 """
 
 import os
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Case:
-    """One kind of load."""
+    """One kind of load to measure."""
 
     name: str
     connections: int
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Figures:
-    """What a case gave."""
+    """Measurements of one case."""
 
     case: str
     requests_per_s: float
     cpu_us_per_request: float
     cores: float
-    """Processor time that the stand-in took a second."""
+    """CPU seconds that the stand-in used per second."""
     p50_ms: float
     p99_ms: float
     resident_mb: float
@@ -79,13 +79,13 @@
 
 
 def make_append(number: int, *, records: int) -> bytes:
-    """Return an append of some records of 200 bytes."""
+    """Return an append of `records` records of 200 bytes."""
     texts = tuple(f"{number:0200d}" for _ in range(records))
     return _post("/log/settings", msgspec.json.encode(AppendMessage(texts=texts)))
 
 
 def make_start(number: int, *, path: str) -> bytes:
-    """Return a start of some short tasks on one worker."""
+    """Return a start of BATCH short tasks on one worker."""
     starts = tuple(
         StartRequest(
             task=_make_task(number * BATCH + index),
@@ -149,7 +149,7 @@
 
 
 class _Load:
-    """Closed loops over some connections; latencies in seconds."""
+    """Closed-loop load over several connections; latencies in seconds."""
 
     def __init__(self) -> None:
         self.latencies: list[float] = []
@@ -182,7 +182,7 @@
 
 
 async def measure(case: Case, *, seconds: float) -> Figures:
-    """Load a fresh stand-in process and return what it took."""
+    """Load a new stand-in process and return the measurements."""
     with start_process(SETTINGS.format(mean_ms=case.mean_ms)) as (process, addresses):
         load = _Load()
         targets = case.plan(addresses)
@@ -209,7 +209,7 @@
 def start_process(
     settings: str,
 ) -> Iterator[tuple[subprocess.Popen[bytes], StandinAddresses]]:
-    """Start a stand-in process of these settings (YAML); stop it at the end."""
+    """Start a stand-in process with these settings (YAML); stop it when the context ends."""
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / "standin.yaml"
         path.write_text(settings)
@@ -238,7 +238,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run all cases, one after the other."""
+    """Run all cases in sequence."""
     seconds = float(arguments[0]) if arguments else DEFAULT_SECONDS
     for case in CASES:
         figures = trio.run(partial(measure, case, seconds=seconds))
--- a/src/galenastall/standin/control_client.py
+++ b/src/galenastall/standin/control_client.py
@@ -1,4 +1,4 @@
-"""Client of the stand-in's control side, for benches and end-to-end tests."""
+"""Client of the stand-in's control API, for benches and end-to-end tests."""
 
 from collections.abc import Mapping
 from typing import Any, Final, TypeVar
@@ -31,29 +31,29 @@
 
 
 class StandinControl:
-    """Knobs, hosts, counters and records of a running stand-in."""
+    """Controls a running stand-in: fault settings, hosts, counters and records."""
 
     def __init__(self, *, client: HttpClient, address: str) -> None:
-        """Talk to the stand-in whose platform side is at `address` (`IP:port`)."""
+        """Connect to the control API at `address` (`IP:port`)."""
         self._client = client
         self._address = address
 
     async def set_log_faults(self, faults: LogFaults) -> Result[Any, StepError]:
-        """Replace the log's knobs."""
+        """Replace the log's fault settings."""
         return await self._send("PUT", "faults/log", faults, dict[str, LogFaults])
 
     async def set_host_list_faults(self, faults: HostListFaults) -> Result[Any, StepError]:
-        """Replace the host list's knobs."""
+        """Replace the host list's fault settings."""
         return await self._send("PUT", "faults/host-list", faults, dict[str, HostListFaults])
 
     async def set_worker_faults(self, host: str, faults: WorkerFaults) -> Result[Any, StepError]:
-        """Replace a worker's knobs, or those of `all`."""
+        """Replace the fault settings of one worker, or of `all`."""
         return await self._send("PUT", f"faults/workers/{host}", faults, dict[str, WorkerFaults])
 
     async def set_executor_faults(
         self, host: str, faults: ExecutorFaults
     ) -> Result[Any, StepError]:
-        """Replace an executor's knobs, or those of `all`."""
+        """Replace the fault settings of one executor, or of `all`."""
         return await self._send(
             "PUT", f"faults/executors/{host}", faults, dict[str, ExecutorFaults]
         )
@@ -61,19 +61,22 @@
     async def change_faults(
         self, target: str, changes: Mapping[str, object]
     ) -> Result[Any, StepError]:
-        """Change only the named knobs of `log`, `host-list`, `workers/ID` or `executors/ID`."""
+        """Change only the named fault settings of a target.
+
+        Targets are `log`, `host-list`, `workers/ID` and `executors/ID`.
+        """
         return await self._send("PATCH", f"faults/{target}", changes, dict[str, Any])
 
     async def set_cuts(self, *cuts: Cut) -> Result[CutsMessage, StepError]:
-        """Put exactly these cuts in force."""
+        """Replace all network cuts."""
         return await self._send("PUT", "cuts", CutsMessage(cuts=cuts), CutsMessage)
 
     async def hosts(self) -> Result[tuple[ListedHost, ...], StepError]:
-        """Return the hosts as they are, without the list's lag."""
+        """Return the present hosts, without the list's lag."""
         return await self._send("GET", "hosts", None, tuple[ListedHost, ...])
 
     async def add_host(self, host: ListedHost) -> Result[ListedHost, StepError]:
-        """List a host; a worker or upstream without an address is brought up."""
+        """List a host; a worker or upstream without an address is also started."""
         return await self._send("POST", "hosts", host, ListedHost)
 
     async def set_host_state(
@@ -85,7 +88,7 @@
         )
 
     async def remove_host(self, host_id: HostId) -> Result[None, StepError]:
-        """Take a host down and off the list."""
+        """Stop a host and remove it from the list."""
         return await self._send("DELETE", f"hosts/{host_id}", None, type(None))
 
     async def trim(self, *, stream: StreamName, before: Offset) -> Result[None, StepError]:
@@ -95,7 +98,7 @@
         )
 
     async def counters(self) -> Result[StandinCounters, StepError]:
-        """Return what was counted since the start."""
+        """Return the counters since the start."""
         return await self._send("GET", "counters", None, StandinCounters)
 
     async def runs(self, *, start: int = 0) -> Result[RunPage, StepError]:
@@ -107,11 +110,11 @@
         return await self._send("GET", f"executions?start={start}", None, ExecutionPage)
 
     async def repeats(self) -> Result[Repeats, StepError]:
-        """Return what ran more than once on executors."""
+        """Return the requests and bodies that ran more than once on executors."""
         return await self._send("GET", "repeats", None, Repeats)
 
     async def violations(self) -> Result[ViolationReport, StepError]:
-        """Return the promises that the workers saw broken."""
+        """Return the invariant violations that the workers detected."""
         return await self._send("GET", "violations", None, ViolationReport)
 
     async def _send(
--- a/src/galenastall/standin/control_messages.py
+++ b/src/galenastall/standin/control_messages.py
@@ -1,4 +1,4 @@
-"""What the control side of the stand-in takes and answers."""
+"""Messages of the stand-in's control API."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -12,7 +12,7 @@
 from galenastall.state.ids import Offset, StreamName
 
 ALL_HOSTS: Final = "all"
-"""Stands for every host of a kind in place of a host id."""
+"""Selects every host of a kind, in place of a host id."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TrimMessage:
-    """A trim of a stream."""
+    """Drops a stream's records before an offset."""
 
     stream: StreamName
     before: Offset
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CutsMessage:
-    """All cuts that are to be in force."""
+    """The complete set of active network cuts."""
 
     cuts: tuple[Cut, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StandinCounters:
-    """What the stand-ins counted since their start."""
+    """Counters of the stand-ins since their start."""
 
     log: LogCounters
     worker_calls_by_host: dict[str, dict[str, int]]
@@ -52,25 +52,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunPage:
-    """Some of the task runs, in order of start."""
+    """A page of task runs, in order of start."""
 
     records: tuple[RunRecord, ...]
     next: int
-    """Where the next page starts."""
+    """Position at which the next page starts."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExecutionPage:
-    """Some of the executions, in order of arrival."""
+    """A page of executions, in order of arrival."""
 
     records: tuple[Execution, ...]
     next: int
-    """Where the next page starts."""
+    """Position at which the next page starts."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Repeats:
-    """What ran more than once on executors."""
+    """Run counts of requests and bodies that ran more than once on executors."""
 
     runs_by_request: dict[str, int]
     runs_by_body: dict[str, int]
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ViolationReport:
-    """Broken promises: all counted, the first ones in full."""
+    """Invariant violations: counts of all, and the first ones in full."""
 
     counts_by_kind: dict[str, int]
     kept: tuple[Violation, ...]
--- a/src/galenastall/standin/control_routes.py
+++ b/src/galenastall/standin/control_routes.py
@@ -1,4 +1,4 @@
-"""Control side of the stand-in over HTTP: knobs, hosts, counters, runs and violations."""
+"""Control API of the stand-in: fault settings, hosts, counters, runs and violations."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, fields
@@ -28,22 +28,22 @@
 from galenastall.transport.http_routes import route
 
 PAGE_RECORDS: Final = 10_000
-"""Runs or executions in one answer."""
+"""Maximum runs or executions in one response."""
 
 
 class HostManager(Protocol):
-    """Brings hosts up on ports of their own and takes them down."""
+    """Starts hosts on ports of their own and stops them."""
 
     def start_host(self, host: ListedHost) -> ListedHost:
-        """Bring up a host without an address and list it; one with an address is only listed."""
+        """Start a host without an address and list it; one with an address is only listed."""
 
     def remove_host(self, host_id: HostId) -> None:
-        """Take a host down and off the list; raises KeyError for an unknown host."""
+        """Stop a host and remove it from the list; raises KeyError for an unknown host."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _FaultAccessor:
-    """One replaceable set of faults."""
+    """Reads and replaces the fault settings of one target."""
 
     faults_type: type[Any]
     read: Callable[[], Any]
@@ -59,7 +59,7 @@
 
     @route("GET", "/control/faults/{target*}")
     async def faults(self, request: HttpRequest) -> HttpResponse:
-        """Return the knobs of one target by name."""
+        """Return a target's fault settings by name."""
         accessors = self._fault_accessors(request.path_params["target"])
         if not accessors:
             return _not_found(request, request.path_params["target"])
@@ -67,12 +67,12 @@
 
     @route("PUT", "/control/faults/{target*}")
     async def set_faults(self, request: HttpRequest) -> HttpResponse:
-        """Replace the knobs of `log`, `host-list`, `workers/<id>` or `executors/<id>`."""
+        """Replace fault settings of `log`, `host-list`, `workers/<id>` or `executors/<id>`."""
         return await self._write_faults(request, is_replacement=True)
 
     @route("PATCH", "/control/faults/{target*}")
     async def change_faults(self, request: HttpRequest) -> HttpResponse:
-        """Change the knobs that the body names and leave the others as they are."""
+        """Change only the fault settings that the body names."""
         return await self._write_faults(request, is_replacement=False)
 
     async def _write_faults(self, request: HttpRequest, *, is_replacement: bool) -> HttpResponse:
@@ -96,12 +96,12 @@
 
     @route("GET", "/control/cuts")
     async def cuts(self, request: HttpRequest) -> HttpResponse:
-        """Return the cuts in force."""
+        """Return the active network cuts."""
         return json_response(200, CutsMessage(cuts=self._model.cuts.current()))
 
     @route("PUT", "/control/cuts")
     async def set_cuts(self, request: HttpRequest) -> HttpResponse:
-        """Replace all cuts."""
+        """Replace all network cuts."""
         message = await parse_json(request, CutsMessage)
         if isinstance(message, Failure):
             return error_response(message.failure())
@@ -110,12 +110,12 @@
 
     @route("GET", "/control/hosts")
     async def hosts(self, request: HttpRequest) -> HttpResponse:
-        """Return the hosts as they are, without the list's lag."""
+        """Return the present hosts, without the list's lag."""
         return json_response(200, tuple(self._model.host_list.current().values()))
 
     @route("POST", "/control/hosts")
     async def add_host(self, request: HttpRequest) -> HttpResponse:
-        """List a host; a worker or upstream without an address is brought up."""
+        """List a host; a worker or upstream without an address is also started."""
         host = await parse_json(request, ListedHost)
         if isinstance(host, Failure):
             return error_response(host.failure())
@@ -135,7 +135,7 @@
 
     @route("DELETE", "/control/hosts/{host_id}")
     async def remove_host(self, request: HttpRequest) -> HttpResponse:
-        """Take a host down and off the list."""
+        """Stop a host and remove it from the list."""
         host_id = HostId(request.path_params["host_id"])
         if host_id not in self._model.host_list.current():
             return _not_found(request, host_id)
@@ -144,7 +144,7 @@
 
     @route("POST", "/control/trim")
     async def trim(self, request: HttpRequest) -> HttpResponse:
-        """Drop a stream's oldest records."""
+        """Drop a stream's records older than an offset."""
         message = await parse_json(request, TrimMessage)
         if isinstance(message, Failure):
             return error_response(message.failure())
@@ -154,7 +154,7 @@
 
     @route("GET", "/control/counters")
     async def counters(self, request: HttpRequest) -> HttpResponse:
-        """Return what was counted since the start."""
+        """Return the counters since the start."""
         return json_response(200, counters_of(self._model))
 
     @route("GET", "/control/runs")
@@ -176,7 +176,7 @@
 
     @route("GET", "/control/repeats")
     async def repeats(self, request: HttpRequest) -> HttpResponse:
-        """Return what ran more than once on executors."""
+        """Return the requests and bodies that ran more than once on executors."""
         log = self._model.executors.log
         repeats = Repeats(
             runs_by_request=log.repeated_requests(), runs_by_body=log.repeated_bodies()
@@ -185,7 +185,7 @@
 
     @route("GET", "/control/violations")
     async def violations(self, request: HttpRequest) -> HttpResponse:
-        """Return the promises that the workers saw broken."""
+        """Return the invariant violations that the workers detected."""
         self._model.workers.settle()
         seen = self._model.workers.violations
         report = ViolationReport(counts_by_kind=dict(seen.counts_by_kind), kept=tuple(seen.kept))
@@ -246,7 +246,7 @@
 
 
 def counters_of(model: MemoryPlatform) -> StandinCounters:
-    """Return what the stand-ins counted since their start."""
+    """Return the counters of the stand-ins since their start."""
     model.workers.settle()
     return StandinCounters(
         log=model.log.counters,
@@ -266,7 +266,7 @@
 def _parse_faults(
     request: HttpRequest, kept: dict[str, Any], changes: dict[str, Any], faults_type: type[Any]
 ) -> Result[Any, StepError]:
-    """Return the knobs; INVALID also for a key that is none of theirs."""
+    """Parse fault settings; returns INVALID also for an unknown key."""
     allowed = sorted(field.name for field in fields(faults_type))
     unknown = sorted(set(changes) - set(allowed))
     if unknown:
@@ -282,7 +282,9 @@
 
 
 def _not_found(request: HttpRequest, name: str) -> HttpResponse:
-    return error_response(_error(request, Reason.NOT_FOUND, f"nothing is named {name!r} here"))
+    return error_response(
+        _error(request, Reason.NOT_FOUND, f"no host or fault target named {name!r}")
+    )
 
 
 def _error(request: HttpRequest, reason: Reason, detail: str) -> StepError:
--- a/src/galenastall/standin/cuts.py
+++ b/src/galenastall/standin/cuts.py
@@ -1,4 +1,4 @@
-"""Network cuts between entry hosts and the platform's services, by caller."""
+"""Simulated network cuts between entry hosts and the platform's services, by caller."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Service(StrEnum):
-    """What a caller can be cut off from."""
+    """Services that a caller can be cut off from."""
 
     LOG = "log"
     HOST_LIST = "host_list"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Cut:
-    """One caller and what it can't reach; requests and answers both get lost."""
+    """A caller and the services it can't reach; requests and responses are both lost."""
 
     caller: str
     """Host id of an entry host."""
@@ -32,19 +32,19 @@
 
 
 class Cuts:
-    """All cuts in force."""
+    """All active network cuts."""
 
     def __init__(self) -> None:
         self._services_by_caller: dict[str, frozenset[Service]] = {}
         self.timeout_s = DEFAULT_CALL_TIMEOUT_S
-        """Seconds of silence before an in-process caller gets TIMEOUT."""
+        """Seconds without a response before an in-process caller gets TIMEOUT."""
 
     def replace(self, cuts: Iterable[Cut]) -> None:
-        """Put these cuts in force and heal all others."""
+        """Activate these cuts and remove all others."""
         self._services_by_caller = {cut.caller: cut.services for cut in cuts}
 
     def current(self) -> tuple[Cut, ...]:
-        """Return the cuts in force."""
+        """Return the active cuts."""
         return tuple(
             Cut(caller=caller, services=services)
             for caller, services in self._services_by_caller.items()
@@ -55,6 +55,6 @@
         return service in self._services_by_caller.get(caller, frozenset())
 
     async def time_out(self, *, step: str, peer: str) -> StepError:
-        """Return what the caller learns from silence, once it has waited."""
+        """Wait for the time-out and return the error that the caller gets."""
         await trio.sleep(self.timeout_s)
         return StepError(step=step, peer=peer, reason=Reason.TIMEOUT, detail="cut off")
--- a/src/galenastall/standin/echo.py
+++ b/src/galenastall/standin/echo.py
@@ -1,4 +1,4 @@
-"""Bodies of executors' answers, from which a checker tells a foreign or a cut one.
+"""Response bodies of executors, from which a checker detects misrouted and truncated responses.
 
 The first line names the request, the attempt, the executor and the digest of the request's body;
 filler follows, and the last line is the digest of everything before it.
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Echo:
-    """What an answer says of itself."""
+    """Identity fields of a response."""
 
     request_id: str
     attempt_id: str
@@ -25,34 +25,34 @@
 
 
 class EchoVerdict(StrEnum):
-    """What a checker thinks of an answer's body."""
+    """Result of checking a response body."""
 
     OWN = "own"
     FOREIGN = "foreign"
-    """Whole, but another request's."""
+    """Complete, but the response to another request."""
     CUT = "cut"
-    """Not whole, or not an executor's answer at all."""
+    """Truncated, or not an executor's response at all."""
 
 
 def digest(body: bytes) -> str:
-    """Return the digest that echoes use."""
+    """Return the digest used in response bodies."""
     return xxhash.xxh3_64_hexdigest(body)
 
 
 def encode_echo(echo: Echo, *, size: int) -> bytes:
-    """Return an answer body of about `size` bytes, and never less than its two lines need."""
+    """Return a response body of about `size` bytes, but at least the size of its two lines."""
     head = f"{echo.request_id} {echo.attempt_id} {echo.executor} {echo.body_digest}\n".encode()
     filler = b"." * max(0, size - len(head) - DIGEST_BYTES - 2)
-    whole = head + filler + b"\n"
-    return whole + digest(whole).encode() + b"\n"
+    content = head + filler + b"\n"
+    return content + digest(content).encode() + b"\n"
 
 
 def decode_echo(body: bytes) -> Echo | None:
-    """Return what a whole answer says; None if it was cut or altered."""
-    whole, last = body[: -DIGEST_BYTES - 1], body[-DIGEST_BYTES - 1 :]
-    if digest(whole).encode() + b"\n" != last:
+    """Parse a complete response; None if it was truncated or altered."""
+    content, last = body[: -DIGEST_BYTES - 1], body[-DIGEST_BYTES - 1 :]
+    if digest(content).encode() + b"\n" != last:
         return None
-    fields = whole.split(b"\n", 1)[0].decode(errors="replace").split(" ")
+    fields = content.split(b"\n", 1)[0].decode(errors="replace").split(" ")
     if len(fields) != 4:  # noqa: PLR2004 - the four fields written above
         return None
     request_id, attempt_id, executor, body_digest = fields
@@ -62,7 +62,7 @@
 
 
 def check_echo(body: bytes, *, request_id: str, request_body: bytes) -> EchoVerdict:
-    """Return whether a body is the whole answer to this request."""
+    """Check whether a body is the complete response to this request."""
     echo = decode_echo(body)
     if echo is None:
         return EchoVerdict.CUT
--- a/src/galenastall/standin/event_queue.py
+++ b/src/galenastall/standin/event_queue.py
@@ -1,7 +1,7 @@
-"""Due events in order of time, settled when somebody next looks.
+"""Timed events that run lazily, in order of time.
 
-The stand-ins need no background tasks: whatever should have happened by now happens, in order,
-before the next call sees the state.
+The stand-ins need no background tasks: all events that are due run, in order, before the next
+call reads the state.
 """
 
 import heapq
@@ -11,7 +11,7 @@
 
 
 class EventQueue:
-    """A heap of callbacks; each gets the runtime seconds at which it was due."""
+    """A heap of callbacks; each receives the runtime seconds at which it was due."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -20,14 +20,14 @@
         self._last = float("-inf")
 
     def push(self, due: float, callback: Callable[[float], None]) -> None:
-        """Call back at `due`, in runtime seconds; never if that is infinite."""
+        """Schedule a callback at `due`, in runtime seconds; it never runs if that is infinite."""
         if due == float("inf"):
             return
         self._count += 1
         heapq.heappush(self._heap, (due, self._count, callback))
 
     def settle(self) -> float:
-        """Run all callbacks that are due; return the present."""
+        """Run all callbacks that are due; return the current time."""
         now = self._clock.now()
         while self._heap and self._heap[0][0] <= now:
             due, _, callback = heapq.heappop(self._heap)
--- a/src/galenastall/standin/executor.py
+++ b/src/galenastall/standin/executor.py
@@ -1,6 +1,7 @@
-"""Stand-in of one executor: slots, service times and faults; no I/O, only decisions.
+"""Model of one executor: slots, service times and faults, without I/O.
 
-Both faces, in process and HTTP, take an `ExecutorPlan` from here and carry it out with one sleep.
+The in-process and the HTTP interface both get an `ExecutorPlan` from here and execute it with one
+sleep.
 """
 
 import random
@@ -23,42 +24,42 @@
 
 
 class Verdict(StrEnum):
-    """What an executor does with a call."""
+    """How an executor handles a call."""
 
     RUN = "run"
-    """It runs and answers."""
+    """It runs and succeeds."""
     RUN_AND_FAIL = "run_and_fail"
-    """It runs and answers that it failed."""
+    """It runs and reports a failure."""
     FULL = "full"
-    """Refused, not run: no slot or no connection."""
+    """Refused without running: no free slot or connection."""
     TOO_LATE = "too_late"
-    """Refused, not run: past the not-after time."""
+    """Refused without running: past the not-after time."""
     LOST = "lost"
-    """Never arrived: not run, and nobody says so."""
+    """Never arrived: not run, and no response is sent."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExecutorPlan:
-    """What will become of one call."""
+    """The planned handling of one call."""
 
     verdict: Verdict
     answer_at: float
-    """Runtime seconds at which the answer leaves."""
+    """Runtime seconds at which the response is sent."""
     body: bytes
     sent_bytes: int
-    """Bytes of the body that leave; fewer than it has if the answer is cut."""
+    """Bytes of the body that are sent; fewer than its length if the response is truncated."""
     is_lost: bool
-    """Whether the answer never leaves."""
+    """Whether the response is never sent."""
     leaving: bool
 
     @property
     def is_cut(self) -> bool:
-        """Whether the answer breaks off."""
+        """Whether the response is truncated."""
         return self.sent_bytes < len(self.body)
 
 
 class Arrival:
-    """One call on its way into an executor."""
+    """A call whose body has been received."""
 
     def __init__(self, *, call: UpstreamCall, body: bytes, is_answer_lost: bool) -> None:
         self.call = call
@@ -69,7 +70,7 @@
 
 
 class MemoryExecutor:
-    """State of one executor."""
+    """State machine of one executor."""
 
     def __init__(
         self,
@@ -95,7 +96,7 @@
         self._slot_clock = SlotClock(slots=slots)
 
     def set_faults(self, faults: ExecutorFaults) -> None:
-        """Replace the knobs; what waited for a resume is taken now."""
+        """Replace the fault settings; unless paused, start the calls held during a pause."""
         self.faults = faults
         if faults.paused:
             return
@@ -104,9 +105,9 @@
             self.receive(arrival)
 
     def receive(self, arrival: Arrival) -> None:
-        """Plan a call whose body has come in whole, or keep it until a resume.
+        """Plan a call with its complete body, or hold it while the executor is paused.
 
-        It arrives after the network's delay, and runs even if the caller gives up before.
+        It arrives after the network delay, and runs even if the caller has timed out by then.
         """
         if self.faults.paused:
             self._inbox.append(arrival)
@@ -130,11 +131,11 @@
         return self._run(arrival, now)
 
     def plan_loss(self) -> ExecutorPlan:
-        """Return what becomes of a call that never arrived."""
+        """Return the plan of a call that never arrives."""
         return self._refusal(Verdict.LOST, self._clock.now())
 
     def busy(self) -> int:
-        """Return how many slots are taken now."""
+        """Return how many slots are in use now."""
         return self._slot_clock.busy(self._clock.now())
 
     def _is_full(self, now: float) -> bool:
--- a/src/galenastall/standin/executor_http.py
+++ b/src/galenastall/standin/executor_http.py
@@ -1,4 +1,4 @@
-"""HTTP face of one executor: its plan as bytes, its port closed while it is unreachable."""
+"""HTTP server of one executor; its port is closed while the executor is unreachable."""
 
 from typing import Final
 
--- a/src/galenastall/standin/executor_log.py
+++ b/src/galenastall/standin/executor_log.py
@@ -1,4 +1,4 @@
-"""What executors ran, by request and by body, so that double runs can be counted."""
+"""Executions by request and by body, to count duplicate runs."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 from galenastall.state.ids import AttemptId, HostId, RequestId
 
 MAX_RECORDS: Final = 200_000
-"""Executions kept; the oldest go first."""
+"""Executions kept; the oldest are dropped first."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -21,14 +21,14 @@
     epoch: int
     host: HostId
     body_digest: str
-    """Equal for all requests of one body, also under different request ids."""
+    """Equal for requests with equal bodies, even with different request ids."""
     started_at: float
     """Wall time in seconds."""
 
 
 @dataclass(kw_only=True, slots=True)
 class ExecutorCounters:
-    """What an executor did with what it was sent."""
+    """Counters of the calls to an executor."""
 
     calls: int = 0
     runs: int = 0
@@ -41,10 +41,10 @@
     answers_cut: int = 0
     answers_late: int = 0
     over_connections: int = 0
-    """Calls beyond the connections that the executor has."""
+    """Calls beyond the executor's connection limit."""
     peak_connections: int = 0
     broken_connections: int = 0
-    """Connections that clients broke off or spoke badly on."""
+    """Connections ended by a client's reset or protocol error."""
     peak_busy: int = 0
     calls_while_leaving: int = 0
 
--- a/src/galenastall/standin/executors.py
+++ b/src/galenastall/standin/executors.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of all executors by address, as one UpstreamService."""
+"""In-memory stand-in of all executors, as one UpstreamService."""
 
 import random
 from collections.abc import AsyncIterator, Mapping
@@ -67,12 +67,12 @@
         return executor
 
     def remove(self, address: str) -> None:
-        """Take an executor away; raises KeyError for an unknown address."""
+        """Remove an executor; raises KeyError for an unknown address."""
         del self.by_address[address]
         self._changed_by_address.pop(address).set()
 
     def set_faults(self, address: str, faults: ExecutorFaults) -> None:
-        """Replace an executor's knobs; raises KeyError for an unknown address."""
+        """Replace an executor's fault settings; raises KeyError for an unknown address."""
         self.by_address[address].set_faults(faults)
         changed, self._changed_by_address[address] = (
             self._changed_by_address[address],
@@ -81,7 +81,7 @@
         changed.set()
 
     async def reachability_changed(self, address: str) -> bool:
-        """Wait until the executor goes down or comes up; return whether it can be reached."""
+        """Wait until the executor's reachability changes; return whether it is reachable."""
         was_reachable = self._is_reachable(address)
         while address in self.by_address and self._is_reachable(address) is was_reachable:
             await self._changed_by_address[address].wait()
@@ -95,9 +95,9 @@
     async def call(
         self, *, address: str, call: UpstreamCall, body: AsyncIterator[bytes]
     ) -> AsyncIterator[Result[UpstreamAnswer, StepError]]:
-        """Send a request; see UpstreamService. OVERLOADED: no slot or connection, not run.
+        """Send a request; see UpstreamService. OVERLOADED: no free slot or connection, not run.
 
-        The call lasts until its not-after time; one that is past it is not sent.
+        The call times out at its not-after time; it is not sent if that has passed.
         """
         executor = self.by_address.get(address)
         if executor is None or executor.faults.unreachable:
@@ -117,9 +117,9 @@
             executor.open_calls -= 1
 
     async def carry_out(self, *, address: str, call: UpstreamCall, body: bytes) -> ExecutorPlan:
-        """Do what becomes of a call and return when its answer is due; both faces use it.
+        """Execute a call and return its plan when the response is due; HTTP calls use it too.
 
-        Cancelling this doesn't call the request back: it runs, at the latest on a resume.
+        Cancelling this doesn't revoke the request: it still runs, after a resume if it is paused.
         """
         executor = self.by_address[address]
         faults = executor.faults
@@ -172,7 +172,9 @@
         await trio.lowlevel.checkpoint()
         yield sent[first : first + CHUNK_BYTES]
     if plan.is_cut:
-        raise UpstreamCutError(f"{STEP} at {address}: {len(sent)} of {len(plan.body)} bytes came")
+        raise UpstreamCutError(
+            f"{STEP} at {address}: {len(sent)} of {len(plan.body)} bytes received"
+        )
 
 
 def _error(address: str, reason: Reason, *, retry_after_s: float | None = None) -> StepError:
--- a/src/galenastall/standin/faults.py
+++ b/src/galenastall/standin/faults.py
@@ -1,7 +1,7 @@
-"""Knobs of the stand-ins: typed, frozen, replaced as a whole at run time.
+"""Fault settings of the stand-ins: immutable, replaced as a whole at run time.
 
-Each call to a stand-in passes the same gates, so that every service can be slow, unreachable, lose
-a request before its effect or lose the answer after it.
+Each call to a stand-in draws from the same faults, so that every service can be slow, unreachable,
+lose a request before its effect or lose the response after it.
 """
 
 import random
@@ -17,26 +17,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallFaults:
-    """What may go wrong with any call; probabilities are 0 to 1."""
+    """Faults of any call; probabilities are 0 to 1."""
 
     unreachable: bool = False
-    """Nothing arrives and the caller knows it."""
+    """Nothing arrives, and the caller gets UNREACHABLE."""
     delay_s: float = 0.0
-    """Time in the network before the effect; also late ones take effect."""
+    """Network delay before the effect; calls that have timed out still take effect."""
     drop_before: float = 0.0
     """Probability that the request is lost; the caller sees a timeout."""
     drop_after: float = 0.0
-    """Probability that the answer is lost after the effect; the caller sees a timeout."""
+    """Probability that the response is lost after the effect; the caller sees a timeout."""
     call_timeout_s: float = DEFAULT_CALL_TIMEOUT_S
     """After this long the in-process caller gets TIMEOUT; HTTP adapters have their own."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogFaults(CallFaults):
-    """Knobs of the log."""
+    """Fault settings of the log."""
 
     outage: bool = False
-    """Every call answers UNAVAILABLE and has no effect."""
+    """Every call returns UNAVAILABLE and has no effect."""
     appends_per_s: float = 500.0
     """Appends beyond this rate are refused as OVERLOADED; a batch counts as one."""
     keep_records: int | None = None
@@ -47,23 +47,23 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostListFaults(CallFaults):
-    """Knobs of the host list."""
+    """Fault settings of the host list."""
 
     outage: bool = False
     lag_s: float = 1.0
-    """Age of what the list shows, in seconds."""
+    """Age of the rows that the list returns, in seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerFaults(CallFaults):
-    """Knobs of one worker."""
+    """Fault settings of one worker."""
 
     paused: bool = False
-    """Calls wait inside and take effect on resume; tasks and their leases go on."""
+    """Calls are held and take effect on resume; tasks run and leases expire meanwhile."""
     down: bool = False
-    """The host failed: unreachable, and setting it ends all that ran there."""
+    """The host failed: unreachable, and setting it ends all its runs."""
     fail_starts: bool = False
-    """Every start is answered as failed and runs nothing."""
+    """Every start fails and runs nothing."""
     fail_runs_after_s: float | None = None
     """Every task started fails after this many seconds."""
     compares_epochs: bool = False
@@ -71,11 +71,11 @@
     usage_lag_s: float = 5.0
     """Age of the usage that listings report, in seconds."""
     usage_factor: float = 1.0
-    """Real usage as a multiple of the declared size, unless the task's payload says."""
+    """Real usage as a multiple of the declared size, unless the task's payload sets it."""
 
 
 class BeyondSlots(StrEnum):
-    """What an executor does with a request when all slots are busy."""
+    """How an executor handles a request when all slots are busy."""
 
     QUEUE = "queue"
     REFUSE = "refuse"
@@ -83,32 +83,32 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ExecutorFaults(CallFaults):
-    """Knobs of one executor."""
+    """Fault settings of one executor."""
 
     paused: bool = False
-    """Requests wait, unrun, until it resumes."""
+    """Requests are held until it resumes."""
     leaving: bool = False
-    """Answers say that it is leaving."""
+    """Responses announce that the executor is leaving."""
     fail: float = 0.0
     """Probability that a request runs and fails."""
     cut: float = 0.0
-    """Probability that the answer breaks off in the middle."""
+    """Probability that the response is truncated."""
     late: float = 0.0
-    """Probability that the answer comes `late_s` after the run's end."""
+    """Probability that the response is sent `late_s` after the run's end."""
     late_s: float = 10.0
     slow_factor: float = 1.0
-    """Multiple of the drawn service time."""
+    """Factor on the drawn service time."""
     refuse_past_not_after: bool = False
     """Refuse, and count, requests past their not-after time."""
     beyond_slots: BeyondSlots = BeyondSlots.QUEUE
     service: ServiceTime = field(default_factory=ServiceTime)
     answer_bytes: int = 256
-    """Size of an answer's body."""
+    """Size of a response body."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallOutcome:
-    """What the gates decided for one call."""
+    """Faults drawn for one call."""
 
     due: float
     """Runtime seconds at which it takes effect."""
@@ -117,7 +117,7 @@
 
 
 def draw_call_outcome(*, faults: CallFaults, clock: Clock, rng: random.Random) -> CallOutcome:
-    """Return the fate of a call that is sent now."""
+    """Draw the faults of a call that is sent now."""
     return CallOutcome(
         due=clock.now() + faults.delay_s,
         lost=_draw_bool(rng, faults.drop_before),
--- a/src/galenastall/standin/fleet.py
+++ b/src/galenastall/standin/fleet.py
@@ -1,4 +1,4 @@
-"""Hosts of a deployment at the brief's sizes, for the demo, tests and the server."""
+"""Hosts of deployments at their specified sizes, for the demo, the tests and the server."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetShape:
-    """How many hosts a deployment has; they are spread evenly over its data centres."""
+    """Size of a deployment; its hosts are spread evenly over the data centres."""
 
     data_centres: tuple[DataCentre, ...] = DONGMUN_DATA_CENTRES
     workers: int = 24
@@ -32,7 +32,7 @@
 
 
 def make_hosts(shape: FleetShape) -> Iterator[ListedHost]:
-    """Yield a deployment's workers and executors; in memory a host's id is its address too."""
+    """Yield a deployment's workers and executors; in memory, a host's id is also its address."""
     for index in range(shape.workers):
         yield _make_worker(shape, index)
     for index in range(shape.executors):
--- a/src/galenastall/standin/history.py
+++ b/src/galenastall/standin/history.py
@@ -1,4 +1,4 @@
-"""Bounded history with stable positions, so that readers can page through it as it grows."""
+"""Bounded history with stable positions, so that readers can page through it while it grows."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 
 class History(Generic[T]):
-    """The latest records; positions count from the first one ever."""
+    """The latest records; positions count from the first record ever added."""
 
     def __init__(self, *, keep: int) -> None:
         """Keep the last `keep` records."""
@@ -17,12 +17,12 @@
         self.total = 0
 
     def add(self, record: T) -> None:
-        """Append a record, dropping the oldest if there is no room."""
+        """Append a record; drops the oldest one if the history is full."""
         self._records.append(record)
         self.total += 1
 
     def page(self, start: int, limit: int) -> tuple[tuple[T, ...], int]:
-        """Return records from `start`, or the oldest kept, and where the next page starts."""
+        """Return records from `start`, or from the oldest kept, and the next page's position."""
         first = self.total - len(self._records)
         start = min(max(start, first), self.total)
         skipped = start - first
--- a/src/galenastall/standin/host_list.py
+++ b/src/galenastall/standin/host_list.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of the platform's list of hosts; it shows the past."""
+"""In-memory stand-in of the platform's host list, which lags behind changes."""
 
 import random
 from collections import deque
@@ -21,7 +21,7 @@
 
 
 class MemoryHostList:
-    """Hosts with a history; implements protocol.platform.HostListService."""
+    """Versioned list of hosts; implements protocol.platform.HostListService."""
 
     def __init__(
         self,
@@ -40,11 +40,11 @@
         )
 
     def set_faults(self, faults: HostListFaults) -> None:
-        """Replace the knobs."""
+        """Replace the fault settings."""
         self.faults = faults
 
     def put(self, host: ListedHost) -> None:
-        """Add or replace a host; seen after the lag."""
+        """Add or replace a host; visible after the lag."""
         self._publish({**self.current(), host.host_id: host})
 
     def set_state(self, host_id: HostId, state: HostState) -> None:
@@ -52,19 +52,19 @@
         self.put(replace(self.current()[host_id], state=state))
 
     def remove(self, host_id: HostId) -> None:
-        """Drop a host's row altogether; raises KeyError for an unknown host."""
+        """Remove a host's row; raises KeyError for an unknown host."""
         hosts = dict(self.current())
         del hosts[host_id]
         self._publish(hosts)
 
     def catch_up(self) -> None:
-        """Show the present hosts at once, as if they had never been others."""
+        """Make the present hosts visible at once and drop all earlier versions."""
         hosts = self.current()
         self._versions.clear()
         self._versions.append(_Version(since=float("-inf"), hosts=hosts))
 
     def current(self) -> dict[HostId, ListedHost]:
-        """Return the hosts as they are now, without the lag."""
+        """Return the present hosts, without the lag."""
         return self._versions[-1].hosts
 
     async def fetch(
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Selection:
-    """Some rows of a version, named by what they say, so that a restart changes no name."""
+    """Some rows of a version, named by a hash of their content, which restarts don't change."""
 
     name: str
     hosts: dict[HostId, ListedHost]
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Version:
-    """All rows from one moment on, and the cuts that were asked for."""
+    """All rows from a point in time on, and the selections requested so far."""
 
     since: float
     """Runtime seconds."""
@@ -127,7 +127,7 @@
     )
 
     def selection(self, data_centre: DataCentre | None, kind: HostKind | None) -> _Selection:
-        """Return the rows of a data centre and a kind; None stands for all."""
+        """Return the rows of a data centre and a kind; None selects all."""
         found = self.selections.get((data_centre, kind))
         if found is not None:
             return found
--- a/src/galenastall/standin/lean_http.py
+++ b/src/galenastall/standin/lean_http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server with as little work a request as h11 allows.
+"""HTTP/1.1 server with minimal work per request.
 
-The stand-ins share a machine with what is measured. Hypercorn spends two tasks and a queue on each
-request, several times the work of the stand-in itself; see docs/design/standin.md.
+The stand-ins run on the same machine as the system under test. Hypercorn uses two tasks and a
+queue for each request, several times the work of the stand-in itself; see docs/design/standin.md.
 """
 
 import socket
@@ -19,30 +19,30 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeanRequest:
-    """A request with its whole body."""
+    """A request with its complete body."""
 
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
-    """Names in lower case; the last of a repeated one."""
+    """Names in lower case; the last value of a repeated header."""
     body: bytes
     client: str
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LeanResponse:
-    """Bytes to send; a body that is shorter than announced is a cut answer."""
+    """Bytes to send; a body shorter than its content length simulates a truncated response."""
 
     data: bytes
     keeps_connection: bool = True
 
 
 RequestHandler = Callable[[LeanRequest], Awaitable[LeanResponse | None]]
-"""Answers a request; None breaks the connection without a byte."""
+"""Handles a request; None closes the connection without a response."""
 
 
 class LeanServer:
-    """Listens on one port; each connection carries one request at a time."""
+    """Serves one port; each connection handles one request at a time."""
 
     def __init__(
         self, *, answer: RequestHandler, bind_host: str = "127.0.0.1", port: int = 0
@@ -55,15 +55,15 @@
         self.open_connections = 0
         self.peak_connections = 0
         self.broken_connections = 0
-        """Connections that clients broke off or spoke badly on."""
+        """Connections ended by a client's reset or protocol error."""
 
     @property
     def address(self) -> str:
-        """`IP:port`, the same over all times that it is open."""
+        """`IP:port`, the same after each reopening."""
         return f"{self._bind_host}:{self._port}"
 
     async def run(self) -> None:
-        """Serve until cancelled; then the port is closed and all connections are broken."""
+        """Serve until cancelled; then close the port and all connections."""
         if self._listener is None:
             self._listener = _listen(self._bind_host, self._port)
         listener, self._listener = self._listener, None
@@ -71,7 +71,7 @@
         await trio.serve_listeners(self._serve, [wrapped])
 
     def close(self) -> None:
-        """Close the port if it is bound but not served."""
+        """Close the port if it is bound but not being served."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -89,7 +89,7 @@
 
 
 class _Connection:
-    """One client's connection."""
+    """A connection of one client."""
 
     def __init__(self, *, stream: trio.SocketStream, answer: RequestHandler) -> None:
         self._stream = stream
@@ -119,7 +119,7 @@
             self._next_request()
 
     def _next_request(self) -> None:
-        """Parse the next request afresh: h11's own cycle would want to write the answer."""
+        """Start a new parser: h11's own request cycle requires that h11 writes the response."""
         pipelined, has_ended = self._http.trailing_data
         self._http = h11.Connection(h11.SERVER)
         if pipelined:
--- a/src/galenastall/standin/lean_routes.py
+++ b/src/galenastall/standin/lean_routes.py
@@ -1,4 +1,4 @@
-"""Route handlers of the transport layer behind the lean server."""
+"""Adapts route handlers of the transport layer to the lean server."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -15,18 +15,18 @@
 
 
 class LostResponseError(Exception):
-    """An answer that is to get lost: the connection breaks instead."""
+    """A response to drop; the connection is closed instead."""
 
 
 class RoutedRequestHandler:
-    """Answers by the routes of its handlers, which must give whole bodies."""
+    """Dispatches requests to the routes of its handlers, which must return complete bodies."""
 
     def __init__(self, *, handlers: Iterable[object]) -> None:
         """Collect the handlers' routes."""
         self._routes = RouteTable(handlers=handlers)
 
     async def __call__(self, request: LeanRequest) -> LeanResponse | None:
-        """Return the handler's response as bytes; None for one that is to get lost."""
+        """Return the handler's response as bytes; None for a response to drop."""
         method = request.method.decode("latin-1")
         path, _, query = request.target.decode("latin-1").partition("?")
         found = self._routes.find(method, path)
@@ -55,7 +55,7 @@
 
 
 def _encode(response: HttpResponse) -> bytes:
-    assert isinstance(response.body, bytes), "the stand-ins answer with whole bodies"
+    assert isinstance(response.body, bytes), "the stand-ins don't stream response bodies"
     status = response.status
     headers = "".join(f"{name}: {value}\r\n" for name, value in response.headers.items())
     head = (
--- a/src/galenastall/standin/log.py
+++ b/src/galenastall/standin/log.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of the platform's log, with outages, trimming and lost answers."""
+"""In-memory stand-in of the platform's log, with outages, trimming and lost responses."""
 
 import heapq
 import random
@@ -17,14 +17,14 @@
 
 PEER: Final = "log"
 BURST_S: Final = 0.25
-"""Seconds' worth of appends that may come at once."""
+"""Burst allowance of the rate limit, in seconds' worth of appends."""
 MIN_COMPACTION: Final = 1024
-"""Dropped records that a stream's list holds before it is copied."""
+"""Minimum dropped records in a stream's list before it is compacted."""
 
 
 @dataclass(kw_only=True, slots=True)
 class LogCounters:
-    """What the log did so far."""
+    """Counters of the log since its start."""
 
     appends: int = 0
     records: int = 0
@@ -37,7 +37,7 @@
 
 
 class _Stream:
-    """Kept records of one stream; dropped ones stay in the list until it is worth a copy."""
+    """Records of one stream; dropped ones stay in the list until it is compacted."""
 
     def __init__(self) -> None:
         self.records: list[tuple[float, str]] = []
@@ -94,7 +94,7 @@
         self._tokens = self._burst()
 
     def set_faults(self, faults: LogFaults) -> None:
-        """Replace the knobs; waiting reads notice."""
+        """Replace the fault settings; waiting reads are notified."""
         self.faults = faults
         for stream in self._streams_by_name.values():
             stream.notify()
@@ -115,7 +115,7 @@
     async def append(
         self, *, stream: StreamName, texts: Sequence[str]
     ) -> Result[Offset, StepError]:
-        """Append as one; see LogService. OVERLOADED beyond the rate limit: not appended."""
+        """Append atomically; see LogService. OVERLOADED beyond the rate limit: not appended."""
         faults = self.faults
         outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         if faults.unreachable:
@@ -181,7 +181,7 @@
         heapq.heappush(self._late, (due, self._late_count, stream, texts))
 
     def _settle(self) -> None:
-        """Let late appends that are due take effect, and trim."""
+        """Apply delayed appends that are due, and trim the streams."""
         now = self._clock.now()
         while self._late and self._late[0][0] <= now:
             _, _, name, texts = heapq.heappop(self._late)
@@ -215,7 +215,7 @@
         return Success(Offset(first))
 
     def _take_token(self) -> float:
-        """Use up one append of the rate limit; return seconds to wait if there is none."""
+        """Take one token of the rate limit; return the seconds to wait if there is none."""
         now = self._clock.now()
         rate = self.faults.appends_per_s
         self._tokens = min(self._burst(), self._tokens + (now - self._refilled_at) * rate)
--- a/src/galenastall/standin/memory_platform.py
+++ b/src/galenastall/standin/memory_platform.py
@@ -1,4 +1,4 @@
-"""The whole stand-in platform in memory, for unit tests, the demo and the HTTP server."""
+"""The complete stand-in platform in memory, for unit tests, the demo and the HTTP server."""
 
 import random
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
 
 
 class MemoryPlatform:
-    """Log, host list, workers and executors on one clock and one seed."""
+    """Log, host list, workers and executors with a shared clock and seed."""
 
     def __init__(self, *, clock: Clock, seed: int, hosts: Iterable[ListedHost] = ()) -> None:
-        """Bring up and list `hosts`, which are listed from before the start."""
+        """Start `hosts` and list them without a lag."""
         self.clock = clock
         rng = random.Random(seed)
         self.cuts = Cuts()
@@ -39,12 +39,12 @@
             self._bring_up(host)
 
     def add_host(self, host: ListedHost) -> None:
-        """List a host and, for workers and upstreams, bring it up at its address."""
+        """List a host and, for workers and upstreams, start it at its address."""
         self._bring_up(host)
         self.host_list.put(host)
 
     def remove_host(self, host_id: HostId) -> None:
-        """Take a host off the list and down; raises KeyError for an unknown host."""
+        """Remove a host from the list and stop it; raises KeyError for an unknown host."""
         host = self.host_list.current()[host_id]
         self.host_list.remove(host_id)
         if host.address in self.workers.by_address:
@@ -53,7 +53,7 @@
             self.executors.remove(host.address)
 
     def services(self, *, caller: HostId | None = None) -> Platform:
-        """Return the services, as `caller` reaches them if it is given; see Cuts."""
+        """Return the services, with the network cuts of `caller` if given; see Cuts."""
         if caller is None:
             return self._services
         found = self._services_by_caller.get(caller)
--- a/src/galenastall/standin/platform_routes.py
+++ b/src/galenastall/standin/platform_routes.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in's log and host list."""
+"""HTTP routes of the stand-in's log and host list."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -19,7 +19,7 @@
 
 DEFAULT_LIMIT: Final = 1000
 MAX_WAIT_S: Final = 300.0
-"""Longest wait of a read."""
+"""Maximum wait of a read, in seconds."""
 _HOST_KINDS: Final = frozenset(kind.value for kind in HostKind)
 
 
@@ -31,7 +31,7 @@
 
     @route("POST", "/log/{stream}")
     async def append(self, request: HttpRequest) -> HttpResponse:
-        """Append the texts of the body."""
+        """Append the texts in the body."""
         message = await parse_json(request, AppendMessage)
         if isinstance(message, Failure):
             return error_response(message.failure())
@@ -55,7 +55,7 @@
 
     @route("GET", "/hosts")
     async def hosts(self, request: HttpRequest) -> HttpResponse:
-        """Return the lagging list, cut as the query says."""
+        """Return the lagging list, filtered by the query."""
         query = request.query
         kind = query.get("kind")
         if kind is not None and kind not in _HOST_KINDS:
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Read:
-    """Query of a read."""
+    """Query parameters of a read."""
 
     start: Offset
     limit: int
@@ -102,13 +102,13 @@
 
 
 def services_for(model: MemoryPlatform, request: HttpRequest) -> Platform:
-    """Return the model as the request's caller reaches it."""
+    """Return the model's services with the network cuts of the request's caller."""
     caller = request.headers.get(CALLER)
     return model.services(caller=None if caller is None else HostId(caller))
 
 
 def respond(result: Result[Any, StepError]) -> HttpResponse:
-    """Return the model's answer; raises LostAnswerError for one that the model lost."""
+    """Return the model's result; raises LostResponseError if the response is to be lost."""
     if not isinstance(result, Failure):
         return json_response(200, result.unwrap())
     error: StepError = result.failure()
--- a/src/galenastall/standin/process.py
+++ b/src/galenastall/standin/process.py
@@ -17,7 +17,7 @@
 from galenastall.transport.clock import TrioClock
 
 GC_THRESHOLDS: Final = (20_000, 50, 1_000_000)
-"""New objects, young and middle collections that set off the next larger collection."""
+"""New objects, young and middle collections that trigger the next larger garbage collection."""
 
 ReadySink = Callable[[StandinAddresses], None]
 
@@ -25,7 +25,7 @@
 def build_server(
     *, settings: StandinSettings, clock: Clock, on_error: ErrorSink | None = None
 ) -> StandinServer:
-    """Return a server of these settings that is not yet running."""
+    """Build a server with these settings, without starting it."""
     model = MemoryPlatform(clock=clock, seed=settings.seed)
     model.log.set_faults(settings.log.faults())
     model.host_list.set_faults(settings.host_list_faults())
@@ -47,10 +47,10 @@
 def run_standin(
     *, settings: StandinSettings, on_ready: ReadySink, on_error: ErrorSink | None = None
 ) -> None:
-    """Serve until SIGTERM or SIGINT; `on_ready` gets the addresses once all is up.
+    """Serve until SIGTERM or SIGINT; `on_ready` gets the addresses once all services are up.
 
-    Takes over the process: full collections of garbage, which stop everything for 0.25 s once the
-    records of many runs are kept, are put off for good. The records form no cycles.
+    Changes the garbage collector of the process: full collections, which pause it for 0.25 s once
+    it holds the records of many runs, are effectively disabled. The records form no cycles.
     """
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
@@ -60,7 +60,7 @@
 async def serve_standin(
     *, settings: StandinSettings, on_ready: ReadySink, on_error: ErrorSink | None = None
 ) -> None:
-    """Serve until a signal to stop or until cancelled."""
+    """Serve until SIGTERM, SIGINT or cancellation."""
     server = build_server(settings=settings, clock=TrioClock(), on_error=on_error)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
--- a/src/galenastall/standin/run.py
+++ b/src/galenastall/standin/run.py
@@ -10,27 +10,27 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Run:
-    """A task that runs; times are runtime seconds unless said otherwise."""
+    """A running task; times are runtime seconds unless noted otherwise."""
 
     number: int
-    """Unique over all workers; the same task started twice has two."""
+    """Unique across all workers; each start of a task gets its own."""
     task: TaskSpec
     reserved: Resources
     epoch: int
     lease_until: float
-    """Wall time in seconds, as the owner gave it."""
+    """Wall time in seconds, as set by the owner."""
     expires_at: float
     payload: TaskPayload
     usage_factor: float
     started_at: float
     work_s: float
-    """Run time at full share that the task needs in all."""
+    """Total run time that the task needs at full share."""
     measured_at: float
     done_s: float = 0.0
-    """Run time at full share that was done by `measured_at`."""
+    """Run time at full share completed by `measured_at`."""
     share: float = 1.0
     version: int = 0
-    """Counts changes of its end, so that outdated ends are passed over."""
+    """Incremented when the end changes, so that outdated end events are ignored."""
     fails_at: float | None = None
 
     def progress(self, now: float) -> float:
@@ -38,7 +38,7 @@
         return self.done_s + max(0.0, now - self.measured_at) * self.share
 
     def throttle(self, share: float, now: float) -> None:
-        """Go on at `share` of full speed."""
+        """Continue at `share` of full speed."""
         self.done_s = self.progress(now)
         self.measured_at = now
         self.share = share
@@ -65,7 +65,7 @@
         )
 
     def peak(self) -> Resources:
-        """Return the most that it ever uses."""
+        """Return the peak usage."""
         declared, payload, factor = self.task.resources, self.payload, self.usage_factor
         return Resources(
             cores_milli=_value_or(payload.cores_milli, int(declared.cores_milli * factor)),
@@ -74,7 +74,7 @@
         )
 
     def listed(self, now: float, usage_lag_s: float) -> RunningTask:
-        """Return the row of a listing."""
+        """Return this run as a row of a listing."""
         return RunningTask(
             task=self.task,
             reserved=self.reserved,
@@ -86,7 +86,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class RunRecord:
-    """What a checker may know of a run: when and where."""
+    """Record of a run for checkers."""
 
     number: int
     task_id: TaskId
--- a/src/galenastall/standin/run_ledger.py
+++ b/src/galenastall/standin/run_ledger.py
@@ -1,4 +1,4 @@
-"""All runs of all stand-in workers: double runs are seen across workers."""
+"""Runs of all stand-in workers, to detect duplicate runs across workers."""
 
 from typing import Final
 
@@ -10,11 +10,11 @@
 from galenastall.state.work import TaskEnd
 
 MAX_RECORDS: Final = 200_000
-"""Run records kept; the oldest go first."""
+"""Run records kept; the oldest are dropped first."""
 
 
 class RunLedger:
-    """Records of runs and the promises that they break."""
+    """Records runs and reports the invariant violations that they cause."""
 
     def __init__(self, *, clock: Clock, violations: ViolationLog) -> None:
         self._clock = clock
@@ -36,7 +36,7 @@
         return self._checkpointed.get(task, 0.0)
 
     def started(self, *, run: Run, host: HostId, now: float) -> None:
-        """Record a start and whatever promise it breaks."""
+        """Record a start and any invariant violation it causes."""
         task = run.task.task_id
         self._check(run=run, host=host, now=now)
         record = RunRecord(
@@ -55,7 +55,7 @@
             self._ran_once.add(task)
 
     def ended(self, *, run: Run, end: TaskEnd, now: float) -> None:
-        """Record an end; a checkpoint keeps the progress for the next run."""
+        """Record an end; a checkpoint saves the progress for the next run."""
         task = run.task.task_id
         record = self._live_by_number.pop(run.number)
         record.ended_at = self._wall(now)
@@ -69,7 +69,7 @@
             self._ran_once.discard(task)
 
     def running(self) -> int:
-        """Return how many runs go on."""
+        """Return the number of active runs."""
         return len(self._live_by_number)
 
     def _check(self, *, run: Run, host: HostId, now: float) -> None:
--- a/src/galenastall/standin/server.py
+++ b/src/galenastall/standin/server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as one process: every service on loopback ports of its own."""
+"""HTTP server of the stand-in platform; every service has its own loopback port."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StandinAddresses:
-    """Where a running stand-in is reached."""
+    """Addresses of a running stand-in."""
 
     platform: str
     """`IP:port` of the log and the host list."""
     control: str
-    """`IP:port` of the knobs, counters and records."""
+    """`IP:port` of the control API: fault settings, counters and records."""
     workers: str
     hosts: tuple[ListedHost, ...]
 
@@ -49,10 +49,10 @@
         on_error: ErrorSink | None = None,
         on_host_started: Callable[[ListedHost], None] | None = None,
     ) -> None:
-        """Serve `model` and bring up the hosts of `shape`; port 0 lets the system choose.
+        """Serve `model` and start the hosts of `shape`; port 0 lets the system choose.
 
-        `port` is that of the log and the host list; all others but control's choose their own.
-        `on_raised` is called for each host that is brought up, before anybody can call it.
+        `port` is that of the log and the host list; workers and executors use ports chosen by the
+        system. `on_host_started` is called for each host that is started, before it gets calls.
         """
         self.model = model
         self._shape = shape
@@ -77,7 +77,7 @@
 
     @property
     def addresses(self) -> StandinAddresses:
-        """Where everything is, once `run` has started."""
+        """Addresses of all services, once `run` has started."""
         return StandinAddresses(
             platform=self._platform.address,
             control=self._control.address,
@@ -88,10 +88,10 @@
     async def run(
         self, *, task_status: trio.TaskStatus[StandinAddresses] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve; reports its addresses once everything can be reached."""
+        """Serve; reports the addresses once every service is reachable."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            # The other ports are bound already, so connections wait until they are served.
+            # The other ports are already bound, so connections queue until they are served.
             await nursery.start(self._control.run)
             nursery.start_soon(self._platform.run)
             nursery.start_soon(self._workers.run)
@@ -101,7 +101,7 @@
             task_status.started(self.addresses)
 
     def start_host(self, host: ListedHost) -> ListedHost:
-        """Bring up a host without an address and list it; one with an address is only listed."""
+        """Start a host without an address and list it; one with an address is only listed."""
         if host.address or host.kind is HostKind.ENTRY:
             self.model.host_list.put(host)
             return host
@@ -113,11 +113,11 @@
         return self._start_executor(host)
 
     def remove_host(self, host_id: HostId) -> None:
-        """Take a host down and off the list; raises KeyError for an unknown host."""
+        """Stop a host and remove it from the list; raises KeyError for an unknown host."""
         self.model.remove_host(host_id)
 
     def _start_executor(self, host: ListedHost) -> ListedHost:
-        assert self._nursery is not None, "hosts are brought up while the server runs"
+        assert self._nursery is not None, "executors can only be started while the server runs"
         server = ExecutorServer(model=self.model, bind_host=self._bind_host)
         started = replace(host, address=server.address)
         self.model.add_host(started)
--- a/src/galenastall/standin/settings.py
+++ b/src/galenastall/standin/settings.py
@@ -1,4 +1,4 @@
-"""Settings file of a stand-in process: sizes of the fleet, seed, ports and first knobs."""
+"""Settings file of a stand-in process: fleet sizes, seed, ports and initial fault settings."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 class WorkerSettings(SettingsModel):
-    """Size of each worker and its first knobs."""
+    """Size of each worker and its initial fault settings."""
 
     count: Count = 24
     cores: int = Field(default=64, ge=1)
@@ -42,7 +42,7 @@
     usage_lag_seconds: float = Field(default=5.0, ge=0)
 
     def capacity(self) -> Resources:
-        """Return what one worker holds."""
+        """Return the capacity of one worker."""
         return Resources(
             cores_milli=self.cores * MILLI_PER_CORE,
             memory_mb=self.memory_gb * MB_PER_GB,
@@ -50,14 +50,14 @@
         )
 
     def faults(self) -> WorkerFaults:
-        """Return the first knobs of each worker."""
+        """Return the initial fault settings of each worker."""
         return WorkerFaults(
             compares_epochs=self.compares_epochs, usage_lag_s=self.usage_lag_seconds
         )
 
 
 class ServiceTimeSettings(SettingsModel):
-    """How long executors take for a request."""
+    """Service times of executors."""
 
     distribution: Literal["fixed", "exponential", "lognormal"] = "fixed"
     mean_ms: float = Field(default=20.0, ge=0)
@@ -66,7 +66,7 @@
 
 
 class ExecutorSettings(SettingsModel):
-    """Size of each executor and its first knobs."""
+    """Size of each executor and its initial fault settings."""
 
     count: Count = 24
     slots: int = Field(default=DEFAULT_SLOTS, ge=1)
@@ -76,7 +76,7 @@
     service_time: ServiceTimeSettings = Field(default_factory=ServiceTimeSettings)
 
     def faults(self) -> ExecutorFaults:
-        """Return the first knobs of each executor."""
+        """Return the initial fault settings of each executor."""
         service = self.service_time
         return ExecutorFaults(
             beyond_slots=BeyondSlots(self.beyond_slots),
@@ -90,14 +90,14 @@
 
 
 class LogSettings(SettingsModel):
-    """First knobs of the log."""
+    """Initial fault settings of the log."""
 
     appends_per_second: float = Field(default=500.0, gt=0)
     keep_records: int | None = Field(default=None, ge=1)
     keep_seconds: float | None = Field(default=None, gt=0)
 
     def faults(self) -> LogFaults:
-        """Return the log's first knobs."""
+        """Return the log's initial fault settings."""
         return LogFaults(
             appends_per_s=self.appends_per_second,
             keep_records=self.keep_records,
@@ -117,9 +117,9 @@
     """Settings of a stand-in process."""
 
     bind: BindAddress = "127.0.0.1:0"
-    """Where log and host list listen; workers and executors choose ports of their own there."""
+    """Address of the log and host list; workers and executors use other ports on its IP."""
     control_bind: BindAddress = "127.0.0.1:0"
-    """Where knobs, counters and records are served."""
+    """Address of the control API."""
     seed: int = 1
     data_centres: tuple[Name, ...] = Field(min_length=1)
     hosts_per_rack: int = Field(default=8, ge=1)
@@ -131,7 +131,7 @@
     log: LogSettings = Field(default_factory=LogSettings)
 
     def shape(self) -> FleetShape:
-        """Return the fleet of these settings."""
+        """Return the fleet shape of these settings."""
         return FleetShape(
             data_centres=tuple(map(DataCentre, self.data_centres)),
             workers=self.workers.count,
@@ -154,10 +154,10 @@
             )
 
     def host_list_faults(self) -> HostListFaults:
-        """Return the host list's first knobs."""
+        """Return the host list's initial fault settings."""
         return HostListFaults(lag_s=self.host_list_lag_seconds)
 
 
 def load_standin_settings(path: Path) -> Result[StandinSettings, SettingsProblems]:
-    """Return the checked settings of a file, or everything that is wrong in it."""
+    """Return the validated settings of a file, or all problems in it."""
     return load_yaml(path).bind(lambda tree: check_tree(StandinSettings, tree, source=str(path)))
--- a/src/galenastall/standin/task_payload.py
+++ b/src/galenastall/standin/task_payload.py
@@ -1,4 +1,4 @@
-"""What a task really does on a stand-in worker, as its payload says."""
+"""Simulated behaviour of a task on a stand-in worker, read from its payload."""
 
 from typing import Final
 
@@ -7,14 +7,14 @@
 from galenastall.state.work import TaskSpec, Workload
 
 DEFAULT_RUN_S: Final = 1.0
-"""Run time of a task that neither declares one nor carries it in its payload, in seconds."""
+"""Run time, in seconds, of a task that sets none in its declaration or its payload."""
 
 
 class TaskPayload(msgspec.Struct, frozen=True, kw_only=True):
-    """Real behaviour of a task; what is absent follows the declared size."""
+    """Real behaviour of a task; absent fields default to the declared size."""
 
     run_s: float | None = None
-    """Real run time in seconds; `inf` can't be written, leave it out for services."""
+    """Real run time in seconds; omitted for services, as JSON has no `inf`."""
     peak_mb: int | None = None
     cores_milli: int | None = None
     accelerators: int | None = None
@@ -29,7 +29,7 @@
 
 
 def read_payload(text: str) -> TaskPayload:
-    """Return the payload's behaviour; text that isn't such a JSON object says nothing."""
+    """Parse a payload; text that isn't a matching JSON object gives the defaults."""
     if not text:
         return _EMPTY_PAYLOAD
     try:
@@ -39,7 +39,7 @@
 
 
 def run_time_of(task: TaskSpec, payload: TaskPayload) -> float:
-    """Return the real run time in seconds; infinite for services that don't say."""
+    """Return the real run time in seconds; infinite for services that set none."""
     if payload.run_s is not None:
         return payload.run_s
     if task.run_s is not None:
--- a/src/galenastall/standin/worker.py
+++ b/src/galenastall/standin/worker.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of one worker: starts what it is given, whether it fits or not."""
+"""In-memory stand-in of one worker, which starts tasks even beyond its capacity."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -52,11 +52,11 @@
 
     @property
     def reserved(self) -> Resources:
-        """Sum of the reservations of all that runs."""
+        """Sum of the reservations of all active runs."""
         return self._reserved
 
     def runs(self) -> list[Run]:
-        """Return all that runs, in order of task."""
+        """Return all active runs, grouped by task."""
         return [run for runs in self._runs_by_task.values() for run in runs]
 
     def start(self, batch: StartBatch, now: float) -> Result[tuple[TaskAnswer, ...], StepError]:
@@ -83,7 +83,7 @@
     def checkpoint(
         self, tasks: Sequence[TaskId], epoch: Epoch, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Save and stop tasks; those that can't be checkpointed run on."""
+        """Checkpoint and stop tasks; those that can't be checkpointed keep running."""
         refusal = self._refusal("worker.checkpoint", epoch, now)
         if refusal is not None:
             return Failure(refusal)
@@ -105,7 +105,7 @@
     def throttle(
         self, tasks: Sequence[TaskId], epoch: Epoch, share: float, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Slow tasks down to `share`."""
+        """Throttle tasks to `share` of full speed."""
         refusal = self._refusal("worker.throttle", epoch, now)
         if refusal is not None:
             return Failure(refusal)
@@ -119,20 +119,20 @@
     def stop(
         self, tasks: Sequence[TaskId], epoch: Epoch, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Stop tasks for good."""
+        """Stop tasks without a checkpoint."""
         refusal = self._refusal("worker.stop", epoch, now)
         if refusal is not None:
             return Failure(refusal)
         return Success(self._for_each(tasks, lambda run: self._end(run, TaskEnd.STOPPED, now)))
 
     def acknowledge(self, tasks: Sequence[TaskId], now: float) -> Result[None, StepError]:
-        """Forget finished tasks."""
+        """Drop finished tasks from listings."""
         for task in tasks:
             self._finished_by_task.pop(task, None)
         return Success(None)
 
     def listing(self, now: float, since: str = "") -> Result[WorkerListing, StepError]:
-        """Return what runs and what finished, or what changed; usage lags."""
+        """Return running and finished tasks, or the changes since a cursor; usage lags."""
         self._check_memory(now)
         lag_s = self.faults.usage_lag_s
         running = tuple(run.listed(now, lag_s) for run in self.runs())
@@ -149,12 +149,12 @@
         )
 
     def fail_host(self, now: float) -> None:
-        """End all that runs and forget everything: the machine is lost."""
+        """Fail all runs and clear the state, as when the machine is lost."""
         for run in self.runs():
             self._end(run, TaskEnd.FAILED, now)
         self._finished_by_task.clear()
         self.inbox.clear()
-        self._cursors.forget()
+        self._cursors.clear()
 
     def _start_one(self, start: StartRequest, epoch: Epoch, now: float) -> TaskAnswer:
         task = start.task
--- a/src/galenastall/standin/worker_routes.py
+++ b/src/galenastall/standin/worker_routes.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in's workers: one port, a path for each worker."""
+"""HTTP routes of the stand-in's workers: one port, with a path for each worker."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Command:
-    """A command's message type and what it does."""
+    """A command's message type and handler."""
 
     message_type: type[Any]
     carry_out: CarryOut
@@ -49,13 +49,13 @@
     """Routes of all workers."""
 
     def __init__(self, *, model: MemoryPlatform, address_of: Callable[[str], str]) -> None:
-        """Find workers by `address_of`, which takes the host id in the path."""
+        """`address_of` maps the host id in the path to the worker's address."""
         self._model = model
         self._address_of = address_of
 
     @route("POST", "/workers/{host_id}/{verb}")
     async def command(self, request: HttpRequest) -> HttpResponse:
-        """Carry out one batched command."""
+        """Execute one batched command."""
         verb = request.path_params["verb"]
         if verb not in _COMMANDS:
             return error_response(_no_such_verb(request, verb))
@@ -69,7 +69,7 @@
 
     @route("GET", "/workers/{host_id}/listing")
     async def listing(self, request: HttpRequest) -> HttpResponse:
-        """Return what runs and what finished, or what changed since a cursor."""
+        """Return running and finished tasks, or the changes since a cursor."""
         address = self._address_of(request.path_params["host_id"])
         workers = services_for(self._model, request).workers
         since = request.query.get("since", "")
--- a/src/galenastall/standin/workers.py
+++ b/src/galenastall/standin/workers.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of all workers by address; calls pass the gates of their knobs."""
+"""In-memory stand-in of all workers by address, with their fault settings."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -24,7 +24,7 @@
 
 
 class _Command(Generic[T]):
-    """One call under way to a worker; it arrives even if its caller gave up."""
+    """A call in flight to a worker; it arrives even if its caller has timed out."""
 
     def __init__(self, *, worker: MemoryWorker, step: str, effect: Effect[T]) -> None:
         self._worker = worker
@@ -34,7 +34,7 @@
         self.answered = trio.Event()
 
     def arrive(self, now: float) -> None:
-        """Reach the worker: take effect, or wait inside while it is paused."""
+        """Apply the call, or queue it while the worker is paused."""
         if self._worker.faults.down:
             return
         if self._worker.faults.paused:
@@ -78,12 +78,12 @@
         return worker
 
     def remove(self, address: str) -> None:
-        """Take a worker away with all that it runs; raises KeyError for an unknown address."""
+        """Remove a worker and fail its runs; raises KeyError for an unknown address."""
         now = self._events.settle()
         self.by_address.pop(address).fail_host(now)
 
     def set_faults(self, address: str, faults: WorkerFaults) -> None:
-        """Replace a worker's knobs; raises KeyError for an unknown address."""
+        """Replace a worker's fault settings; raises KeyError for an unknown address."""
         now = self._events.settle()
         worker = self.by_address[address]
         worker.faults = faults
@@ -96,7 +96,7 @@
                 arrive(now)
 
     def settle(self) -> None:
-        """Let everything that is due by now take effect; call before reading the ledger."""
+        """Apply all events that are due; call this before reading the ledger."""
         self._events.settle()
 
     async def start(self, *, address: str, batch: StartBatch) -> Answers:
@@ -112,7 +112,7 @@
         )
 
     async def checkpoint(self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch) -> Answers:
-        """Save and stop tasks; see WorkerService."""
+        """Checkpoint and stop tasks; see WorkerService."""
         return await self._call(
             address, "worker.checkpoint", lambda worker, now: worker.checkpoint(tasks, epoch, now)
         )
@@ -120,7 +120,7 @@
     async def throttle(
         self, *, address: str, tasks: Sequence[TaskId], epoch: Epoch, share: float
     ) -> Answers:
-        """Slow tasks down; see WorkerService."""
+        """Throttle tasks; see WorkerService."""
         return await self._call(
             address,
             "worker.throttle",
@@ -136,13 +136,13 @@
     async def acknowledge(
         self, *, address: str, tasks: Sequence[TaskId]
     ) -> Result[None, StepError]:
-        """Forget finished tasks; see WorkerService."""
+        """Drop finished tasks from listings; see WorkerService."""
         return await self._call(
             address, "worker.acknowledge", lambda worker, now: worker.acknowledge(tasks, now)
         )
 
     async def listing(self, *, address: str, since: str = "") -> Result[WorkerListing, StepError]:
-        """List what runs and what finished; see WorkerService."""
+        """List running and finished tasks; see WorkerService."""
         return await self._call(
             address, "worker.listing", lambda worker, now: worker.listing(now, since)
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Settings that all tests share: fixed seeds, so that every run gives one verdict.
+"""Shared test settings with fixed seeds, so that runs are reproducible.
 
-Trio shuffles the tasks of each batch by a generator of its own; it is seeded here, since a failure
-that shows in one order only must show each time. The `long` profile leaves all of it random.
+Trio shuffles the tasks of each batch with its own random generator; it is seeded here, so that a
+failure that depends on the order recurs in each run. The `long` profile keeps all of it random.
 """
 
 import os
--- a/tests/standin_cases.py
+++ b/tests/standin_cases.py
@@ -1,4 +1,4 @@
-"""The stand-in platform in memory or behind HTTP, as the contract tests drive it."""
+"""Harness for the stand-in platform, in memory or over HTTP."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Harness:
-    """What a case gets: the model to set knobs on and the services under test."""
+    """The model, whose fault settings a test changes, and the services under test."""
 
     model: MemoryPlatform
     services: Platform
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages: links lead somewhere, and the tests that the failure table names exist."""
+"""Documentation: relative links resolve, and the tests named in the failure tables exist."""
 
 import ast
 import re
--- a/tests/test_standin_contract.py
+++ b/tests/test_standin_contract.py
@@ -1,4 +1,4 @@
-"""Cases that the stand-ins pass alike in memory and behind HTTP."""
+"""Contract tests that the stand-ins must pass both in memory and over HTTP."""
 
 from dataclasses import replace
 from functools import partial
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def jumping_clock() -> MockClock:
-    """Jump over idle time, but only once loopback sockets had a moment to deliver."""
+    """Skip idle time, but leave loopback sockets a short real time to deliver."""
     return MockClock(autojump_threshold=0.005)
 
 
@@ -256,8 +256,8 @@
             assert not first.is_unchanged
 
             async def ask() -> HostListing:
-                asked = await fetch(data_centre=host.data_centre, known_version=first.version)
-                return asked.unwrap()
+                fetched = await fetch(data_centre=host.data_centre, known_version=first.version)
+                return fetched.unwrap()
 
             elsewhere = replace(host, host_id=HostId("far"), data_centre=DataCentre("far"))
             harness.model.host_list.put(elsewhere)
@@ -278,7 +278,7 @@
     async def test_changes_add_up_to_the_full_listing(
         self, open_harness: OpenHarness, jumping_clock: MockClock
     ) -> None:
-        """Ask by every cursor in turn through starts, renewals, usage, ends and forgetting."""
+        """Follow each cursor through starts, renewals, usage, ends and acknowledgements."""
         async with open_harness() as harness:
             workers, address = harness.services.workers, harness.worker
             known = (await workers.listing(address=address)).unwrap()
@@ -290,13 +290,13 @@
                 answer = (await workers.listing(address=address, since=known.cursor)).unwrap()
                 assert answer.base == known.cursor
                 merged = apply_changes(known, answer)
-                whole = (await workers.listing(address=address)).unwrap()
+                full = (await workers.listing(address=address)).unwrap()
                 assert merged is not None
                 assert sorted(merged.running, key=lambda row: row.task.task_id) == sorted(
-                    whole.running, key=lambda row: row.task.task_id
+                    full.running, key=lambda row: row.task.task_id
                 )
-                assert replace(merged, running=()) == replace(whole, running=())
-                known = whole
+                assert replace(merged, running=()) == replace(full, running=())
+                known = full
                 return answer
 
             batch = make_batch(lasting, short, lease_until=harness.lease(60))
--- a/tests/test_standin_server.py
+++ b/tests/test_standin_server.py
@@ -1,4 +1,4 @@
-"""Control side of the stand-in's process, hosts that come and go, cuts and broken clients."""
+"""Control API of the stand-in process, hosts added and removed, network cuts, bad clients."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -109,8 +109,8 @@
             await control.set_executor_faults("all", ExecutorFaults(answer_bytes=500, late_s=3.0))
             changed = (await control.change_faults("executors/all", {"late": 1.0})).unwrap()
             assert len(changed) == SHAPE.executors
-            for knobs in changed.values():
-                assert (knobs["late"], knobs["late_s"], knobs["answer_bytes"]) == (1.0, 3.0, 500)
+            for faults in changed.values():
+                assert (faults["late"], faults["late_s"], faults["answer_bytes"]) == (1.0, 3.0, 500)
             refused = await control.change_faults("executors/all", {"late": 0.0, "soon": 1})
             assert refused.failure().reason is Reason.INVALID
             assert "'soon'" in refused.failure().detail
@@ -187,10 +187,10 @@
                 slots=8,
                 connections=64,
             )
-            raised = (await process.control.add_host(host)).unwrap()
+            started = (await process.control.add_host(host)).unwrap()
             for is_up in (True, False):
                 async with process.services.upstreams.call(
-                    address=raised.address, call=make_call(), body=one_chunk(b"x")
+                    address=started.address, call=make_call(), body=one_chunk(b"x")
                 ) as answer:
                     assert isinstance(answer, Success) is is_up
                     if is_up:
--- a/tests/test_standin_settings.py
+++ b/tests/test_standin_settings.py
@@ -39,7 +39,7 @@
         assert server.model.log.faults.appends_per_s == 300.0
 
     @pytest.mark.parametrize(
-        ("text", "told"),
+        ("text", "expected"),
         [
             ("data_centres: [a]\nworkers: {cout: 3}", "workers.cout"),
             ("data_centres: []", "data_centres"),
@@ -48,11 +48,11 @@
             ("data_centres: [a]\nexecutors: {service_time: {distribution: x}}", "lognormal"),
         ],
     )
-    def test_bad_settings_are_named(self, text: str, told: str, tmp_path: Path) -> None:
+    def test_bad_settings_are_named(self, text: str, expected: str, tmp_path: Path) -> None:
         path = tmp_path / "standin.yaml"
         path.write_text(text)
         problems = str(load_standin_settings(path).failure())
-        assert told in problems
+        assert expected in problems
         assert str(path) in problems
 
 
--- a/tests/test_standin_violations.py
+++ b/tests/test_standin_violations.py
@@ -1,4 +1,4 @@
-"""What the stand-in workers report agrees with what their own records show, for any history."""
+"""Violations that the stand-in workers report agree with their run records, for any history."""
 
 from collections.abc import Iterable
 from itertools import combinations
