--- a/tests/cell/weakenings.py
+++ b/tests/cell/mutations.py
@@ -1,4 +1,4 @@
-"""Rules of the leader taken out one at a time, to show that the checks notice their absence."""
+"""Mutations that disable one rule of the leader each, to show that the checks detect it."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -9,26 +9,26 @@
 from galenastall.coordination.cell.election import Election, ElectionAction
 from galenastall.coordination.cell.incarnations import Incarnations
 from galenastall.coordination.cell.lease_clock import LeaseClock
-from galenastall.coordination.cell.orders import OrderBook, StartOutcome
+from galenastall.coordination.cell.orders import OrderOutcomes, StartOutcome
 from galenastall.coordination.cell.scheduler import CellScheduler
 from galenastall.coordination.cell.task_runs import TaskRun
 from galenastall.node.cell.commit_loop import CommitLoop
 from galenastall.node.cell.term_context import TOKENS_PER_TERM, TermContext
 from galenastall.state.cell.phases import RunEnd
 
-Weakening = Callable[[], Any]
-WEAKENINGS: dict[str, Weakening] = {}
+Mutation = Callable[[], Any]
+MUTATIONS: dict[str, Mutation] = {}
 
 
-def weakening(begin: Weakening) -> Weakening:
-    """File a weakening under its name, as a context."""
-    WEAKENINGS[begin.__name__] = contextmanager(begin)
+def mutation(begin: Mutation) -> Mutation:
+    """Register a mutation under its name, as a context manager."""
+    MUTATIONS[begin.__name__] = contextmanager(begin)
     return begin
 
 
 @contextmanager
 def replaced(owner: Any, name: str, value: Any) -> Iterator[Any]:
-    """Replace an attribute for a while, and give out the original."""
+    """Replace an attribute within the context, which yields the original."""
     original = owner.__dict__[name]
     setattr(owner, name, value)
     try:
@@ -37,7 +37,7 @@
         setattr(owner, name, original)
 
 
-@weakening
+@mutation
 def starts_leave_before_they_are_durable() -> Iterator[None]:
     async def commit(self: CommitLoop) -> list[StartOrder]:
         context = self._context
@@ -58,48 +58,48 @@
         yield
 
 
-@weakening
+@mutation
 def who_does_not_answer_counts_as_lapsed_at_once() -> Iterator[None]:
     with replaced(LeaseClock, "has_lapsed", lambda self, now: True):
         yield
 
 
-@weakening
+@mutation
 def an_unanswered_start_counts_as_not_started() -> Iterator[None]:
     def on_start(
-        self: OrderBook, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
+        self: OrderOutcomes, order: StartOrder, outcome: StartOutcome, *, now: float, wall: float
     ) -> bool:
         if outcome is StartOutcome.UNKNOWN:
             self._ends.apply(order.task, order.run, RunEnd.NEVER_STARTED, wall=wall)
             return False
         return bool(original(self, order, outcome, now=now, wall=wall))
 
-    with replaced(OrderBook, "on_start", on_start) as original:
+    with replaced(OrderOutcomes, "on_start", on_start) as original:
         yield
 
 
-@weakening
+@mutation
 def any_listing_that_lacks_a_run_ends_it() -> Iterator[None]:
     def is_settled(task: TaskRun, asked_seq: int) -> bool:
         return True
 
-    with replaced(listings, "_is_settled", is_settled):
+    with replaced(listings, "_proves_ended", is_settled):
         yield
 
 
-@weakening
+@mutation
 def ends_are_acknowledged_before_they_are_durable() -> Iterator[None]:
     def on_listing(self: CellScheduler, executor_id: str, *args: Any, **options: Any) -> None:
         original(self, executor_id, *args, **options)
         executor = self.executors_by_id.get(executor_id)
         if executor is not None:
-            executor.durable = executor.noted
+            executor.durable_position = executor.applied_position
 
     with replaced(CellScheduler, "on_listing", on_listing) as original:
         yield
 
 
-@weakening
+@mutation
 def a_job_is_acknowledged_before_it_is_durable() -> Iterator[None]:
     def submit(self: CellScheduler, job: Any, *, wall: float) -> Any:
         run = original(self, job, wall=wall)
@@ -112,7 +112,7 @@
 
 @contextmanager
 def incarnations_are_shown_one_token() -> Iterator[None]:
-    """Show a restarted executor the token that it was shown before."""
+    """Send a restarted executor the same token as before its restart."""
 
     def raise_token(self: TermContext, executor_id: str) -> int:
         return self.token * TOKENS_PER_TERM
@@ -122,15 +122,15 @@
 
 
 @contextmanager
-def runs_are_not_handed_on() -> Iterator[None]:
-    """Take all runs of an incarnation for lost with it."""
-    with replaced(Incarnations, "_hand_on", lambda self, earlier, later, listing: None):
+def runs_are_not_transferred() -> Iterator[None]:
+    """Treat all runs of an ended incarnation as lost."""
+    with replaced(Incarnations, "_transfer_runs", lambda self, earlier, later, listing: None):
         yield
 
 
 @contextmanager
 def leases_reach_beyond_the_confirmation() -> Iterator[None]:
-    """Renew for as long as the executor answers, whether or not the store confirms the leader."""
+    """Renew leases while the executor answers, even if the store does not confirm the leader."""
 
     def deadline_ms(self: LeaseClock, *, confirmed_at: float, now: float) -> int | None:
         return original(self, confirmed_at=now, now=now)  # type: ignore[no-any-return]
@@ -140,8 +140,8 @@
 
 
 @contextmanager
-def standbys_claim_without_a_look() -> Iterator[None]:
-    """Claim at the first silence; that costs terms and must break nothing."""
+def standbys_claim_without_reading() -> Iterator[None]:
+    """Claim as soon as the leader is unresponsive; this costs terms and must break nothing."""
 
     def next_action(self: Election, now: float) -> ElectionAction:
         has_recent_heartbeat = self.has_recent_heartbeat(now)
--- a/tests/test_cell_refusals.py
+++ b/tests/test_cell_refusals.py
@@ -1,9 +1,9 @@
-"""Starts that executors refuse, and where the next run goes.
+"""Starts that executors refuse, and where the next run is placed.
 
-A gang needs all of its executors at once, so one that refuses ends the run of all. An executor that
-refuses every start and answers everything else well was paused for 0.7 s, and a gang's next run is
-placed about 1 s later: by the same best fit, on the same executors. Each of its runs ended in the
-same way for as long as that executor refused, beside others that would have taken it.
+A gang needs all of its executors at once, so one that refuses ends the run of all members. An
+executor that refused every start but answered everything else was paused for 0.7 s, and a gang's
+next run is placed about 1 s later: by the same best fit, on the same executors. So each of its runs
+ended the same way while that executor refused, although others would have accepted it.
 """
 
 from cell.rig import JOB, Harness, make_info, make_job, make_step
@@ -16,7 +16,7 @@
 
 
 def answer(rig: Harness, orders: list[StartOrder], *, refusing: set[str], position: int) -> None:
-    """Refuse starts on some executors, and end the others' runs, as stopped or on their own."""
+    """Refuse starts on some executors, accept the others, and end their runs as stopped."""
     for order in orders:
         refuses = order.executor_id in refusing
         outcome = StartOutcome.UNHEALTHY if refuses else StartOutcome.STARTED
@@ -46,7 +46,7 @@
             rig.listing(f"e{number}")
         assert {order.executor_id for order in rig.step()} == {"e0", "e1"}
 
-    def test_an_executor_that_refuses_start_after_start_is_left_alone_for_longer(self) -> None:
+    def test_an_executor_that_keeps_refusing_starts_is_paused_for_longer(self) -> None:
         rig = Harness(make_info("e0"))
         pauses: list[float] = []
         rig.submit(make_job(make_step(1)))
@@ -60,7 +60,7 @@
         assert pauses[0] < 1.0
         assert 10.0 < pauses[-1] <= 30.0
 
-    def test_one_start_that_it_takes_ends_that(self) -> None:
+    def test_an_accepted_start_resets_the_pause(self) -> None:
         rig = Harness(make_info("e0"))
         rig.submit(make_job(make_step(1)))
         pauses: list[float] = []
