--- a/src/galenastall/standin/host_list.py
+++ b/src/galenastall/standin/host_list.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of the platform's list of hosts; it shows the past."""
+"""In-memory stand-in of the platform's host list, which lags behind changes."""
 
 import random
 from collections import deque
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from galenastall.protocol.clock import Clock
-from galenastall.standin.faults import HostListFaults, draw_fate
+from galenastall.standin.faults import HostListFaults, draw_call_outcome
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.hosts import HostKind, HostListing, HostState, ListedHost
 from galenastall.state.ids import DataCentre, HostId
@@ -21,7 +21,7 @@
 
 
 class MemoryHostList:
-    """Hosts with a history; implements protocol.platform.HostListService."""
+    """Versioned list of hosts; implements protocol.platform.HostListService."""
 
     def __init__(
         self,
@@ -40,11 +40,11 @@
         )
 
     def set_faults(self, faults: HostListFaults) -> None:
-        """Replace the knobs."""
+        """Replace the fault settings."""
         self.faults = faults
 
     def put(self, host: ListedHost) -> None:
-        """Add or replace a host; seen after the lag."""
+        """Add or replace a host; visible after the lag."""
         self._publish({**self.current(), host.host_id: host})
 
     def set_state(self, host_id: HostId, state: HostState) -> None:
@@ -52,19 +52,19 @@
         self.put(replace(self.current()[host_id], state=state))
 
     def remove(self, host_id: HostId) -> None:
-        """Drop a host's row altogether; raises KeyError for an unknown host."""
+        """Remove a host's row; raises KeyError for an unknown host."""
         hosts = dict(self.current())
         del hosts[host_id]
         self._publish(hosts)
 
     def catch_up(self) -> None:
-        """Show the present hosts at once, as if they had never been others."""
+        """Make the present hosts visible at once and drop all earlier versions."""
         hosts = self.current()
         self._versions.clear()
         self._versions.append(_Version(since=float("-inf"), hosts=hosts))
 
     def current(self) -> dict[HostId, ListedHost]:
-        """Return the hosts as they are now, without the lag."""
+        """Return the present hosts, without the lag."""
         return self._versions[-1].hosts
 
     async def fetch(
@@ -76,23 +76,23 @@
     ) -> Result[HostListing, StepError]:
         """Return the list as it was `lag_s` ago; see HostListService."""
         faults = self.faults
-        fate = draw_fate(faults=faults, clock=self._clock, rng=self._rng)
+        outcome = draw_call_outcome(faults=faults, clock=self._clock, rng=self._rng)
         if faults.unreachable:
             return Failure(_error(Reason.UNREACHABLE))
-        if fate.lost or fate.answer_lost or faults.delay_s >= faults.call_timeout_s:
+        if outcome.lost or outcome.answer_lost or faults.delay_s >= faults.call_timeout_s:
             await trio.sleep(faults.call_timeout_s)
             return Failure(_error(Reason.TIMEOUT))
         await trio.sleep(faults.delay_s)
         if self.faults.outage:
             return Failure(_error(Reason.UNAVAILABLE))
         lag_s = self.faults.lag_s
-        cut = self._as_of(self._clock.now() - lag_s).cut(data_centre, kind)
-        is_unchanged = known_version == cut.name
+        selection = self._as_of(self._clock.now() - lag_s).selection(data_centre, kind)
+        is_unchanged = known_version == selection.name
         return Success(
             HostListing(
                 as_of=self._clock.wall() - lag_s,
-                by_id={} if is_unchanged else dict(cut.hosts),
-                version=cut.name,
+                by_id={} if is_unchanged else dict(selection.hosts),
+                version=selection.name,
                 is_unchanged=is_unchanged,
             )
         )
@@ -108,8 +108,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Cut:
-    """Some rows of a version, named by what they say, so that a restart changes no name."""
+class _Selection:
+    """Some rows of a version, named by a hash of their content, which restarts don't change."""
 
     name: str
     hosts: dict[HostId, ListedHost]
@@ -117,16 +117,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Version:
-    """All rows from one moment on, and the cuts that were asked for."""
+    """All rows from a point in time on, and the selections requested so far."""
 
     since: float
     """Runtime seconds."""
     hosts: dict[HostId, ListedHost]
-    cuts: dict[tuple[DataCentre | None, HostKind | None], _Cut] = field(default_factory=dict)
+    selections: dict[tuple[DataCentre | None, HostKind | None], _Selection] = field(
+        default_factory=dict
+    )
 
-    def cut(self, data_centre: DataCentre | None, kind: HostKind | None) -> _Cut:
-        """Return the rows of a data centre and a kind; None stands for all."""
-        found = self.cuts.get((data_centre, kind))
+    def selection(self, data_centre: DataCentre | None, kind: HostKind | None) -> _Selection:
+        """Return the rows of a data centre and a kind; None selects all."""
+        found = self.selections.get((data_centre, kind))
         if found is not None:
             return found
         hosts = {
@@ -136,8 +138,8 @@
         }
         rows = sorted(hosts.values(), key=lambda host: host.host_id)
         name = xxhash.xxh3_128_hexdigest(msgspec.json.encode(rows))
-        cut = self.cuts[data_centre, kind] = _Cut(name=name, hosts=hosts)
-        return cut
+        selection = self.selections[data_centre, kind] = _Selection(name=name, hosts=hosts)
+        return selection
 
 
 def _error(reason: Reason) -> StepError:
--- a/src/galenastall/standin/lean_routes.py
+++ b/src/galenastall/standin/lean_routes.py
@@ -1,11 +1,11 @@
-"""Route handlers of the transport layer behind the lean server."""
+"""Adapts route handlers of the transport layer to the lean server."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
 from typing import Final
 from urllib.parse import parse_qsl
 
-from galenastall.standin.lean_http import LeanAnswer, LeanRequest
+from galenastall.standin.lean_http import LeanRequest, LeanResponse
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.http_json import error_response
 from galenastall.transport.http_messages import BodyStream, HttpRequest, HttpResponse
@@ -14,19 +14,19 @@
 _PHRASES_BY_STATUS: Final = {status.value: status.phrase for status in HTTPStatus}
 
 
-class LostAnswerError(Exception):
-    """An answer that is to get lost: the connection breaks instead."""
+class LostResponseError(Exception):
+    """A response to drop; the connection is closed instead."""
 
 
-class RoutedAnswerer:
-    """Answers by the routes of its handlers, which must give whole bodies."""
+class RoutedRequestHandler:
+    """Dispatches requests to the routes of its handlers, which must return complete bodies."""
 
     def __init__(self, *, handlers: Iterable[object]) -> None:
         """Collect the handlers' routes."""
         self._routes = RouteTable(handlers=handlers)
 
-    async def __call__(self, request: LeanRequest) -> LeanAnswer | None:
-        """Return the handler's response as bytes; None for one that is to get lost."""
+    async def __call__(self, request: LeanRequest) -> LeanResponse | None:
+        """Return the handler's response as bytes; None for a response to drop."""
         method = request.method.decode("latin-1")
         path, _, query = request.target.decode("latin-1").partition("?")
         found = self._routes.find(method, path)
@@ -35,10 +35,10 @@
             error = StepError(
                 step="http.route", peer=request.client, reason=Reason.NOT_FOUND, detail=detail
             )
-            return LeanAnswer(data=_encode(error_response(error)))
+            return LeanResponse(data=_encode(error_response(error)))
         route, params = found
         headers = request.headers
-        seen = HttpRequest(
+        http_request = HttpRequest(
             method=method,
             path=path,
             path_params=params,
@@ -48,14 +48,14 @@
             stream=BodyStream.of(request.body),
         )
         try:
-            response = await route.handler(seen)
-        except LostAnswerError:
+            response = await route.handler(http_request)
+        except LostResponseError:
             return None
-        return LeanAnswer(data=_encode(response))
+        return LeanResponse(data=_encode(response))
 
 
 def _encode(response: HttpResponse) -> bytes:
-    assert isinstance(response.body, bytes), "the stand-ins answer with whole bodies"
+    assert isinstance(response.body, bytes), "the stand-ins don't stream response bodies"
     status = response.status
     headers = "".join(f"{name}: {value}\r\n" for name, value in response.headers.items())
     head = (
--- a/src/galenastall/standin/worker.py
+++ b/src/galenastall/standin/worker.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in of one worker: starts what it is given, whether it fits or not."""
+"""In-memory stand-in of one worker, which starts tasks even beyond its capacity."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
@@ -52,11 +52,11 @@
 
     @property
     def reserved(self) -> Resources:
-        """Sum of the reservations of all that runs."""
+        """Sum of the reservations of all active runs."""
         return self._reserved
 
     def runs(self) -> list[Run]:
-        """Return all that runs, in order of task."""
+        """Return all active runs, grouped by task."""
         return [run for runs in self._runs_by_task.values() for run in runs]
 
     def start(self, batch: StartBatch, now: float) -> Result[tuple[TaskAnswer, ...], StepError]:
@@ -72,64 +72,67 @@
         """Extend leases."""
 
         def extend(run: Run) -> None:
-            lapses_at = self._runtime(lease_until)
-            is_sooner = lapses_at < run.lapses_at
-            run.lease_until, run.lapses_at = lease_until, lapses_at
+            expires_at = self._runtime(lease_until)
+            is_sooner = expires_at < run.expires_at
+            run.lease_until, run.expires_at = lease_until, expires_at
             if is_sooner:
-                self._watch_lease(run)
+                self._schedule_lease_expiry(run)
 
         return Success(self._for_each(tasks, extend))
 
     def checkpoint(
         self, tasks: Sequence[TaskId], epoch: Epoch, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Save and stop tasks; those that can't be checkpointed run on."""
+        """Checkpoint and stop tasks; those that can't be checkpointed keep running."""
         refusal = self._refusal("worker.checkpoint", epoch, now)
         if refusal is not None:
             return Failure(refusal)
-        able: list[TaskId] = []
-        unable: list[TaskId] = []
+        checkpointable: list[TaskId] = []
+        not_checkpointable: list[TaskId] = []
         for task in tasks:
             runs = self._runs_by_task.get(task, ())
-            is_able = all(run.task.checkpointable for run in runs)
-            (able if is_able else unable).append(task)
-        answers = self._for_each(able, lambda run: self._end(run, TaskEnd.CHECKPOINTED, now))
+            can_checkpoint = all(run.task.checkpointable for run in runs)
+            (checkpointable if can_checkpoint else not_checkpointable).append(task)
+        answers = self._for_each(
+            checkpointable, lambda run: self._end(run, TaskEnd.CHECKPOINTED, now)
+        )
         refused = (
-            TaskAnswer(task_id=task, ok=False, detail="not checkpointable") for task in unable
+            TaskAnswer(task_id=task, ok=False, detail="not checkpointable")
+            for task in not_checkpointable
         )
         return Success((*answers, *refused))
 
     def throttle(
         self, tasks: Sequence[TaskId], epoch: Epoch, share: float, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Slow tasks down to `share`."""
+        """Throttle tasks to `share` of full speed."""
         refusal = self._refusal("worker.throttle", epoch, now)
         if refusal is not None:
             return Failure(refusal)
 
         def slow_down(run: Run) -> None:
             run.throttle(share, now)
-            self._watch_end(run)
+            self._schedule_end(run)
 
         return Success(self._for_each(tasks, slow_down))
 
     def stop(
         self, tasks: Sequence[TaskId], epoch: Epoch, now: float
     ) -> Result[tuple[TaskAnswer, ...], StepError]:
-        """Stop tasks for good."""
+        """Stop tasks without a checkpoint."""
         refusal = self._refusal("worker.stop", epoch, now)
         if refusal is not None:
             return Failure(refusal)
         return Success(self._for_each(tasks, lambda run: self._end(run, TaskEnd.STOPPED, now)))
 
     def acknowledge(self, tasks: Sequence[TaskId], now: float) -> Result[None, StepError]:
-        """Forget finished tasks."""
+        """Drop finished tasks from listings."""
         for task in tasks:
             self._finished_by_task.pop(task, None)
         return Success(None)
 
     def listing(self, now: float, since: str = "") -> Result[WorkerListing, StepError]:
-        """Return what runs and what finished, or what changed; usage lags."""
+        """Return running and finished tasks, or the changes since a cursor; usage lags."""
         self._check_memory(now)
         lag_s = self.faults.usage_lag_s
         running = tuple(run.listed(now, lag_s) for run in self.runs())
@@ -146,12 +149,12 @@
         )
 
     def fail_host(self, now: float) -> None:
-        """End all that runs and forget everything: the machine is lost."""
+        """Fail all runs and clear the state, as when the machine is lost."""
         for run in self.runs():
             self._end(run, TaskEnd.FAILED, now)
         self._finished_by_task.clear()
         self.inbox.clear()
-        self._cursors.forget()
+        self._cursors.clear()
 
     def _start_one(self, start: StartRequest, epoch: Epoch, now: float) -> TaskAnswer:
         task = start.task
@@ -166,8 +169,8 @@
         if not self._reserved.fits_in(self.capacity):
             detail = f"{self._reserved} of {self.capacity}"
             self._report(ViolationKind.OVERCOMMIT, task.task_id, detail)
-        self._watch_end(run)
-        self._watch_lease(run)
+        self._schedule_end(run)
+        self._schedule_lease_expiry(run)
         return TaskAnswer(task_id=task.task_id, ok=True)
 
     def _make_run(self, start: StartRequest, epoch: Epoch, now: float) -> Run:
@@ -179,7 +182,7 @@
             reserved=start.reserved,
             epoch=epoch,
             lease_until=start.lease_until,
-            lapses_at=self._runtime(start.lease_until),
+            expires_at=self._runtime(start.lease_until),
             payload=payload,
             usage_factor=self.faults.usage_factor,
             started_at=now,
@@ -189,23 +192,23 @@
             fails_at=None if fail_after_s is None else now + fail_after_s,
         )
 
-    def _watch_end(self, run: Run) -> None:
-        self._events.push(run.ends_at(), partial(self._reach_end, run, run.version))
+    def _schedule_end(self, run: Run) -> None:
+        self._events.push(run.ends_at(), partial(self._on_end_due, run, run.version))
 
-    def _reach_end(self, run: Run, version: int, now: float) -> None:
+    def _on_end_due(self, run: Run, version: int, now: float) -> None:
         if run.version != version or not self._is_running(run):
             return
         has_failed = run.payload.fail or (run.fails_at is not None and now >= run.fails_at)
         self._end(run, TaskEnd.FAILED if has_failed else TaskEnd.DONE, now)
 
-    def _watch_lease(self, run: Run) -> None:
-        self._events.push(run.lapses_at, partial(self._reach_lease_end, run))
+    def _schedule_lease_expiry(self, run: Run) -> None:
+        self._events.push(run.expires_at, partial(self._on_lease_expiry, run))
 
-    def _reach_lease_end(self, run: Run, now: float) -> None:
+    def _on_lease_expiry(self, run: Run, now: float) -> None:
         if not self._is_running(run):
             return
-        if run.lapses_at > now:
-            self._watch_lease(run)
+        if run.expires_at > now:
+            self._schedule_lease_expiry(run)
             return
         self._end(run, TaskEnd.LEASE_LAPSED, now)
 
