--- a/src/galenastall/bench/scenarios/lookup_throughput.py
+++ b/src/galenastall/bench/scenarios/lookup_throughput.py
@@ -25,12 +25,12 @@
 AIM_ADDED_MS: Final = 4.0
 AIM_MEMORY_MB: Final = 256.0
 RATES: Final = (300.0, 350.0, 400.0, 450.0, 500.0, 600.0)
-HALF_RATE: Final = 200.0
+HALF_LOAD_RATE: Final = 200.0
 STEP_S: Final = 8.0
 SUSTAINED_SHARE: Final = 0.99
 SUSTAINED_P99_MS: Final = 1000.0
-WAITING: Final = 1000
-WAITING_DEADLINE_MS: Final = 30_000
+QUEUED_REQUESTS: Final = 1000
+QUEUED_DEADLINE_MS: Final = 30_000
 
 
 @scenario(
@@ -50,22 +50,22 @@
     async with running_fleet(plan, settings.directory) as fleet:
         load = LoadPlan(
             name="direct",
-            targets=await _executors(fleet),
+            targets=await _executor_targets(fleet),
             mix="lookups",
-            rate=HALF_RATE,
+            rate=HALF_LOAD_RATE,
             duration_s=STEP_S * settings.scale,
             seed=settings.seed,
             start_wall=0.0,
             checks_ready=False,
         )
-        await _half_load(fleet, recorder, settings, result, load)
-        await _rising_rates(fleet, recorder, settings, result, load)
-        await _full_queue(fleet, recorder, settings, result, load)
+        await _measure_half_load(fleet, recorder, settings, result, load)
+        await _measure_rising_rates(fleet, recorder, settings, result, load)
+        await _measure_full_queue(fleet, recorder, settings, result, load)
         names = ("answers-whole-and-own", "not-run-is-true", "every-request-answered")
         await close_and_judge(fleet, recorder, result, names=names, directory=settings.directory)
 
 
-async def _executors(fleet: Fleet) -> tuple[Target, ...]:
+async def _executor_targets(fleet: Fleet) -> tuple[Target, ...]:
     hosts = await fleet.hosts_of(HostKind.UPSTREAM)
     return tuple(
         Target(host_id=host.host_id, address=host.address, path_prefix="/", is_executor=True)
@@ -73,7 +73,7 @@
     )
 
 
-async def _half_load(
+async def _measure_half_load(
     fleet: Fleet,
     recorder: HistoryRecorder,
     settings: ExperimentSettings,
@@ -81,20 +81,20 @@
     load: LoadPlan,
 ) -> None:
     direct = await run_clients(fleet, recorder, settings.directory, load)
-    through = await run_clients(
+    through_entry_host = await run_clients(
         fleet,
         recorder,
         settings.directory,
         replace(load, name="half", targets=fleet.targets()),
     )
     add_load_figures(result, "direct", direct)
-    add_load_figures(result, "half load", through)
-    for percentile, most in ((50.0, AIM_ADDED_MS), (99.0, None)):
-        added = _ms(through, percentile) - _ms(direct, percentile)
-        result.add(f"added latency p{percentile:g} at half load", added, "ms", at_most=most)
+    add_load_figures(result, "half load", through_entry_host)
+    for percentile, limit_ms in ((50.0, AIM_ADDED_MS), (99.0, None)):
+        added = _percentile_ms(through_entry_host, percentile) - _percentile_ms(direct, percentile)
+        result.add(f"added latency p{percentile:g} at half load", added, "ms", at_most=limit_ms)
 
 
-async def _rising_rates(
+async def _measure_rising_rates(
     fleet: Fleet,
     recorder: HistoryRecorder,
     settings: ExperimentSettings,
@@ -107,19 +107,19 @@
         before = fleet.driver.usage(host_id).cpu_s
         plan = replace(load, name=f"rate-{rate:g}", targets=fleet.targets(), rate=rate)
         summary = await run_clients(fleet, recorder, settings.directory, plan, clients=3)
-        used_s = fleet.driver.usage(host_id).cpu_s - before
+        used_cpu_s = fleet.driver.usage(host_id).cpu_s - before
         done = summary.counts_by_outcome.get("done", 0)
         share = done / max(1, summary.sent)
         result.add(f"done at {rate:g}/s", share, "of sent")
-        result.add(f"p99 at {rate:g}/s", _ms(summary, 99.0), "ms")
-        result.add(f"processor time a request at {rate:g}/s", used_s / max(1, done) * 1e3, "ms")
+        result.add(f"p99 at {rate:g}/s", _percentile_ms(summary, 99.0), "ms")
+        result.add(f"processor time a request at {rate:g}/s", used_cpu_s / max(1, done) * 1e3, "ms")
         result.add(f"client lag at {rate:g}/s", summary.worst_lag_ms, "ms")
-        if share >= SUSTAINED_SHARE and _ms(summary, 99.0) <= SUSTAINED_P99_MS:
+        if share >= SUSTAINED_SHARE and _percentile_ms(summary, 99.0) <= SUSTAINED_P99_MS:
             sustained = max(sustained, done / plan.duration_s)
     result.add("sustained rate", sustained, "requests/s", at_least=AIM_RATE)
 
 
-async def _full_queue(
+async def _measure_full_queue(
     fleet: Fleet,
     recorder: HistoryRecorder,
     settings: ExperimentSettings,
@@ -132,7 +132,7 @@
     await fleet.control.set_executor_faults(ALL_HOSTS, paused)
 
     async def release() -> None:
-        await trio.sleep(WAITING / AIM_RATE + 2.0)
+        await trio.sleep(QUEUED_REQUESTS / AIM_RATE + 2.0)
         result.add("memory with 1,000 waiting", fleet.driver.usage(host_id).rss_mb, "MB")
         await fleet.control.set_executor_faults(ALL_HOSTS, ExecutorFaults(service=fixed))
 
@@ -141,8 +141,8 @@
         name="waiting",
         targets=fleet.targets(),
         rate=AIM_RATE,
-        duration_s=WAITING / AIM_RATE,
-        deadline_ms=WAITING_DEADLINE_MS,
+        duration_s=QUEUED_REQUESTS / AIM_RATE,
+        deadline_ms=QUEUED_DEADLINE_MS,
     )
     summary = await run_clients(
         fleet, recorder, settings.directory, plan, clients=3, during=release
@@ -152,6 +152,6 @@
     result.add("peak memory", peak_mb, "MB", at_most=AIM_MEMORY_MB)
 
 
-def _ms(summary: LoadSummary, percentile: float) -> float:
+def _percentile_ms(summary: LoadSummary, percentile: float) -> float:
     histogram = summary.histogram(contains="|done|")
     return float(histogram.get_value_at_percentile(percentile)) / 1000.0
--- a/src/galenastall/bench/scenarios/overload.py
+++ b/src/galenastall/bench/scenarios/overload.py
@@ -58,7 +58,7 @@
         add_load_figures(result, "2x", summary)
         share = goodputs[2.0] / max(goodputs.values())
         result.add("goodput at 2x over peak", share, "of peak", at_least=AIM_GOODPUT)
-        _judge_classes(result, summary)
+        _add_class_figures(result, summary)
         names = ("answers-whole-and-own", "not-run-is-true", "every-request-answered")
         await close_and_judge(fleet, recorder, result, names=names, directory=settings.directory)
 
@@ -68,7 +68,7 @@
     return sum(summary.in_time_by_class.values()) / duration_s
 
 
-def _judge_classes(result: ScenarioResult, summary: LoadSummary) -> None:
+def _add_class_figures(result: ScenarioResult, summary: LoadSummary) -> None:
     refusals, after_wait = new_histogram(), new_histogram()
     for label in summary.histograms_by_label:
         if "|not_run|" in label:
@@ -78,8 +78,8 @@
     if after_wait.get_total_count():
         p50_ms = after_wait.get_value_at_percentile(50) / 1000.0
         result.add("given up after p50", p50_ms, "ms")
-    told_late = summary.histogram(contains="|deadline_passed").get_total_count()
-    result.add("told not run only at their deadline", told_late, "requests")
+    deadline_rejections = summary.histogram(contains="|deadline_passed").get_total_count()
+    result.add("told not run only at their deadline", deadline_rejections, "requests")
     result.add("early refusals", refusals.get_total_count(), "requests")
     if refusals.get_total_count():
         p99_ms = refusals.get_value_at_percentile(99.0) / 1000.0
--- a/src/galenastall/bench/scenarios/placement_failures.py
+++ b/src/galenastall/bench/scenarios/placement_failures.py
@@ -20,74 +20,76 @@
 from galenastall.standin.control_messages import ALL_HOSTS
 from galenastall.state.ids import HostId
 
-AT_S: Final = 10.0
+FAULT_AT_S: Final = 10.0
 """The fault comes so long after the load's start."""
 APPEND_BUDGET_PER_S: Final = 150.0
 RATE: Final = 3.0
-AFTER_S: Final = 30.0
+LOAD_AFTER_FAULT_S: Final = 30.0
 """The load goes on for so long after the fault."""
 SETTLE_S: Final = 90.0
 DATA_CENTRE: Final = "gangnam"
 DATA_CENTRES: Final = {DATA_CENTRE: 3, "mapo": 3}
 NAMES: Final = ("capacity-reserved", "task-in-one-place", "task-at-most-once", "no-job-lost")
 
-Faults = Callable[[list[str]], tuple[ScheduledFault, ...]]
+FaultBuilder = Callable[[list[str]], tuple[ScheduledFault, ...]]
 """Takes the entry hosts of the affected data centre."""
 
 
-def _kill(hosts: list[str]) -> tuple[ScheduledFault, ...]:
-    return (ScheduledFault(after_s=AT_S, kind="kill", target=hosts[0]),)
+def _kill_owner(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+    return (ScheduledFault(after_s=FAULT_AT_S, kind="kill", target=hosts[0]),)
 
 
-def _pause(hosts: list[str]) -> tuple[ScheduledFault, ...]:
-    return (ScheduledFault(after_s=AT_S, kind="pause", target=hosts[0], lasts_s=30.0),)
+def _pause_owner(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+    return (ScheduledFault(after_s=FAULT_AT_S, kind="pause", target=hosts[0], lasts_s=30.0),)
 
 
-def _outage(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+def _kill_owner_in_log_outage(hosts: list[str]) -> tuple[ScheduledFault, ...]:
     return (
-        ScheduledFault(after_s=AT_S, kind="log-outage", target="log", lasts_s=120.0),
-        ScheduledFault(after_s=AT_S + 20.0, kind="kill", target=hosts[0]),
+        ScheduledFault(after_s=FAULT_AT_S, kind="log-outage", target="log", lasts_s=120.0),
+        ScheduledFault(after_s=FAULT_AT_S + 20.0, kind="kill", target=hosts[0]),
     )
 
 
-def _cut(hosts: list[str]) -> tuple[ScheduledFault, ...]:
-    return (ScheduledFault(after_s=AT_S, kind="cut", target=",".join(hosts), lasts_s=40.0),)
+def _isolate_data_centre(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+    return (ScheduledFault(after_s=FAULT_AT_S, kind="cut", target=",".join(hosts), lasts_s=40.0),)
 
 
-def _lost_answers(hosts: list[str]) -> tuple[ScheduledFault, ...]:
-    fault = ScheduledFault(after_s=AT_S, kind="lost-start-answers", target=ALL_HOSTS, lasts_s=20.0)
+def _lose_start_responses(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+    fault = ScheduledFault(
+        after_s=FAULT_AT_S, kind="lost-start-answers", target=ALL_HOSTS, lasts_s=20.0
+    )
     return (fault,)
 
 
-def _replace_all(hosts: list[str]) -> tuple[ScheduledFault, ...]:
+def _restart_all(hosts: list[str]) -> tuple[ScheduledFault, ...]:
     return tuple(
-        ScheduledFault(after_s=AT_S, kind="kill", target=host, lasts_s=2.0) for host in hosts
+        ScheduledFault(after_s=FAULT_AT_S, kind="kill", target=host, lasts_s=2.0) for host in hosts
     )
 
 
-FAILURES: Final[dict[str, tuple[Faults, float]]] = {
-    "owner-killed": (_kill, 0.0),
-    "owner-paused": (_pause, 30.0),
-    "owner-dies-in-log-outage": (_outage, 120.0),
-    "data-centre-cut": (_cut, 40.0),
-    "start-answers-lost": (_lost_answers, 20.0),
-    "entry-hosts-replaced": (_replace_all, 0.0),
+FAILURES: Final[dict[str, tuple[FaultBuilder, float]]] = {
+    "owner-killed": (_kill_owner, 0.0),
+    "owner-paused": (_pause_owner, 30.0),
+    "owner-dies-in-log-outage": (_kill_owner_in_log_outage, 120.0),
+    "data-centre-cut": (_isolate_data_centre, 40.0),
+    "start-answers-lost": (_lose_start_responses, 20.0),
+    "entry-hosts-replaced": (_restart_all, 0.0),
 }
 """Faults by name, and how long they last."""
 
 
-def _register(name: str, faults: Faults, lasts_s: float) -> None:
+def _register(name: str, faults: FaultBuilder, lasts_s: float) -> None:
     @scenario(f"failure-{name}", shows=f"{name}: nothing overcommitted, doubled or lost")
     async def run(settings: ExperimentSettings, result: ScenarioResult) -> None:
-        await _run(settings, result, faults, lasts_s)
+        await _run_failure(settings, result, faults, lasts_s)
 
 
 for _name, (_faults, _lasts_s) in FAILURES.items():
     _register(_name, _faults, _lasts_s)
 
 
-async def _run(
-    settings: ExperimentSettings, result: ScenarioResult, faults: Faults, lasts_s: float
+async def _run_failure(
+    settings: ExperimentSettings, result: ScenarioResult, faults: FaultBuilder, lasts_s: float
 ) -> None:
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre=DATA_CENTRES, workers=16, executors=0, worker_cores=16
@@ -99,7 +101,7 @@
             MIXES.get("citeliq"),
             rng=rng,
             rate=RATE,
-            duration_s=AT_S + lasts_s + AFTER_S,
+            duration_s=FAULT_AT_S + lasts_s + LOAD_AFTER_FAULT_S,
             prefix=f"failure-{settings.seed}",
             now_wall=fleet.clock.wall(),
         )
@@ -122,15 +124,15 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(schedule.run)
             tally = await load.run(settle_s=SETTLE_S)
-        spent_s = fleet.clock.wall() - began
-        appends = (await count_appends(fleet) - appends_before) / spent_s
+        elapsed_s = fleet.clock.wall() - began
+        appends = (await count_appends(fleet) - appends_before) / elapsed_s
         result.add("appends a second", appends, "appends/s", at_most=APPEND_BUDGET_PER_S)
         result.add("jobs accepted", len(tally.accepted_at_by_id), "jobs")
         result.add("submissions without an answer", tally.unknown, "jobs")
         result.add("accepted jobs not ended in time", len(tally.open_jobs()), "jobs", at_most=0)
         await close_and_judge(fleet, recorder, result, names=NAMES, directory=settings.directory)
-        owners = await _owners(fleet, settings.directory, began + AT_S)
-        until = began + AT_S + lasts_s + AFTER_S
+        owners = await _load_owners(fleet, settings.directory, began + FAULT_AT_S)
+        until = began + FAULT_AT_S + lasts_s + LOAD_AFTER_FAULT_S
         add_starts(result, recorder.history(), began=began, until=until)
         add_recovery(result, recorder.history(), owners)
 
@@ -148,7 +150,7 @@
     return {worker: process for _, worker, process in sorted(adopted)}
 
 
-async def _owners(fleet: Fleet, directory: Path, before: float) -> dict[HostId, str]:
+async def _load_owners(fleet: Fleet, directory: Path, before: float) -> dict[HostId, str]:
     lines: list[bytes] = []
     for host_id in fleet.entry_hosts_by_id:
         text = await (trio.Path(directory) / f"{host_id}.log").read_bytes()
@@ -159,11 +161,13 @@
 def affected_workers(history: History, owners: Mapping[HostId, str]) -> tuple[float, list[HostId]]:
     """Return when the last fault came and whose workers it struck; `all` and `log` mean all."""
     fault = max(history.of(Fault), key=lambda each: each.at)
-    struck = set(fault.host.split(","))
-    everyone = not struck.isdisjoint({ALL_HOSTS, "log"})
+    affected_hosts = set(fault.host.split(","))
+    affects_all = not affected_hosts.isdisjoint({ALL_HOSTS, "log"})
     if fault.kind == "kill":
-        struck = {each.host for each in history.of(Fault) if each.kind == "kill"}
-    return fault.at, [worker for worker, owner in owners.items() if everyone or owner in struck]
+        affected_hosts = {each.host for each in history.of(Fault) if each.kind == "kill"}
+    return fault.at, [
+        worker for worker, owner in owners.items() if affects_all or owner in affected_hosts
+    ]
 
 
 def add_recovery(result: ScenarioResult, history: History, owners: Mapping[HostId, str]) -> None:
--- a/src/galenastall/bench/scenarios/placement_load.py
+++ b/src/galenastall/bench/scenarios/placement_load.py
@@ -21,9 +21,9 @@
 APPEND_BUDGET_PER_S: Final = 150.0
 DURATION_S: Final = 40.0
 SETTLE_S: Final = 90.0
-WAVE_AT: Final = 0.6
+CANCELLATION_AT_SHARE: Final = 0.6
 """Share of the load's duration at which the wave comes."""
-WAVE_SHARE: Final = 0.3
+CANCELLED_SHARE: Final = 0.3
 DATA_CENTRES: Final = {"gangnam": 3, "mapo": 3, "seongsu": 2}
 JOB_RATES: Final = {"dongmun": 6.0, "citeliq": 4.0}
 CORES_AND_GB: Final = {"dongmun": (64, 128), "citeliq": (16, 64)}
@@ -33,16 +33,16 @@
 @scenario("placement-dongmun", shows="starts, waits, packing and control cost, Dongmun's jobs")
 async def placement_dongmun(settings: ExperimentSettings, result: ScenarioResult) -> None:
     """Run Dongmun's mix."""
-    await _run(settings, result, "dongmun")
+    await _run_mix(settings, result, "dongmun")
 
 
 @scenario("placement-citeliq", shows="starts, waits, packing and control cost, Citeliq's jobs")
 async def placement_citeliq(settings: ExperimentSettings, result: ScenarioResult) -> None:
     """Run Citeliq's mix."""
-    await _run(settings, result, "citeliq")
+    await _run_mix(settings, result, "citeliq")
 
 
-async def _run(settings: ExperimentSettings, result: ScenarioResult, mix: str) -> None:
+async def _run_mix(settings: ExperimentSettings, result: ScenarioResult, mix: str) -> None:
     cores, memory_gb = CORES_AND_GB[mix]
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre=DATA_CENTRES,
@@ -55,7 +55,7 @@
     rng = random.Random(settings.seed)
     duration_s = DURATION_S * settings.scale
     async with running_fleet(plan, settings.directory) as fleet:
-        await _spoil_one_worker(fleet)
+        await _make_one_worker_faulty(fleet)
         arrivals = list(
             draw_jobs(
                 MIXES.get(mix),
@@ -70,19 +70,19 @@
             fleet=fleet,
             recorder=recorder,
             arrivals=arrivals,
-            cancellations=_wave(arrivals, rng, duration_s),
+            cancellations=_draw_cancellations(arrivals, rng, duration_s),
             rng=rng,
         )
         before = await count_appends(fleet)
         cpu_before = sum(each.cpu_s for each in fleet.usage().values())
         began = fleet.clock.wall()
         tally = await load.run(settle_s=SETTLE_S)
-        spent_s = fleet.clock.wall() - began
-        appends = (await count_appends(fleet) - before) / spent_s
+        elapsed_s = fleet.clock.wall() - began
+        appends = (await count_appends(fleet) - before) / elapsed_s
         cpu = sum(each.cpu_s for each in fleet.usage().values()) - cpu_before
         result.add("appends a second", appends, "appends/s", at_most=APPEND_BUDGET_PER_S)
-        result.add("processor time of all entry hosts", cpu / spent_s * 100, "% of a core")
-        _add_tally(result, tally, arrivals)
+        result.add("processor time of all entry hosts", cpu / elapsed_s * 100, "% of a core")
+        _add_job_counts(result, tally, arrivals)
         await close_and_judge(fleet, recorder, result, names=NAMES, directory=settings.directory)
         history = recorder.history()
         until = began + duration_s
@@ -91,14 +91,16 @@
         add_packing(result, history, began=began, until=until)
 
 
-def _wave(arrivals: list[JobArrival], rng: random.Random, duration_s: float) -> list[Cancellation]:
-    at = duration_s * WAVE_AT
+def _draw_cancellations(
+    arrivals: list[JobArrival], rng: random.Random, duration_s: float
+) -> list[Cancellation]:
+    at = duration_s * CANCELLATION_AT_SHARE
     arrived = [each for each in arrivals if each.after_s < at]
-    wave = cancellation_wave(arrived, rng=rng, share=WAVE_SHARE)
+    wave = cancellation_wave(arrived, rng=rng, share=CANCELLED_SHARE)
     return [Cancellation(job_id=job_id, after_s=at) for job_id in wave]
 
 
-def _add_tally(result: ScenarioResult, tally: JobTally, arrivals: list[JobArrival]) -> None:
+def _add_job_counts(result: ScenarioResult, tally: JobTally, arrivals: list[JobArrival]) -> None:
     impossible = sum(each.impossible for each in arrivals)
     result.add("jobs submitted", len(arrivals), "jobs")
     result.add("jobs accepted", len(tally.accepted_at_by_id), "jobs")
@@ -112,6 +114,6 @@
         result.add(f"jobs that ended {state}", count, "jobs")
 
 
-async def _spoil_one_worker(fleet: Fleet) -> None:
+async def _make_one_worker_faulty(fleet: Fleet) -> None:
     worker = (await fleet.hosts_of(HostKind.WORKER))[0].host_id
     await fleet.control.set_worker_faults(worker, WorkerFaults(fail_runs_after_s=0.2))
--- a/src/galenastall/bench/scenarios/request_faults.py
+++ b/src/galenastall/bench/scenarios/request_faults.py
@@ -24,8 +24,8 @@
 
 RATE: Final = 320.0
 DURATION_S: Final = 66.0
-LEAST_REQUESTS: Final = 20_000
-DROPPED_ANSWERS: Final = 0.01
+MIN_REQUESTS: Final = 20_000
+DROPPED_RESPONSE_SHARE: Final = 0.01
 SERVICE: Final = ServiceTime(distribution="lognormal", mean_s=0.02, sigma=1.0)
 
 
@@ -42,8 +42,8 @@
     )
     recorder = HistoryRecorder()
     async with running_fleet(plan, settings.directory) as fleet:
-        losing = ExecutorFaults(drop_after=DROPPED_ANSWERS, service=SERVICE)
-        await fleet.control.set_executor_faults(ALL_HOSTS, losing)
+        response_loss = ExecutorFaults(drop_after=DROPPED_RESPONSE_SHARE, service=SERVICE)
+        await fleet.control.set_executor_faults(ALL_HOSTS, response_loss)
         load = LoadPlan(
             name="load",
             targets=fleet.targets(),
@@ -55,16 +55,16 @@
         )
 
         async def during() -> None:
-            await _faults(fleet, recorder, settings.scale)
+            await _inject_faults(fleet, recorder, settings.scale)
 
         before, began = fleet.usage(), fleet.clock.wall()
         summary = await run_clients(
             fleet, recorder, settings.directory, load, clients=3, during=during
         )
-        _add_busiest(fleet, result, before, fleet.clock.wall() - began)
+        _add_busiest_host(fleet, result, before, fleet.clock.wall() - began)
         add_load_figures(result, "load", summary)
-        least = LEAST_REQUESTS if settings.scale >= 1 else None
-        result.add("requests", summary.sent, "requests", at_least=least)
+        min_requests = MIN_REQUESTS if settings.scale >= 1 else None
+        result.add("requests", summary.sent, "requests", at_least=min_requests)
         result.add("unknown", summary.counts_by_outcome.get("unknown", 0), "requests")
         await close_and_judge(
             fleet,
@@ -82,15 +82,15 @@
         )
 
 
-def _add_busiest(
-    fleet: Fleet, result: ScenarioResult, before: dict[str, Usage], spent_s: float
+def _add_busiest_host(
+    fleet: Fleet, result: ScenarioResult, before: dict[str, Usage], elapsed_s: float
 ) -> None:
     """Add the processor time of the busiest entry host; one that was killed began anew."""
     used = [usage.cpu_s - before[host].cpu_s for host, usage in fleet.usage().items()]
-    result.add("busiest entry host", max(used) / spent_s * 100.0, "% of a core")
+    result.add("busiest entry host", max(used) / elapsed_s * 100.0, "% of a core")
 
 
-async def _faults(fleet: Fleet, recorder: HistoryRecorder, scale: float) -> None:
+async def _inject_faults(fleet: Fleet, recorder: HistoryRecorder, scale: float) -> None:
     killed, paused = list(fleet.entry_hosts_by_id)[:3:2]
     schedule = FaultSchedule(
         faults=(
@@ -105,10 +105,10 @@
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(schedule.run)
-        nursery.start_soon(_executor_leaves, fleet, recorder, 46 * scale)
+        nursery.start_soon(_mark_executor_leaving, fleet, recorder, 46 * scale)
 
 
-async def _executor_leaves(fleet: Fleet, recorder: HistoryRecorder, after_s: float) -> None:
+async def _mark_executor_leaving(fleet: Fleet, recorder: HistoryRecorder, after_s: float) -> None:
     await trio.sleep(after_s)
     executor = (await fleet.hosts_of(HostKind.UPSTREAM))[0].host_id
     recorder.record(UpstreamLeaving(at=fleet.clock.wall(), executor=executor))
--- a/src/galenastall/bench/scenarios/rolling_restart.py
+++ b/src/galenastall/bench/scenarios/rolling_restart.py
@@ -17,7 +17,7 @@
 from galenastall.proof.history import HistoryRecorder, PlannedStop
 
 RATE: Final = 150.0
-BETWEEN_S: Final = 3.0
+RESTART_INTERVAL_S: Final = 3.0
 DURATION_S: Final = 90.0
 STOP_TIMEOUT_S: Final = 45.0
 SERVICE_MS: Final = 200.0
@@ -52,8 +52,8 @@
             fleet, recorder, settings.directory, load, clients=2, during=during
         )
         add_load_figures(result, "load", summary)
-        cut = sum(summary.counts_by_trouble.values())
-        result.add("requests without a whole answer", cut, "requests", at_most=0)
+        incomplete = sum(summary.counts_by_trouble.values())
+        result.add("requests without a whole answer", incomplete, "requests", at_most=0)
         await close_and_judge(
             fleet,
             recorder,
@@ -83,6 +83,6 @@
         if code:
             result.notes.append(f"{host_id} ended with {code}")
         await fleet.start_entry_host(host_id)
-        await trio.sleep(BETWEEN_S * scale)
+        await trio.sleep(RESTART_INTERVAL_S * scale)
     result.add("slowest stop", slowest_s, "s", at_most=STOP_TIMEOUT_S)
     result.add("entry hosts restarted", len(fleet.entry_hosts_by_id), "hosts")
--- a/src/galenastall/bench/scenarios/settings_race.py
+++ b/src/galenastall/bench/scenarios/settings_race.py
@@ -14,19 +14,19 @@
 from galenastall.proof.history import HistoryRecorder, SettingAccepted, SettingsInForce
 from galenastall.proof.invariants import Bounds
 
-OPERATORS: Final = 4
-CHANGES: Final = 100
+OPERATOR_COUNT: Final = 4
+CHANGE_COUNT: Final = 100
 PATHS: Final = tuple(f"teams/race-{number}" for number in range(5))
 OUTAGE_AT_S: Final = 10.0
 OUTAGE_S: Final = 60.0
-PAUSE_S: Final = 0.8
+CHANGE_INTERVAL_S: Final = 0.8
 RETRY_S: Final = 1.0
 SAMPLE_EVERY_S: Final = 0.25
-LIMIT_S: Final = 180.0
+TIMEOUT_S: Final = 180.0
 IN_FORCE_S: Final = 5.0
-OK: Final = 200
-STALE: Final = 409
-CONFLICTS: Final = (STALE, 422)
+HTTP_OK: Final = 200
+HTTP_CONFLICT: Final = 409
+REJECTED_STATUSES: Final = (HTTP_CONFLICT, 422)
 
 
 @scenario("settings-race", shows="accepted changes in force everywhere within 5 s, none reverted")
@@ -60,12 +60,12 @@
                 samplers.start_soon(race.sample, host)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(schedule.run)
-                for number in range(OPERATORS):
-                    nursery.start_soon(race.operate, f"operator-{number}")
+                for number in range(OPERATOR_COUNT):
+                    nursery.start_soon(race.run_operator, f"operator-{number}")
             await trio.sleep(IN_FORCE_S + 2 * SAMPLE_EVERY_S * len(PATHS))
             samplers.cancel_scope.cancel()
-        wanted = round(CHANGES * settings.scale)
-        result.add("changes accepted", race.accepted, "changes", at_least=wanted)
+        min_accepted = round(CHANGE_COUNT * settings.scale)
+        result.add("changes accepted", race.accepted, "changes", at_least=min_accepted)
         result.add("changes refused as stale", race.stale, "changes")
         result.add("sendings without a verdict", race.undecided, "sendings")
         result.add("slowest in force on a host", race.slowest_s(), "s", at_most=IN_FORCE_S)
@@ -100,30 +100,30 @@
         self._recorder = recorder
         self._rng = random.Random(seed)
         self._hosts = list(fleet.entry_hosts_by_id.values())
-        self._each = round(CHANGES * scale / OPERATORS)
-        self._pause_s = PAUSE_S
-        self._deadline = trio.current_time() + LIMIT_S
+        self._changes_per_operator = round(CHANGE_COUNT * scale / OPERATOR_COUNT)
+        self._change_interval_s = CHANGE_INTERVAL_S
+        self._deadline = trio.current_time() + TIMEOUT_S
         self.accepted = 0
         self.stale = 0
         self.undecided = 0
 
-    async def operate(self, author: str) -> None:
+    async def run_operator(self, author: str) -> None:
         """Make changes until enough were accepted or the time is over."""
         done = sent = 0
-        while done < self._each and trio.current_time() < self._deadline:
+        while done < self._changes_per_operator and trio.current_time() < self._deadline:
             sent += 1
             change = _Change(
                 change_id=f"{author}-{sent}",
                 path=self._rng.choice(PATHS),
                 weight=1.0 + self._rng.random(),
             )
-            if await self._make(author, change):
+            if await self._submit(author, change):
                 done += 1
-            await trio.sleep(self._pause_s * (0.5 + self._rng.random()))
+            await trio.sleep(self._change_interval_s * (0.5 + self._rng.random()))
 
-    async def _make(self, author: str, change: _Change) -> bool:
+    async def _submit(self, author: str, change: _Change) -> bool:
         """Send a change until there is a verdict; the same id makes a repeat recognisable."""
-        revision = await self._revision(change.path)
+        revision = await self._read_revision(change.path)
         message = {
             "change_id": change.change_id,
             "base_revision": revision,
@@ -132,18 +132,18 @@
         }
         while trio.current_time() < self._deadline:
             host = self._rng.choice(self._hosts)
-            found = await self._call("PUT", host, f"/v1/settings/tree/{change.path}", message)
-            if found is not None and found[0] == OK:
-                self._accept(change, found[1]["offset"])
+            response = await self._call("PUT", host, f"/v1/settings/tree/{change.path}", message)
+            if response is not None and response[0] == HTTP_OK:
+                self._record_accepted(change, response[1]["offset"])
                 return True
-            if found is not None and found[0] in CONFLICTS and "kind" in found[1]:
+            if response is not None and response[0] in REJECTED_STATUSES and "kind" in response[1]:
                 self.stale += 1
                 return False
             self.undecided += 1
             await trio.sleep(RETRY_S)
         return False
 
-    def _accept(self, change: _Change, offset: int) -> None:
+    def _record_accepted(self, change: _Change, offset: int) -> None:
         self.accepted += 1
         event = SettingAccepted(
             at=self._fleet.clock.wall(),
@@ -153,24 +153,24 @@
         )
         self._recorder.record(event)
 
-    async def _revision(self, path: str) -> int:
+    async def _read_revision(self, path: str) -> int:
         while trio.current_time() < self._deadline:
             host = self._rng.choice(self._hosts)
-            found = await self._call("GET", host, f"/v1/settings/tree/{path}")
-            if found is not None and found[0] == OK:
-                return int(found[1]["revision"])
+            response = await self._call("GET", host, f"/v1/settings/tree/{path}")
+            if response is not None and response[0] == HTTP_OK:
+                return int(response[1]["revision"])
             await trio.sleep(RETRY_S)
-        raise CallError(f"no entry host showed {path} within {LIMIT_S:g} s")
+        raise CallError(f"no entry host showed {path} within {TIMEOUT_S:g} s")
 
     async def sample(self, host: EntryHost) -> None:
         """Ask an entry host again and again what it has in force, one path after the other."""
-        turn = 0
+        index = 0
         while True:
-            path = PATHS[turn % len(PATHS)]
-            turn += 1
-            found = await self._call("GET", host, f"/v1/settings/tree/{path}")
-            if found is not None and found[0] == OK:
-                view = found[1]
+            path = PATHS[index % len(PATHS)]
+            index += 1
+            response = await self._call("GET", host, f"/v1/settings/tree/{path}")
+            if response is not None and response[0] == HTTP_OK:
+                view = response[1]
                 event = SettingsInForce(
                     at=self._fleet.clock.wall(),
                     entry_host=host.host_id,
@@ -189,15 +189,15 @@
         for change in history.of(SettingAccepted):
             for samples in samples_by_host.values():
                 first = next((s.at for s in samples if s.offset >= change.offset), None)
-                waited = self._fleet.clock.wall() if first is None else first
-                slowest = max(slowest, waited - change.at)
+                in_force_at = self._fleet.clock.wall() if first is None else first
+                slowest = max(slowest, in_force_at - change.at)
         return slowest
 
     async def _call(
         self, method: str, host: EntryHost, path: str, message: Any = None
     ) -> tuple[int, Any] | None:
         try:
-            answer = await self._fleet.call(method, host, path, message)
-            return answer.status, msgspec.json.decode(answer.body)
+            reply = await self._fleet.call(method, host, path, message)
+            return reply.status, msgspec.json.decode(reply.body)
         except (CallError, msgspec.DecodeError):
             return None
--- a/tests/test_bench_failures.py
+++ b/tests/test_bench_failures.py
@@ -15,7 +15,7 @@
 OWNERS = {W1: "a", W2: "b"}
 
 
-def line(at: str, process: str, worker: str, event: str = "worker.adopted") -> bytes:
+def log_line(at: str, process: str, worker: str, event: str = "worker.adopted") -> bytes:
     return msgspec.json.encode({"at": at, "process": process, "peer": worker, "event": event})
 
 
@@ -27,12 +27,12 @@
 
 
 class TestRecoveryFigures:
-    def test_the_last_adoption_before_the_fault_names_the_owner(self) -> None:
+    def test_owner_is_the_last_adopter_before_the_fault(self) -> None:
         lines = [
-            line("2000.1", "b", "w1"),
-            line("1000.0", "a", "w1"),
-            line("9000.0", "c", "w1"),
-            line("2500.0", "c", "w1", event="worker.start"),
+            log_line("2000.1", "b", "w1"),
+            log_line("1000.0", "a", "w1"),
+            log_line("9000.0", "c", "w1"),
+            log_line("2500.0", "c", "w1", event="worker.start"),
             b"no json",
         ]
         assert read_owners(lines, before=5.0) == {W1: "b"}
@@ -47,7 +47,7 @@
             ([("all", "lost-start-answers", 10.0)], (10.0, [W1, W2])),
         ],
     )
-    def test_whom_a_fault_strikes(
+    def test_workers_affected_by_a_fault(
         self, faults: list[tuple[str, str, float]], expected: tuple[float, list[HostId]]
     ) -> None:
         assert affected_workers(make_history(*faults).history(), OWNERS) == expected
