--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against servers that misbehave in every way that its errors tell apart."""
+"""The HTTP client against misbehaving servers, one case for each kind of error."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager, suppress
@@ -12,7 +12,7 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.transport.clock import TrioClock
 from galenastall.transport.http_client import HttpClient
-from galenastall.transport.http_exchange import AnswerCutError
+from galenastall.transport.http_exchange import ResponseCutError
 from galenastall.transport.http_json import json_response, parse_json
 from galenastall.transport.http_messages import HttpRequest, HttpResponse
 from galenastall.transport.http_routes import route
@@ -24,14 +24,14 @@
 
 
 class Script:
-    """A server that reads one request after another and plays a behaviour for each."""
+    """A server that reads requests one by one and runs a scripted behaviour for each."""
 
     def __init__(self, behave: Behaviour) -> None:
         self._behave = behave
         self.requests = 0
         self.connections = 0
         self.seen = trio.Event()
-        self.played = trio.Event()
+        self.responded = trio.Event()
 
     async def __call__(self, stream: trio.SocketStream) -> None:
         self.connections += 1
@@ -44,7 +44,7 @@
             self.requests += 1
             self.seen.set()
             await self._behave(stream, self.requests)
-            self.played.set()
+            self.responded.set()
 
     async def _read_request(self, stream: trio.SocketStream) -> bool:
         data = b""
@@ -119,12 +119,12 @@
     ) -> None:
         reasons: list[object] = []
 
-        async def ask(address: str) -> None:
+        async def record_call(address: str) -> None:
             client = HttpClient(clock=TrioClock())
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async with scripted(sends(sent_first)) as (address, script), trio.open_nursery() as nursery:
-            nursery.start_soon(ask, address)
+            nursery.start_soon(record_call, address)
             await script.seen.wait()
             await trio.testing.wait_all_tasks_blocked(0.01)
             mock_clock.jump(6.0)
@@ -147,7 +147,7 @@
         async with scripted(sends(WHOLE, then_close=True)) as (address, script):
             client = HttpClient(clock=TrioClock())
             assert await get(client, address) == b"ok"
-            await script.played.wait()
+            await script.responded.wait()
             assert await get(client, address) == b"ok"
         assert script.connections == 2
 
@@ -181,7 +181,7 @@
     ) -> None:
         reasons: list[object] = []
 
-        async def ask(client: HttpClient, address: str) -> None:
+        async def record_call(client: HttpClient, address: str) -> None:
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async with scripted(sends(b"")) as (address, script):
@@ -189,7 +189,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(get, client, address)
                 await script.seen.wait()
-                nursery.start_soon(ask, client, address)
+                nursery.start_soon(record_call, client, address)
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 mock_clock.jump(6.0)
                 while not reasons:
@@ -205,7 +205,7 @@
         third = trio.Event()
         reasons: list[object] = []
 
-        async def ask(client: HttpClient, address: str) -> None:
+        async def record_call(client: HttpClient, address: str) -> None:
             reasons.append(await get(client, address, timeout_s=5.0))
 
         async def behave(stream: trio.SocketStream, number: int) -> None:
@@ -225,7 +225,7 @@
                     nursery.start_soon(get, client, address)
             assert script.connections == 2
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, client, address)
+                nursery.start_soon(record_call, client, address)
                 await third.wait()
                 mock_clock.jump(6.0)
             assert reasons == [Reason.TIMEOUT]
@@ -251,7 +251,7 @@
                 method="GET", address=address, path="/", timeout_s=FAR_S, step="upstream.call"
             ) as result:
                 for _ in range(2):
-                    with pytest.raises(AnswerCutError) as caught:
+                    with pytest.raises(ResponseCutError) as caught:
                         async for _ in result.unwrap().body:
                             pass
         assert caught.value.error.step == "upstream.call"
