--- a/src/galenastall/bench/scenarios/__init__.py
+++ b/src/galenastall/bench/scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios, one module for each thing to show; importing this fills their registry."""
+"""Benchmark scenarios; importing this package registers them in `SCENARIOS`."""
 
 from galenastall.bench.scenarios import (
     lookup_throughput,
--- a/src/galenastall/bench/scenarios/lookup_throughput.py
+++ b/src/galenastall/bench/scenarios/lookup_throughput.py
@@ -1,4 +1,4 @@
-"""Idempotent lookups through one entry host: rate, added latency, processor time, memory."""
+"""Idempotent lookups through one entry host: rate, added latency, CPU time and memory."""
 
 from dataclasses import replace
 from typing import Final
@@ -35,10 +35,10 @@
 
 @scenario(
     "lookup-throughput",
-    shows="lookups a second through one entry host, added latency, CPU a request, memory",
+    shows="lookups per second through one entry host, added latency, CPU per request, memory",
 )
 async def lookup_throughput(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Compare with direct calls at half load, raise the rate step by step, then fill the queue."""
+    """Compare with direct calls at half load, step up the rate, then fill the request queue."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": 1},
         workers=0,
--- a/src/galenastall/bench/scenarios/overload.py
+++ b/src/galenastall/bench/scenarios/overload.py
@@ -1,4 +1,4 @@
-"""Overload at twice the executors' capacity: goodput, fast refusals, urgent deadlines."""
+"""Load at twice the executors' capacity: goodput, early refusals and urgent deadlines."""
 
 from typing import Final
 
@@ -18,11 +18,11 @@
 SLOTS: Final = 4
 SERVICE_MS: Final = 60.0
 CAPACITY_PER_S: Final = EXECUTORS * SLOTS * 1000.0 / SERVICE_MS
-"""200 requests a second; the entry hosts can pass on more, so the executors are what is full."""
+"""200 requests per second; the entry hosts forward more, so the executors are the bottleneck."""
 ENTRY_HOSTS: Final = 3
 STEP_S: Final = 20.0
 REASONS_AFTER_WAIT: Final = ("|deadline_passed", "|overtaken")
-"""Reasons of requests that were taken in; the rest were refused at arrival."""
+"""Reasons given to requests that were queued first; all others were refused on arrival."""
 AIM_GOODPUT: Final = 0.9
 AIM_REFUSAL_MS: Final = 20.0
 AIM_URGENT: Final = 0.99
@@ -30,7 +30,7 @@
 
 @scenario("overload", shows="goodput, refusals and urgent work at twice the capacity")
 async def overload(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Find the goodput at several rates, then judge the one at twice the capacity."""
+    """Measure goodput at 0.8, 1 and 2 times the capacity; check the aims at twice the capacity."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": ENTRY_HOSTS},
         workers=0,
@@ -64,7 +64,7 @@
 
 
 def _goodput(summary: LoadSummary, duration_s: float) -> float:
-    """Return requests done by their deadline a second."""
+    """Return the requests per second that were done by their deadline."""
     return sum(summary.in_time_by_class.values()) / duration_s
 
 
--- a/src/galenastall/bench/scenarios/placement_failures.py
+++ b/src/galenastall/bench/scenarios/placement_failures.py
@@ -1,4 +1,4 @@
-"""Six failures while jobs are placed: nothing overcommitted, doubled or lost; time to recover."""
+"""Six failures during job placement: no overcommitment, double run or lost job; recovery time."""
 
 import random
 from collections.abc import Callable, Iterable, Mapping
@@ -21,18 +21,18 @@
 from galenastall.state.ids import HostId
 
 FAULT_AT_S: Final = 10.0
-"""The fault comes so long after the load's start."""
+"""Time from the start of the load to the fault."""
 APPEND_BUDGET_PER_S: Final = 150.0
 RATE: Final = 3.0
 LOAD_AFTER_FAULT_S: Final = 30.0
-"""The load goes on for so long after the fault."""
+"""How long the load continues after the end of the fault."""
 SETTLE_S: Final = 90.0
 DATA_CENTRE: Final = "gangnam"
 DATA_CENTRES: Final = {DATA_CENTRE: 3, "mapo": 3}
 NAMES: Final = ("capacity-reserved", "task-in-one-place", "task-at-most-once", "no-job-lost")
 
 FaultBuilder = Callable[[list[str]], tuple[ScheduledFault, ...]]
-"""Takes the entry hosts of the affected data centre."""
+"""Builds the faults from the ids of the entry hosts in the affected data centre."""
 
 
 def _kill_owner(hosts: list[str]) -> tuple[ScheduledFault, ...]:
@@ -75,7 +75,7 @@
     "start-answers-lost": (_lose_start_responses, 20.0),
     "entry-hosts-replaced": (_restart_all, 0.0),
 }
-"""Faults by name, and how long they last."""
+"""Fault builder and fault duration in seconds, by failure name."""
 
 
 def _register(name: str, faults: FaultBuilder, lasts_s: float) -> None:
@@ -138,7 +138,10 @@
 
 
 def read_owners(lines: Iterable[bytes], before: float) -> dict[HostId, str]:
-    """Return from entry hosts' log lines who had last adopted each worker at a wall time."""
+    """Return which process was the last to adopt each worker before a wall-clock time.
+
+    `lines` are JSON lines of the entry hosts' logs, with `at` in milliseconds.
+    """
     adopted: list[tuple[float, HostId, str]] = []
     for line in lines:
         if b'"worker.adopted"' not in line:
@@ -159,7 +162,10 @@
 
 
 def affected_workers(history: History, owners: Mapping[HostId, str]) -> tuple[float, list[HostId]]:
-    """Return when the last fault came and whose workers it struck; `all` and `log` mean all."""
+    """Return the time of the last fault and the workers whose owners it affected.
+
+    A fault of the host `all` or `log` affects every worker; a kill, those of all killed hosts.
+    """
     fault = max(history.of(Fault), key=lambda each: each.at)
     affected_hosts = set(fault.host.split(","))
     affects_all = not affected_hosts.isdisjoint({ALL_HOSTS, "log"})
@@ -171,7 +177,7 @@
 
 
 def add_recovery(result: ScenarioResult, history: History, owners: Mapping[HostId, str]) -> None:
-    """Add how long after the fault each affected worker got its first start, and the gaps."""
+    """Add each affected worker's time from fault to first start, and the longest gap in starts."""
     fault_at, workers = affected_workers(history, owners)
     starts_by_worker = history.grouped(TaskStarted, lambda start: start.worker)
     firsts: list[float] = []
@@ -179,7 +185,7 @@
     for worker in workers:
         times = [start.at for start in starts_by_worker.get(worker, []) if start.at > fault_at]
         if not times:
-            result.notes.append(f"{worker} got no start after the fault")
+            result.notes.append(f"no task started on {worker} after the fault")
             continue
         firsts.append(times[0] - fault_at)
         gaps.append(max(b - a for a, b in zip([fault_at, *times], times, strict=False)))
--- a/src/galenastall/bench/scenarios/placement_load.py
+++ b/src/galenastall/bench/scenarios/placement_load.py
@@ -1,4 +1,4 @@
-"""Jobs of both users through eight entry hosts: starts, waits, packing, appends, control cost."""
+"""Jobs of either mix through eight entry hosts: starts, waits, packing, log appends, CPU time."""
 
 import random
 from typing import Final
@@ -22,7 +22,7 @@
 DURATION_S: Final = 40.0
 SETTLE_S: Final = 90.0
 CANCELLATION_AT_SHARE: Final = 0.6
-"""Share of the load's duration at which the wave comes."""
+"""Share of the load's duration after which a batch of jobs is cancelled."""
 CANCELLED_SHARE: Final = 0.3
 DATA_CENTRES: Final = {"gangnam": 3, "mapo": 3, "seongsu": 2}
 JOB_RATES: Final = {"dongmun": 6.0, "citeliq": 4.0}
@@ -32,13 +32,13 @@
 
 @scenario("placement-dongmun", shows="starts, waits, packing and control cost, Dongmun's jobs")
 async def placement_dongmun(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Run Dongmun's mix."""
+    """Run the `dongmun` job mix."""
     await _run_mix(settings, result, "dongmun")
 
 
 @scenario("placement-citeliq", shows="starts, waits, packing and control cost, Citeliq's jobs")
 async def placement_citeliq(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Run Citeliq's mix."""
+    """Run the `citeliq` job mix."""
     await _run_mix(settings, result, "citeliq")
 
 
--- a/src/galenastall/bench/scenarios/request_faults.py
+++ b/src/galenastall/bench/scenarios/request_faults.py
@@ -1,4 +1,4 @@
-"""Requests under faults: lost answers, a killed and a paused entry host, a leaving executor."""
+"""Requests with lost responses, a killed and a paused entry host, and a leaving executor."""
 
 from typing import Final
 
@@ -31,10 +31,10 @@
 
 @scenario(
     "request-faults",
-    shows="no double run, wrong answer or false `not run` under lost answers, kill, pause, leaving",
+    shows="no double run, wrong answer or false `not run` with lost answers, kill, pause, leaving",
 )
 async def request_faults(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Send over 20,000 requests through six entry hosts while faults come about."""
+    """Send over 20,000 requests through six entry hosts while faults are injected."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": 2, "mapo": 2, "seongsu": 2},
         workers=0,
@@ -85,7 +85,7 @@
 def _add_busiest_host(
     fleet: Fleet, result: ScenarioResult, before: dict[str, Usage], elapsed_s: float
 ) -> None:
-    """Add the processor time of the busiest entry host; one that was killed began anew."""
+    """Add the CPU use of the busiest entry host; the CPU time of a killed one restarted at zero."""
     used = [usage.cpu_s - before[host].cpu_s for host, usage in fleet.usage().items()]
     result.add("busiest entry host", max(used) / elapsed_s * 100.0, "% of a core")
 
--- a/src/galenastall/bench/scenarios/rolling_restart.py
+++ b/src/galenastall/bench/scenarios/rolling_restart.py
@@ -1,4 +1,4 @@
-"""Rolling restart of all entry hosts under load: nothing is cut off."""
+"""Rolling restart of all entry hosts under load, without an interrupted request."""
 
 from typing import Final
 
@@ -21,12 +21,12 @@
 DURATION_S: Final = 90.0
 STOP_TIMEOUT_S: Final = 45.0
 SERVICE_MS: Final = 200.0
-"""Long enough that each stop finds requests in progress."""
+"""Long enough that requests are in progress at each stop."""
 
 
-@scenario("rolling-restart", shows="no request is cut off while all entry hosts are restarted")
+@scenario("rolling-restart", shows="no request is interrupted while all entry hosts are restarted")
 async def rolling_restart(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Stop and start each entry host in turn while requests go on."""
+    """Stop and start the entry hosts one after another while requests are sent."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": 2, "mapo": 2, "seongsu": 2},
         workers=0,
@@ -81,7 +81,7 @@
         slowest_s = max(slowest_s, ended - began)
         recorder.record(PlannedStop(at=began, entry_host=host_id, until=ended))
         if code:
-            result.notes.append(f"{host_id} ended with {code}")
+            result.notes.append(f"{host_id} exited with code {code}")
         await fleet.start_entry_host(host_id)
         await trio.sleep(RESTART_INTERVAL_S * scale)
     result.add("slowest stop", slowest_s, "s", at_most=STOP_TIMEOUT_S)
--- a/src/galenastall/bench/scenarios/settings_race.py
+++ b/src/galenastall/bench/scenarios/settings_race.py
@@ -1,4 +1,4 @@
-"""Racing operators with a log outage in the middle: in force everywhere soon, never reverted."""
+"""Concurrent settings changes with a log outage: soon in force everywhere, never reverted."""
 
 import random
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 @scenario("settings-race", shows="accepted changes in force everywhere within 5 s, none reverted")
 async def settings_race(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Let four operators make 100 changes on five paths while the log is down for a minute."""
+    """Let four operators make 100 changes to five paths; the log is down for 60 s of the run."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": 2, "mapo": 2, "seongsu": 2},
         workers=0,
@@ -93,7 +93,7 @@
 
 
 class _Race:
-    """Operators and samplers of one run."""
+    """The operators that change settings and the samplers that read them, in one run."""
 
     def __init__(self, *, fleet: Fleet, recorder: HistoryRecorder, seed: int, scale: float) -> None:
         self._fleet = fleet
@@ -108,7 +108,7 @@
         self.undecided = 0
 
     async def run_operator(self, author: str) -> None:
-        """Make changes until enough were accepted or the time is over."""
+        """Make changes until this operator's share is accepted or the time limit is reached."""
         done = sent = 0
         while done < self._changes_per_operator and trio.current_time() < self._deadline:
             sent += 1
@@ -122,7 +122,7 @@
             await trio.sleep(self._change_interval_s * (0.5 + self._rng.random()))
 
     async def _submit(self, author: str, change: _Change) -> bool:
-        """Send a change until there is a verdict; the same id makes a repeat recognisable."""
+        """Send a change until it is accepted or rejected; hosts recognise repeats by its id."""
         revision = await self._read_revision(change.path)
         message = {
             "change_id": change.change_id,
@@ -160,10 +160,10 @@
             if response is not None and response[0] == HTTP_OK:
                 return int(response[1]["revision"])
             await trio.sleep(RETRY_S)
-        raise CallError(f"no entry host showed {path} within {TIMEOUT_S:g} s")
+        raise CallError(f"no entry host returned the settings at {path} within {TIMEOUT_S:g} s")
 
     async def sample(self, host: EntryHost) -> None:
-        """Ask an entry host again and again what it has in force, one path after the other."""
+        """Poll an entry host for the settings in force, one path after another."""
         index = 0
         while True:
             path = PATHS[index % len(PATHS)]
@@ -182,7 +182,10 @@
             await trio.sleep(SAMPLE_EVERY_S)
 
     def slowest_s(self) -> float:
-        """Return the longest time from an acceptance to a host's first word that has it."""
+        """Return the longest time from an accepted change to a host's first sample with it.
+
+        A change missing from all samples of a host counts as in force only now.
+        """
         history = self._recorder.history()
         samples_by_host = history.grouped(SettingsInForce, lambda sample: sample.entry_host)
         slowest = 0.0
