--- a/src/galenastall/node/jobs/shard_driver.py
+++ b/src/galenastall/node/jobs/shard_driver.py
@@ -1,4 +1,4 @@
-"""Carry out what one job shard's core decides: assign, stop, hold, take the census, log ends."""
+"""Executes the decisions of one job shard's core: assign, stop, hold, take a census, log ends."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import Final
@@ -18,7 +18,7 @@
 )
 from galenastall.coordination.placement.placement_commands import CapacitySummary
 from galenastall.coordination.placement.task_reports import HostCensus, TaskAttempt
-from galenastall.node.jobs.job_link import JobLink, nothing_sent
+from galenastall.node.jobs.job_link import JobLink, had_no_effect
 from galenastall.node.jobs.job_timings import JobTimings
 from galenastall.protocol.clock import Clock
 from galenastall.protocol.event_sink import EventSink
@@ -43,7 +43,7 @@
 from galenastall.state.job_shards import shard_ownable
 
 IDLE_TICKS: Final = 8
-"""A new job wakes the driver, so this bounds only what nobody waits for."""
+"""Ticks between decisions of an idle shard; a new job wakes the driver at once."""
 
 
 class ShardDriver:
@@ -84,15 +84,15 @@
         self._census: Census | None = None
         self._needs_barrier = False
         self._is_at_barrier = False
-        self._is_giving = False
-        self._asking: set[HostId] = set()
+        self._is_logging_intents = False
+        self._queried_hosts: set[HostId] = set()
 
     def cancel(self) -> None:
         """Stop, since the shard has another owner."""
         self._scope.cancel()
 
     def wake(self) -> None:
-        """Decide soon."""
+        """Trigger a decision soon."""
         self._wake.set()
 
     @property
@@ -105,7 +105,7 @@
         return self._clock.wall() + self._timings.valid_s
 
     async def drain(self) -> None:
-        """Return once all ends that are known are logged, or can't be now."""
+        """Wait until all known ends are logged or the log is down."""
         while self.core.ends and self._appender.is_log_up:
             self._logging.set()
             await trio.sleep(self._timings.window_s)
@@ -117,7 +117,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._log_ends)
                 while True:
-                    with trio.move_on_after(self._timings.tick_s * self._pace):
+                    with trio.move_on_after(self._timings.tick_s * self._ticks_per_wait):
                         await self._wake.wait()
                         await trio.sleep(self._timings.window_s)
                     self._wake = trio.Event()
@@ -125,8 +125,8 @@
                         self._step(nursery)
 
     @property
-    def _pace(self) -> int:
-        """Return how many ticks may pass at once: a shard without jobs has nothing to time."""
+    def _ticks_per_wait(self) -> int:
+        """Number of ticks between decisions: a shard without jobs has no timers."""
         core = self.core
         is_busy = core.runs_by_id or core.needs_census or core.ends or core.intents or self._stops
         return 1 if is_busy else IDLE_TICKS
@@ -153,15 +153,15 @@
             nursery.start_soon(self._call_gang, call)
         if self.core.ends:
             self._logging.set()
-        if self.core.intents and not self._is_giving:
-            self._is_giving = True
+        if self.core.intents and not self._is_logging_intents:
+            self._is_logging_intents = True
             nursery.start_soon(self._log_intents)
 
     async def _assign(self, batch: AssignBatch) -> None:
-        """Send until there is an answer, or the assignee is gone: then a census tells.
+        """Send until there is an answer or the assignee left the roster; then a census decides.
 
-        What was never sent goes back at once. Left to the next beat to doubt, tasks stayed assigned
-        for good where the assignee was back in the roster by then.
+        Tasks that were never sent are requeued at once. When only the next heartbeat marked them
+        unconfirmed, they stayed assigned forever if the assignee had rejoined the roster by then.
         """
         is_repeat = False
         while batch.host in self._ownership.roster():
@@ -182,7 +182,7 @@
                     self.core.on_tasks_refused(batch, refused, self._clock.wall())
                 case Success(JobReply(ok=False)):
                     answer = AssignAnswer.REFUSED
-                case Failure(error) if nothing_sent(error) and not is_repeat:
+                case Failure(error) if had_no_effect(error) and not is_repeat:
                     answer = AssignAnswer.REFUSED
             if answer is not AssignAnswer.UNKNOWN:
                 self.core.on_assign_answer(batch, answer, self._clock.wall())
@@ -228,7 +228,7 @@
             case Success(JobReply(ok=ok)):
                 is_ok = ok
             case Failure(_) if step.kind is GangStepKind.START:
-                return  # No answer: it is asked again.
+                return  # No answer: the call is repeated.
             case _:
                 is_ok = False
         if step.kind is GangStepKind.HOLD:
@@ -257,10 +257,10 @@
         if is_complete:
             self._end_census(nursery)
             return
-        for host in roster - self._asking:
+        for host in roster - self._queried_hosts:
             if host in census.missing_hosts(roster) or census.missing_workers(expected):
-                self._asking.add(host)
-                nursery.start_soon(self._ask, host, census)
+                self._queried_hosts.add(host)
+                nursery.start_soon(self._query_host, host, census)
 
     def _begin_census(self) -> None:
         void_at = self._clock.wall() + self._timings.valid_s + self._timings.skew_s
@@ -268,16 +268,16 @@
         self._events.record(
             "shard.census",
             subjects=(shard_ownable(self.core.shard),),
-            cause="tasks may be somewhere; asking all entry hosts",
+            cause="the state of some tasks is unconfirmed; querying all entry hosts",
             fields={"epoch": str(self.core.epoch)},
         )
 
     def _end_census(self, nursery: trio.Nursery) -> None:
-        """Give out again what is nowhere, once all ends that were logged before were read."""
+        """Requeue tasks found on no host, once all ends logged before the census were read."""
         if self._needs_barrier:
             if not self._is_at_barrier:
                 self._is_at_barrier = True
-                nursery.start_soon(self._pass_barrier, self._census)
+                nursery.start_soon(self._append_barrier, self._census)
             return
         count = self.core.resolve_unconfirmed(
             self._clock.wall(), may_have_lost_ends=self._may_have_lost_ends
@@ -286,14 +286,14 @@
         self._events.record(
             "shard.recovered",
             subjects=(shard_ownable(self.core.shard),),
-            cause=f"{count} tasks in doubt are nowhere",
+            cause=f"{count} unconfirmed tasks were found on no host",
         )
 
-    async def _pass_barrier(self, census: Census | None) -> None:
-        """Read back a record of our own.
+    async def _append_barrier(self, census: Census | None) -> None:
+        """Append a barrier record and wait until it is read back.
 
-        A worker forgets an end only after its record was read back, so an end that the census could
-        not see any more lies before this one.
+        A worker drops an end only after its record was read back, so an end that the census could
+        no longer see precedes the barrier.
         """
         result = await self._appender.append(
             stream=self._follower.stream, record=ShardBarrier(shard=self.core.shard)
@@ -305,7 +305,7 @@
         self._is_at_barrier = False
         self.wake()
 
-    async def _ask(self, host: HostId, census: Census) -> None:
+    async def _query_host(self, host: HostId, census: Census) -> None:
         message = ShardRecover(
             shard=self.core.shard, epoch=self.core.epoch, valid_until=self.valid_until()
         )
@@ -317,7 +317,7 @@
                 self.core.on_reports(host, reports, now)
                 census.on_answer(HostCensus(host_id=host, reports=reports, workers=answer.workers))
         await trio.sleep(self._timings.resend_s)
-        self._asking.discard(host)
+        self._queried_hosts.discard(host)
         self.wake()
 
     async def _log_ends(self) -> None:
@@ -333,13 +333,13 @@
                     await trio.sleep(self._timings.log_retry_s)
                     self._logging.set()
                     continue
-                self._tell_settled(self.core.ends.logged(record))
+                self._notify_settled(self.core.ends.logged(record))
             async with trio.open_nursery() as nursery:
                 for job in jobs:
                     nursery.start_soon(self._log_job_end, job)
 
     async def _log_intents(self) -> None:
-        """Read back the record of first givings before the tasks are given out."""
+        """Read back the record of first assignments before the tasks are assigned."""
         record = self.core.intents.take()
         if record is not None and self.may_act:
             result = await self._appender.append(stream=self._follower.stream, record=record)
@@ -349,7 +349,7 @@
             self.core.on_given(record, is_logged=is_logged)
         elif record is not None:
             self.core.on_given(record, is_logged=False)
-        self._is_giving = False
+        self._is_logging_intents = False
         self.wake()
 
     async def _log_job_end(self, job: JobEnded) -> None:
@@ -363,7 +363,7 @@
             await trio.sleep(self._timings.log_retry_s)
             self._logging.set()
 
-    def _tell_settled(self, settled: Iterable[ReportSource]) -> None:
+    def _notify_settled(self, settled: Iterable[ReportSource]) -> None:
         attempts_by_host: dict[HostId, list[TaskAttempt]] = {}
         for each in settled:
             attempt = TaskAttempt(task_id=each.task_id, attempt=each.attempt)
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -29,7 +29,7 @@
 SOURCES: Final = Path(__file__).parent.parent / "src"
 LOOPBACK: Final = "127.0.0.1:0"
 LIMIT_S: Final = 60.0
-"""A condition that does not come true for so long has failed; nothing is timed by it."""
+"""Time limit for a condition to become true; no test measures time by it."""
 POLL_S: Final = 0.05
 
 
@@ -40,12 +40,12 @@
         if found := condition():
             return found
         time.sleep(POLL_S)
-    raise AssertionError(f"never: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 @dataclass(kw_only=True)
 class Running:
-    """One process, what it said when it was bound, and its log."""
+    """One process, the addresses that it printed once bound, and its log."""
 
     process: subprocess.Popen[bytes]
     log_path: Path
@@ -73,7 +73,7 @@
 
 @dataclass(kw_only=True)
 class Site:
-    """A stand-in and the entry hosts on it; everything started is ended by `open_site`."""
+    """A stand-in and the entry hosts on it; `open_site` ends all started processes."""
 
     folder: Path
     running: list[Running] = field(default_factory=list)
@@ -116,7 +116,7 @@
         self.hosts = found.bound["hosts"]
 
     def start_nodes(self, *names: str, data_centre: str, **settings: Any) -> list[Running]:
-        """Start entry hosts at once, and list them once they are bound."""
+        """Start entry hosts concurrently, and list them once they are bound."""
         started = [self.spawn_node(name, data_centre=data_centre, **settings) for name in names]
         for name, each in zip(names, started, strict=True):
             self.read_bound(each)
@@ -144,10 +144,10 @@
             address=node.http,
             peer_address=node.bound["peer"],
         )
-        self.ask(lambda control: control.add_host(listed))
+        self.call_control(lambda control: control.add_host(listed))
 
-    def ask(self, call: Callable[[StandinControl], Any]) -> Any:
-        """Make one call to the stand-in's control side."""
+    def call_control(self, call: Callable[[StandinControl], Any]) -> Any:
+        """Make one call to the stand-in's control API."""
 
         async def run() -> Any:
             client = HttpClient(clock=TrioClock())
@@ -160,7 +160,7 @@
         return trio.run(run)
 
     def set_log_outage(self, *, outage: bool) -> None:
-        self.ask(lambda control: control.change_faults("log", {"outage": outage}))
+        self.call_control(lambda control: control.change_faults("log", {"outage": outage}))
 
     def cli(self, node: Running | str, *arguments: str) -> Result:
         """Run one command of the command line against an entry host."""
@@ -183,7 +183,7 @@
 
 @contextmanager
 def open_site(folder: Path) -> Iterator[Site]:
-    """Provide a site; on the way out, end all of its processes at once, by their ids."""
+    """Provide a site; on exit, kill all of its processes by their ids."""
     site = Site(folder=folder)
     try:
         yield site
