--- a/src/galenastall/bench/scenarios/overload.py
+++ b/src/galenastall/bench/scenarios/overload.py
@@ -1,4 +1,4 @@
-"""Overload at twice the executors' capacity: goodput, fast refusals, urgent deadlines."""
+"""Load at twice the executors' capacity: goodput, early refusals and urgent deadlines."""
 
 from typing import Final
 
@@ -18,11 +18,11 @@
 SLOTS: Final = 4
 SERVICE_MS: Final = 60.0
 CAPACITY_PER_S: Final = EXECUTORS * SLOTS * 1000.0 / SERVICE_MS
-"""200 requests a second; the entry hosts can pass on more, so the executors are what is full."""
+"""200 requests per second; the entry hosts forward more, so the executors are the bottleneck."""
 ENTRY_HOSTS: Final = 3
 STEP_S: Final = 20.0
 REASONS_AFTER_WAIT: Final = ("|deadline_passed", "|overtaken")
-"""Reasons of requests that were taken in; the rest were refused at arrival."""
+"""Reasons given to requests that were queued first; all others were refused on arrival."""
 AIM_GOODPUT: Final = 0.9
 AIM_REFUSAL_MS: Final = 20.0
 AIM_URGENT: Final = 0.99
@@ -30,7 +30,7 @@
 
 @scenario("overload", shows="goodput, refusals and urgent work at twice the capacity")
 async def overload(settings: ExperimentSettings, result: ScenarioResult) -> None:
-    """Find the goodput at several rates, then judge the one at twice the capacity."""
+    """Measure goodput at 0.8, 1 and 2 times the capacity; check the aims at twice the capacity."""
     plan = settings.fleet_plan(
         entry_hosts_by_data_centre={"gangnam": ENTRY_HOSTS},
         workers=0,
@@ -58,17 +58,17 @@
         add_load_figures(result, "2x", summary)
         share = goodputs[2.0] / max(goodputs.values())
         result.add("goodput at 2x over peak", share, "of peak", at_least=AIM_GOODPUT)
-        _judge_classes(result, summary)
+        _add_class_figures(result, summary)
         names = ("answers-whole-and-own", "not-run-is-true", "every-request-answered")
         await close_and_judge(fleet, recorder, result, names=names, directory=settings.directory)
 
 
 def _goodput(summary: LoadSummary, duration_s: float) -> float:
-    """Return requests done by their deadline a second."""
+    """Return the requests per second that were done by their deadline."""
     return sum(summary.in_time_by_class.values()) / duration_s
 
 
-def _judge_classes(result: ScenarioResult, summary: LoadSummary) -> None:
+def _add_class_figures(result: ScenarioResult, summary: LoadSummary) -> None:
     refusals, after_wait = new_histogram(), new_histogram()
     for label in summary.histograms_by_label:
         if "|not_run|" in label:
@@ -78,8 +78,8 @@
     if after_wait.get_total_count():
         p50_ms = after_wait.get_value_at_percentile(50) / 1000.0
         result.add("given up after p50", p50_ms, "ms")
-    told_late = summary.histogram(contains="|deadline_passed").get_total_count()
-    result.add("told not run only at their deadline", told_late, "requests")
+    deadline_rejections = summary.histogram(contains="|deadline_passed").get_total_count()
+    result.add("told not run only at their deadline", deadline_rejections, "requests")
     result.add("early refusals", refusals.get_total_count(), "requests")
     if refusals.get_total_count():
         p99_ms = refusals.get_value_at_percentile(99.0) / 1000.0
--- a/src/galenastall/cli/output.py
+++ b/src/galenastall/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing of answers, as text for people or JSON for programs."""
+"""Printing of results, as text for people or JSON for programs."""
 
 from enum import StrEnum
 from typing import Annotated, Any, NoReturn
@@ -11,7 +11,7 @@
 
 
 class OutputFormat(StrEnum):
-    """How a command prints data."""
+    """Output formats of a command."""
 
     TEXT = "text"
     JSON = "json"
@@ -21,7 +21,7 @@
 
 
 def print_value(value: Any, output: OutputFormat) -> None:
-    """Print plain data: as JSON, or a line for each field."""
+    """Print data as JSON, or as text with a line for each field."""
     if output is OutputFormat.JSON:
         typer.echo(msgspec.json.encode(value).decode())
         return
@@ -44,13 +44,17 @@
 
 def _lines(value: Any, *, indent: str) -> list[str]:
     if isinstance(value, dict):
-        return [line for name, item in value.items() for line in _named(name, item, indent=indent)]
+        return [
+            line
+            for name, item in value.items()
+            for line in _labelled_lines(name, item, indent=indent)
+        ]
     if isinstance(value, list):
-        return [line for item in value for line in _named("-", item, indent=indent)]
+        return [line for item in value for line in _labelled_lines("-", item, indent=indent)]
     return [f"{indent}{value}"]
 
 
-def _named(name: str, item: Any, *, indent: str) -> list[str]:
+def _labelled_lines(name: str, item: Any, *, indent: str) -> list[str]:
     label = name if name == "-" else f"{name}:"
     if isinstance(item, dict | list):
         return [f"{indent}{label}", *_lines(item, indent=indent + "  ")]
--- a/src/galenastall/cli/work_commands.py
+++ b/src/galenastall/cli/work_commands.py
@@ -16,12 +16,12 @@
 from galenastall.protocol.yaml_files import load_yaml
 from galenastall.state.errors import StepError
 from galenastall.state.outcomes import Outcome
-from galenastall.transport.http_client import WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, error_from_response
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RequestEnding:
-    """How a request ended, as one object."""
+class RequestResult:
+    """Outcome and response of a request."""
 
     request_id: str
     outcome: str
@@ -31,7 +31,7 @@
     retry_after_ms: int | None
     body: str
     body_encoding: str
-    """`utf-8`, or `base64` if the answer is no such text."""
+    """`utf-8`, or `base64` if the body is not valid UTF-8."""
 
 
 submit_app = typer.Typer(no_args_is_help=True, help=f"Submit a job or a request. {EXIT_CODE_HELP}")
@@ -51,40 +51,43 @@
     entry: EntryOption,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Submit a job; "accepted" is said only once it is durable.
+    """Submit a job; it is reported as accepted only once it is durable.
 
-    Give the job an id of its own (job_id in the file), so that the command can be repeated.
+    Set an id (job_id in the file) to make the command safe to repeat.
 
-    Exit codes: 0 accepted, 2 the file makes no sense, 3 refused or another job has the id, 4 no
-    entry host answered or it can't accept now, 5 it may be accepted: repeat it with its id.
+    Exit codes: 0 accepted, 2 the file is invalid, 3 refused or another job has the id, 4 no entry
+    host answered or it can't accept now, 5 it may be accepted: repeat it with its id.
     """
     job = _read_mapping(file)
-    _finish(call_entry_json(entry=entry, method="POST", path="/v1/jobs", message=job), output)
+    _print_or_fail(
+        call_entry_json(entry=entry, method="POST", path="/v1/jobs", message=job), output
+    )
 
 
 @submit_app.command("request")
 def submit_request(  # noqa: PLR0917 (typer calls it by keyword)
     operation: Annotated[str, typer.Argument(help="Operation of the upstreams.")],
     entry: EntryOption,
-    team: Annotated[str, typer.Option(help="Team that asks.")],
+    team: Annotated[str, typer.Option(help="Team that the request belongs to.")],
     file: Annotated[Path | None, typer.Option(help="Body of the request; empty if none.")] = None,
     urgency: Annotated[str, typer.Option("--class", help="urgent, normal or backfill.")] = "normal",
-    deadline_ms: Annotated[int, typer.Option(help="Milliseconds until it is useless.")] = 30_000,
+    deadline_ms: Annotated[int, typer.Option(help="Deadline in milliseconds from now.")] = 30_000,
     idempotent: Annotated[
-        bool, typer.Option(help="Whether it may run twice; without it, at most once.")
+        bool,
+        typer.Option(help="The request may run more than once; otherwise it runs at most once."),
     ] = False,
-    key: Annotated[str, typer.Option(help="Idempotency key; repeats get the first answer.")] = "",
+    key: Annotated[str, typer.Option(help="Idempotency key; repeats get the first response.")] = "",
     request_id: Annotated[
-        str, typer.Option(help="Id for `status request:ID` and `timeline`; made up if empty.")
+        str, typer.Option(help="Id for `status request:ID` and `timeline`; generated if empty.")
     ] = "",
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Send one request; its answer goes to standard output, and how it ended to standard error.
+    """Send one request; prints its response to standard output and its outcome to standard error.
 
-    With --output json all of it goes to standard output as one object.
+    With --output json, prints both to standard output as one object.
 
     Exit codes: 0 done, 1 it ran and failed, 2 malformed, 3 not run, 4 no entry host answered, 5
-    nobody knows whether it ran.
+    it is unknown whether it ran.
     """
     request_id = request_id or uuid.uuid4().hex
     headers = {
@@ -106,15 +109,17 @@
     )
     if isinstance(answered, Failure):
         fail(answered.failure(), output)
-    ended = _ending_of(answered.unwrap(), request_id=request_id, entry=entry, output=output)
+    result = _parse_request_result(
+        answered.unwrap(), request_id=request_id, entry=entry, output=output
+    )
     if output is OutputFormat.JSON:
-        print_value(ended, output)
+        print_value(result, output)
     else:
-        typer.echo(f"{request_id}: {ended.outcome} {ended.reason}".rstrip(), err=True)
+        typer.echo(f"{request_id}: {result.outcome} {result.reason}".rstrip(), err=True)
         typer.echo(answered.unwrap().body, nl=False)
-    if ended.reason in _REASONS_OF_BAD_INPUT:
+    if result.reason in _REASONS_OF_BAD_INPUT:
         raise typer.Exit(ExitCode.USAGE)
-    raise typer.Exit(_EXIT_BY_OUTCOME[Outcome(ended.outcome)])
+    raise typer.Exit(_EXIT_BY_OUTCOME[Outcome(result.outcome)])
 
 
 def cancel(
@@ -122,13 +127,13 @@
     entry: EntryOption,
     output: OutputOption = OutputFormat.TEXT,
 ) -> None:
-    """Cancel a job; the answer says which tasks never started, were stopped or were done.
+    """Cancel a job; prints which tasks never started, were stopped or had completed.
 
-    Exit codes: 0 cancelled, 4 no entry host answered or it can't now, 5 it may be cancelled: ask
-    again, 6 no such job.
+    Exit codes: 0 cancelled, 4 no entry host answered or it can't cancel now, 5 it may be cancelled:
+    repeat the command, 6 no such job.
     """
     path = f"/v1/jobs/{quote(job)}/cancel"
-    _finish(call_entry_json(entry=entry, method="POST", path=path, message={}), output)
+    _print_or_fail(call_entry_json(entry=entry, method="POST", path=path, message={}), output)
 
 
 def status(
@@ -141,7 +146,7 @@
     """Show the state of a job, a request or the entry host.
 
     Exit codes: 0 shown, 4 no entry host answered or (without an item) it is not ready, 6 no such
-    job or request. Requests are known to the entry host that took them only.
+    job or request. A request is known only to the entry host that accepted it.
     """
     if not item:
         _show_host(entry, output)
@@ -149,28 +154,28 @@
     path = f"/v1/jobs/{quote(item)}"
     if item.startswith("request:"):
         path = f"/v1/requests/{quote(item.removeprefix('request:'))}"
-    _finish(call_entry_json(entry=entry, method="GET", path=path), output)
+    _print_or_fail(call_entry_json(entry=entry, method="GET", path=path), output)
 
 
 def _show_host(entry: str, output: OutputFormat) -> None:
     shown = call_entry_json(entry=entry, method="GET", path="/v1/status")
-    _finish(shown, output)
+    _print_or_fail(shown, output)
     if not shown.unwrap()["ready"]:
         raise typer.Exit(ExitCode.UNREACHABLE)
 
 
-def _ending_of(
-    answer: WholeAnswer, *, request_id: str, entry: str, output: OutputFormat
-) -> RequestEnding:
+def _parse_request_result(
+    answer: BufferedResponse, *, request_id: str, entry: str, output: OutputFormat
+) -> RequestResult:
     outcome = answer.headers.get("galenastall-outcome", "")
     if outcome not in set(Outcome):
-        fail(error_of_answer(answer, step="cli.submit_request", peer=entry), output)
+        fail(error_from_response(answer, step="cli.submit_request", peer=entry), output)
     retry_after_ms = answer.headers.get("galenastall-retry-after-ms", "")
     try:
         body, encoding = answer.body.decode(), "utf-8"
     except UnicodeDecodeError:
         body, encoding = base64.b64encode(answer.body).decode(), "base64"
-    return RequestEnding(
+    return RequestResult(
         request_id=request_id,
         outcome=outcome,
         reason=answer.headers.get("galenastall-reason", ""),
@@ -182,7 +187,7 @@
     )
 
 
-def _finish(result: Result[Any, StepError], output: OutputFormat) -> None:
+def _print_or_fail(result: Result[Any, StepError], output: OutputFormat) -> None:
     match result:
         case Success(value):
             print_value(value, output)
--- a/src/galenastall/node/log/group_commit.py
+++ b/src/galenastall/node/log/group_commit.py
@@ -1,15 +1,14 @@
-"""Append records in groups, and tell each caller truthfully what became of its record.
-
-An append whose answer was lost is never repeated. It is looked for in the followed stream instead:
-
-- seen there: it was appended, at the offset where it was seen;
-- a read of the tip that was sent `settle_s` after the append was sent did not show it: it was not
-  appended. This rests on two assumptions about the log, both to be checked for a real platform: an
-  append takes effect within `settle_s` of its sending or never, and a read of the tip shows all
-  appends that took effect before it. A record that lands against that is reported as
-  `log.late_append`;
-- neither yet: nobody knows, and the caller hears TIMEOUT. Asking again with the same record id
-  waits for the same append; it sends nothing.
+"""Append records in groups, and report the outcome of each record to its caller.
+
+An append whose response was lost is never repeated. The followed stream is searched for it instead:
+
+- found: it was appended, at the offset where it was found;
+- not in a read of the log's end that was sent `settle_s` after the append: it was not appended.
+  This rests on two assumptions about the log, both to be checked for a real platform: an append
+  takes effect within `settle_s` of being sent or never, and a read of the log's end returns all
+  appends that took effect before it. A record that violates this is reported as `log.late_append`;
+- neither yet: the outcome is unknown, and the caller gets TIMEOUT. A call repeated with the same
+  record id waits for the same append and sends nothing.
 """
 
 import itertools
@@ -40,15 +39,15 @@
 DEFAULT_SETTLE_S: Final = 30.0
 RETRY_MIN_S: Final = 0.5
 RETRY_MAX_S: Final = 5.0
-REMEMBERED_IDS: Final = 4096
-"""Own records whose fate is remembered, for callers that ask again with the same id."""
+MAX_REMEMBERED_OUTCOMES: Final = 4096
+"""Own records whose outcome is kept, for callers that repeat a call with the same id."""
 
 STEP: Final = "log.append"
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class _Pending:
-    """A record whose fate is not known yet; mutable, since its stream's task moves it along."""
+    """A record whose outcome is not known yet; mutable, since its stream's task updates it."""
 
     stream: StreamName
     record_id: RecordId
@@ -56,28 +55,28 @@
     sent_at: float | None = None
     """Runtime seconds; None while it is queued."""
     offset: Offset | None = None
-    """Where the log's answer put it; None as long as there was none."""
-    fate: Result[Offset, StepError] | None = None
+    """Offset in the log's response; None before that."""
+    outcome: Result[Offset, StepError] | None = None
     decided: trio.Event = field(default_factory=trio.Event)
 
-    def decide(self, fate: Result[Offset, StepError]) -> None:
-        if self.fate is None:
-            self.fate = fate
+    def decide(self, outcome: Result[Offset, StepError]) -> None:
+        if self.outcome is None:
+            self.outcome = outcome
             self.decided.set()
 
 
 class _ReadBack:
-    """Fold that shows the appender every record of one stream."""
+    """Fold that passes every record of one stream to the appender."""
 
-    def __init__(self, *, seen: Callable[[LoggedRecord], None]) -> None:
-        self._seen = seen
+    def __init__(self, *, on_record: Callable[[LoggedRecord], None]) -> None:
+        self._on_record = on_record
 
     def apply(self, logged: LoggedRecord) -> None:
-        self._seen(logged)
+        self._on_record(logged)
 
 
 class _StreamQueue:
-    """Records of one stream on their way to the log."""
+    """Queue of the records to append to one stream."""
 
     def __init__(self, *, follower: LogStreamFollower) -> None:
         self.follower = follower
@@ -112,7 +111,7 @@
     """Group commit of one entry host; see protocol.log_access.LogAppender.
 
     It reads its own records back through the followers. A follower feeds a record to all folds
-    without a pause, so every fold has taken a record in before its writer runs again.
+    without yielding, so every fold has applied a record before its writer runs again.
     """
 
     def __init__(
@@ -131,7 +130,7 @@
         answer_timeout_s: float = DEFAULT_ANSWER_TIMEOUT_S,
         settle_s: float = DEFAULT_SETTLE_S,
     ) -> None:
-        """`writer` must be unique for each life of a process; record ids start with it."""
+        """`writer` must be unique per incarnation of a process; record ids start with it."""
         self._log = log
         self._clock = clock
         self._rng = rng
@@ -151,38 +150,38 @@
         self._is_budget_short = False
         self._pending_by_id: dict[RecordId, _Pending] = {}
         self._unanswered_by_id: dict[RecordId, _Pending] = {}
-        self._fates_by_id: OrderedDict[RecordId, Result[Offset, StepError]] = OrderedDict()
+        self._outcomes_by_id: OrderedDict[RecordId, Result[Offset, StepError]] = OrderedDict()
         self._queues_by_stream: dict[StreamName, _StreamQueue] = {}
         self.appends = 0
         """Append calls sent so far, for metrics."""
         for follower in followers:
             self._queues_by_stream[follower.stream] = _StreamQueue(follower=follower)
-            follower.subscribe(_ReadBack(seen=self._saw))
-            follower.on_tip(self._settle_unseen)
-            follower.on_gap(partial(self._passed_over, follower.stream))
+            follower.subscribe(_ReadBack(on_record=self._on_read_back))
+            follower.on_end_reached(self._resolve_missing)
+            follower.on_gap(partial(self._on_skipped, follower.stream))
 
     @property
     def queued(self) -> int:
         """Records that wait to be sent."""
         return sum(len(queue.waiting) for queue in self._queues_by_stream.values())
 
-    def set_settle(self, settle_s: float) -> None:
-        """Take the platform's word on how long an unanswered append may still take effect."""
+    def set_settle_time(self, settle_s: float) -> None:
+        """Set how long an unanswered append may still take effect on this platform."""
         self._settle_s = settle_s
 
     @property
     def is_log_up(self) -> bool:
-        """Whether reads succeed, and no append has failed of late.
+        """Whether reads succeed and no append has failed recently.
 
-        A failed append speaks against the log until it may be tried again, as an idle host would
-        else call the log down until its next append.
+        A failed append counts only until the retry time, as an idle host would otherwise report
+        the log as down until its next append.
         """
         is_pausing = self._append_failed and self._clock.now() < self._retry_at
         return self._health.is_up and not is_pausing
 
     @property
     def unresolved(self) -> Mapping[RecordId, StreamName]:
-        """Records that were sent and of which nobody knows yet whether they were appended."""
+        """Records that were sent and whose outcome is not known yet."""
         return {record_id: found.stream for record_id, found in self._unanswered_by_id.items()}
 
     async def append(
@@ -193,8 +192,8 @@
         UNAVAILABLE and OVERLOADED: it was not appended. TIMEOUT: it may have been, or still be.
         """
         record_id = record_id or RecordId(f"{self._writer}-{next(self._numbers)}")
-        known = self._fates_by_id.get(record_id)
-        if known is not None and not _is_absent(known):
+        known = self._outcomes_by_id.get(record_id)
+        if known is not None and not _was_not_appended(known):
             return known
         pending = self._pending_by_id.get(record_id)
         if pending is None:
@@ -207,7 +206,7 @@
             self._queues_by_stream[stream].put(pending)
         with trio.move_on_after(self._answer_timeout_s):
             await pending.decided.wait()
-        return pending.fate or self._still_open(pending)
+        return pending.outcome or self._undecided_result(pending)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Append until cancelled."""
@@ -227,14 +226,14 @@
             await queue.wait_nonempty()
             now = self._clock.now()
             limits, live_hosts = self._limits(), self._live_hosts()
-            self._watch_spacing(limits, live_hosts)
+            self._check_spacing(limits, live_hosts)
             send_at = self._window.reserve(now=now, limits=limits, live_hosts=live_hosts)
             await trio.sleep(max(0.0, send_at - now))
             batch = queue.take_batch()
             if batch:
                 await self._append_batch(stream, queue, batch)
 
-    def _watch_spacing(self, limits: WindowLimits, live_hosts: int) -> None:
+    def _check_spacing(self, limits: WindowLimits, live_hosts: int) -> None:
         spacing_s = self._window.spacing_s(limits=limits, live_hosts=live_hosts)
         is_short = spacing_s > limits.max_window_s
         if is_short and not self._is_budget_short:
@@ -253,28 +252,28 @@
             case Success(first):
                 self._note_appended()
                 for index, pending in enumerate(batch):
-                    self._answered(queue, pending, Offset(first + index))
+                    self._on_answer(queue, pending, Offset(first + index))
             case Failure(error) if error.may_have_taken_effect:
                 self._note_failed(error)
-                undecided = {found.record_id: found for found in batch if found.fate is None}
+                undecided = {found.record_id: found for found in batch if found.outcome is None}
                 self._unanswered_by_id.update(undecided)
                 self._fail_queued(queue, error)
             case Failure(error) if error.reason is Reason.OVERLOADED:
-                self._unsend(batch)
+                self._mark_unsent(batch)
                 queue.put_back(batch)
                 await trio.sleep(error.retry_after_s or self._rng.uniform(0.0, RETRY_MIN_S))
             case Failure(error):
                 self._note_failed(error)
-                self._unsend(batch)
+                self._mark_unsent(batch)
                 queue.put_back(batch)
                 self._fail_queued(queue, error)
 
-    def _answered(self, queue: _StreamQueue, pending: _Pending, offset: Offset) -> None:
+    def _on_answer(self, queue: _StreamQueue, pending: _Pending, offset: Offset) -> None:
         pending.offset = offset
         if queue.follower.next_offset > offset:
             self._decide(pending, Success(offset))
 
-    def _unsend(self, batch: list[_Pending]) -> None:
+    def _mark_unsent(self, batch: list[_Pending]) -> None:
         for pending in batch:
             pending.sent_at = None
 
@@ -282,49 +281,54 @@
         while queue.waiting:
             self._decide(queue.waiting.popleft(), Failure(self._unavailable(error.detail)))
 
-    def _saw(self, logged: LoggedRecord) -> None:
+    def _on_read_back(self, logged: LoggedRecord) -> None:
         pending = self._pending_by_id.get(logged.record_id)
         if pending is not None and pending.stream == logged.stream:
             self._decide(pending, Success(logged.offset))
             return
-        fate = self._fates_by_id.get(logged.record_id)
-        if fate is not None and _is_absent(fate):
-            self._fates_by_id[logged.record_id] = Success(logged.offset)
+        outcome = self._outcomes_by_id.get(logged.record_id)
+        if outcome is not None and _was_not_appended(outcome):
+            self._outcomes_by_id[logged.record_id] = Success(logged.offset)
             self._events.record(
                 "log.late_append",
                 peer=logged.stream,
                 subjects=(logged.record_id,),
-                cause=f"landed at {logged.offset} after it was taken for not appended",
+                cause=f"appended at {logged.offset} after it was reported as not appended",
             )
 
-    def _settle_unseen(self) -> None:
+    def _resolve_missing(self) -> None:
         for pending in list(self._unanswered_by_id.values()):
             log_end_read_at = self._queues_by_stream[pending.stream].follower.log_end_read_at
             if pending.sent_at is None or log_end_read_at is None:
                 continue
             if log_end_read_at >= pending.sent_at + self._settle_s:
-                self._decide(pending, Failure(self._unavailable("its answer was lost")))
-
-    def _passed_over(self, stream: StreamName, start: Offset) -> None:
-        """Decide what can no longer be read back, as the log dropped records unread."""
+                self._decide(
+                    pending,
+                    Failure(
+                        self._unavailable("its response was lost, and the log does not contain it")
+                    ),
+                )
+
+    def _on_skipped(self, stream: StreamName, start: Offset) -> None:
+        """Decide records that can no longer be read back, as the log dropped them unread."""
         for pending in list(self._pending_by_id.values()):
             if pending.stream != stream or pending.sent_at is None:
                 continue
             if pending.offset is not None and pending.offset < start:
                 self._decide(pending, Success(pending.offset))
             elif pending.record_id in self._unanswered_by_id:
-                detail = "its answer was lost and the log dropped records unread"
+                detail = "its response was lost and the log dropped records before they were read"
                 self._decide(pending, Failure(self._error(Reason.TIMEOUT, detail)))
 
-    def _decide(self, pending: _Pending, fate: Result[Offset, StepError]) -> None:
+    def _decide(self, pending: _Pending, outcome: Result[Offset, StepError]) -> None:
         self._pending_by_id.pop(pending.record_id, None)
         self._unanswered_by_id.pop(pending.record_id, None)
-        pending.decide(fate)
+        pending.decide(outcome)
         if pending.sent_at is None:
             return
-        self._fates_by_id[pending.record_id] = fate
-        while len(self._fates_by_id) > REMEMBERED_IDS:
-            self._fates_by_id.popitem(last=False)
+        self._outcomes_by_id[pending.record_id] = outcome
+        while len(self._outcomes_by_id) > MAX_REMEMBERED_OUTCOMES:
+            self._outcomes_by_id.popitem(last=False)
 
     def _refusal(self, stream: StreamName) -> StepError | None:
         queue = self._queues_by_stream.get(stream)
@@ -333,17 +337,17 @@
         if not self._health.is_up or self._clock.now() < self._retry_at:
             return self._unavailable("the log is down")
         if len(queue.waiting) >= self._queue_records:
-            detail = f"{self._queue_records} records wait already"
+            detail = f"{self._queue_records} records are queued already"
             return self._error(Reason.OVERLOADED, detail, retry_after_s=RETRY_MIN_S)
         return None
 
-    def _still_open(self, pending: _Pending) -> Result[Offset, StepError]:
+    def _undecided_result(self, pending: _Pending) -> Result[Offset, StepError]:
         queue = self._queues_by_stream[pending.stream]
         if pending.sent_at is None and pending in queue.waiting:
             queue.waiting.remove(pending)
-            self._decide(pending, Failure(self._unavailable("it waited too long")))
-            return pending.fate or Failure(self._unavailable(""))
-        detail = "no answer, and not read back yet"
+            self._decide(pending, Failure(self._unavailable("it timed out in the queue")))
+            return pending.outcome or Failure(self._unavailable(""))
+        detail = "no response, and not read back yet"
         if pending.offset is not None:
             detail = f"appended at {pending.offset}, but not read back yet"
         return Failure(self._error(Reason.TIMEOUT, detail))
@@ -371,6 +375,6 @@
         )
 
 
-def _is_absent(fate: Result[Offset, StepError]) -> bool:
-    """Return whether the record was taken for not appended."""
-    return isinstance(fate, Failure) and not fate.failure().may_have_taken_effect
+def _was_not_appended(outcome: Result[Offset, StepError]) -> bool:
+    """Return whether the outcome says that the record was not appended."""
+    return isinstance(outcome, Failure) and not outcome.failure().may_have_taken_effect
--- a/src/galenastall/standin/platform_http_face.py
+++ b/src/galenastall/standin/platform_routes.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in's log and host list."""
+"""HTTP routes of the stand-in's log and host list."""
 
 from dataclasses import dataclass
 from typing import Any, Final
@@ -7,7 +7,7 @@
 
 from galenastall.protocol.platform import Platform
 from galenastall.protocol.upstream_headers import CALLER
-from galenastall.standin.lean_routes import LostAnswerError
+from galenastall.standin.lean_routes import LostResponseError
 from galenastall.standin.memory_platform import MemoryPlatform
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.hosts import HostKind
@@ -19,11 +19,11 @@
 
 DEFAULT_LIMIT: Final = 1000
 MAX_WAIT_S: Final = 300.0
-"""Longest wait of a read."""
+"""Maximum wait of a read, in seconds."""
 _HOST_KINDS: Final = frozenset(kind.value for kind in HostKind)
 
 
-class PlatformFace:
+class PlatformRoutes:
     """Routes of the log and the host list."""
 
     def __init__(self, *, model: MemoryPlatform) -> None:
@@ -31,7 +31,7 @@
 
     @route("POST", "/log/{stream}")
     async def append(self, request: HttpRequest) -> HttpResponse:
-        """Append the texts of the body."""
+        """Append the texts in the body."""
         message = await parse_json(request, AppendMessage)
         if isinstance(message, Failure):
             return error_response(message.failure())
@@ -43,10 +43,10 @@
     @route("GET", "/log/{stream}")
     async def read(self, request: HttpRequest) -> HttpResponse:
         """Read from `start`, waiting up to `wait_s`."""
-        asked = _parse_read(request)
-        if isinstance(asked, Failure):
-            return error_response(asked.failure())
-        read = asked.unwrap()
+        parsed = _parse_read(request)
+        if isinstance(parsed, Failure):
+            return error_response(parsed.failure())
+        read = parsed.unwrap()
         stream = StreamName(request.path_params["stream"])
         log = services_for(self._model, request).log
         return respond(
@@ -55,16 +55,16 @@
 
     @route("GET", "/hosts")
     async def hosts(self, request: HttpRequest) -> HttpResponse:
-        """Return the lagging list, cut as the query says."""
+        """Return the lagging list, filtered by the query."""
         query = request.query
-        asked_kind = query.get("kind")
-        if asked_kind is not None and asked_kind not in _HOST_KINDS:
-            detail = f"unknown kind {asked_kind!r}; allowed: {', '.join(sorted(_HOST_KINDS))}"
+        kind = query.get("kind")
+        if kind is not None and kind not in _HOST_KINDS:
+            detail = f"unknown kind {kind!r}; allowed: {', '.join(sorted(_HOST_KINDS))}"
             return error_response(_invalid(request, detail, step="host_list.fetch"))
         data_centre = query.get("data_centre")
         fetched = await services_for(self._model, request).host_list.fetch(
             data_centre=None if data_centre is None else DataCentre(data_centre),
-            kind=None if asked_kind is None else HostKind(asked_kind),
+            kind=None if kind is None else HostKind(kind),
             known_version=query.get("known_version"),
         )
         return respond(fetched)
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Read:
-    """Query of a read."""
+    """Query parameters of a read."""
 
     start: Offset
     limit: int
@@ -102,16 +102,16 @@
 
 
 def services_for(model: MemoryPlatform, request: HttpRequest) -> Platform:
-    """Return the model as the request's caller reaches it."""
+    """Return the model's services with the network cuts of the request's caller."""
     caller = request.headers.get(CALLER)
     return model.services(caller=None if caller is None else HostId(caller))
 
 
 def respond(result: Result[Any, StepError]) -> HttpResponse:
-    """Return the model's answer; raises LostAnswerError for one that the model lost."""
+    """Return the model's result; raises LostResponseError if the response is to be lost."""
     if not isinstance(result, Failure):
         return json_response(200, result.unwrap())
     error: StepError = result.failure()
     if error.may_have_taken_effect:
-        raise LostAnswerError
+        raise LostResponseError
     return error_response(error)
--- a/src/galenastall/transport/http_pool.py
+++ b/src/galenastall/transport/http_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one address: a bounded number, the most recently used first."""
+"""Bounded connection pool for one address; the most recently used connection is reused first."""
 
 import ssl
 from collections import deque
@@ -9,17 +9,17 @@
 import trio
 
 from galenastall.protocol.clock import Clock
-from galenastall.transport.http_stream import SentStream, connect_stream
+from galenastall.transport.http_stream import SendTrackingStream, connect_stream
 
 DEFAULT_KEEP_ALIVE_S: Final = 15.0
-"""Seconds that an idle connection is kept; well below what servers keep theirs for."""
+"""Seconds that an idle connection is kept; well below the keep-alive time of servers."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class PooledConnection:
-    """One connection; `idle_since` is the runtime time of its last answer's end."""
+    """One connection; `idle_since` is the runtime time at which its last response ended."""
 
-    stream: SentStream
+    stream: SendTrackingStream
     http: httpcore.AsyncHTTP11Connection
     idle_since: float = 0.0
 
@@ -52,28 +52,28 @@
         self._tls_context = tls_context
         self._clock = clock
         self._idle: deque[PooledConnection] = deque()
-        self._room = trio.Semaphore(max_connections)
+        self._slots = trio.Semaphore(max_connections)
         self._in_use = 0
 
     @property
     def is_unused(self) -> bool:
-        """Whether no connection is open."""
+        """Whether no connection is in use or idle."""
         return self._in_use == 0 and not self._idle
 
-    async def wait_for_room(self) -> None:
-        """Wait until a connection may be used; give it back with `release`."""
+    async def acquire_slot(self) -> None:
+        """Wait until a connection may be used; free the slot with `release_slot`."""
         try:
-            self._room.acquire_nowait()
+            self._slots.acquire_nowait()
         except trio.WouldBlock:
-            await self._room.acquire()
+            await self._slots.acquire()
         self._in_use += 1
 
-    def give_back_room(self) -> None:
-        """Let the next one in."""
+    def release_slot(self) -> None:
+        """Free a slot for the next waiter."""
         self._in_use -= 1
-        self._room.release()
+        self._slots.release()
 
-    async def take(self) -> PooledConnection:
+    async def get_connection(self) -> PooledConnection:
         """Return a live idle connection or connect a new one; raises as connect_stream does."""
         while self._idle:
             connection = self._idle.pop()
@@ -96,7 +96,7 @@
         return True
 
     async def close_stale(self) -> None:
-        """Close idle connections that are too old."""
+        """Close connections that have been idle longer than the keep-alive time."""
         oldest = self._clock.now() - self._keep_alive_s
         while self._idle and self._idle[0].idle_since < oldest:
             await self._idle.popleft().stream.aclose()
--- a/src/galenastall/transport/http_routes.py
+++ b/src/galenastall/transport/http_routes.py
@@ -1,4 +1,4 @@
-"""Routes of handler objects: a decorator names them, a table finds them."""
+"""Routes of handler objects: a decorator declares them, a table looks them up."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """A handler and the path that it serves."""
+    """A handler and the path template that it serves."""
 
     method: str
     template: str
@@ -37,7 +37,7 @@
     segments: tuple[str, ...]
 
     def match(self, parts: list[str]) -> dict[str, str] | None:
-        """Return the decoded placeholders, or None if the path is another one."""
+        """Return the decoded placeholders, or None if the path does not match."""
         params: dict[str, str] = {}
         for index, segment in enumerate(self.segments):
             if segment.endswith("*}"):
@@ -53,12 +53,12 @@
 
 
 class RouteTable:
-    """All routes of a server; paths without placeholders are found in one step."""
+    """All routes of a server; paths without placeholders take one dictionary lookup."""
 
     def __init__(self, *, handlers: Iterable[object]) -> None:
-        """Collect the marked methods; raises ValueError if two claim one route."""
+        """Collect the marked methods; raises ValueError if two declare the same route."""
         self._fixed_by_key: dict[tuple[str, str], Route] = {}
-        self._open: list[Route] = []
+        self._templated: list[Route] = []
         templates: set[tuple[str, str]] = set()
         for handler in handlers:
             for found in _routes_of(handler):
@@ -70,7 +70,7 @@
 
     def _add(self, found: Route) -> None:
         if "{" in found.template:
-            self._open.append(found)
+            self._templated.append(found)
         else:
             self._fixed_by_key[found.method, found.template] = found
 
@@ -79,7 +79,7 @@
         if fixed := self._fixed_by_key.get((method, path)):
             return fixed, {}
         parts = path.split("/")
-        for candidate in self._open:
+        for candidate in self._templated:
             if candidate.method != method:
                 continue
             params = candidate.match(parts)
@@ -88,10 +88,10 @@
         return None
 
     def allowed_methods(self, path: str) -> tuple[str, ...]:
-        """Return the methods that this path has, in sorted order."""
+        """Return the methods that this path supports, in sorted order."""
         parts = path.split("/")
         fixed = {method for method, known in self._fixed_by_key if known == path}
-        matching = {found.method for found in self._open if found.match(parts) is not None}
+        matching = {found.method for found in self._templated if found.match(parts) is not None}
         return tuple(sorted(fixed | matching))
 
 
--- a/src/galenastall/transport/peer_link.py
+++ b/src/galenastall/transport/peer_link.py
@@ -1,8 +1,8 @@
 """Peer link over ZeroMQ: one ROUTER that peers connect to, one DEALER for each peer called.
 
-Answers come back on the connection of their call. A call is UNREACHABLE only if it was not handed
-to ZeroMQ, which takes messages only for connected peers; from then on it is TIMEOUT or CUT.
-Each message is handled in a task of its own, so handlers run in no promised order.
+Answers return on the connection of their call. A call fails as UNREACHABLE only if it was not
+passed to ZeroMQ, which accepts messages only for connected peers; later failures are TIMEOUT or
+CUT. Each message is handled in a separate task, so the order of handlers is not guaranteed.
 """
 
 import itertools
@@ -35,13 +35,13 @@
 
 M = TypeVar("M")
 
-MAX_HANDLED_AT_ONCE: Final = 2_000
-"""Messages in the hands of handlers; calls beyond it are answered OVERLOADED."""
+MAX_CONCURRENT_MESSAGES: Final = 2_000
+"""Messages handled concurrently; further calls are answered OVERLOADED."""
 _STEP: Final = "peer.call"
-_FORGERS_KEPT: Final = 256
+_MAX_REPORTED_FORGERIES: Final = 256
 
-OnIntruder = Callable[[str, str], None]
-"""Takes who was kept out, by IP number or host id, and why; once for each."""
+OnRejectedPeer = Callable[[str, str], None]
+"""Takes the rejected peer (IP address or host id) and the cause; called once for each."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
@@ -65,9 +65,9 @@
         faults: LinkFaults | None = None,
         hybrid: HybridClock | None = None,
         log_error: ErrorLog | None = None,
-        on_intruder: OnIntruder = lambda _peer, _why: None,
+        on_rejected_peer: OnRejectedPeer = lambda _peer, _why: None,
     ) -> None:
-        """Prepare the link; `run` binds it. With `curve` only hosts of its list get in.
+        """Prepare the link; `run` binds it. With `curve`, only hosts with listed keys may connect.
 
         `hybrid` should be the clock of the process's events: messages carry its time.
         """
@@ -76,28 +76,28 @@
         self._bind = bind
         self._curve = curve
         self._faults = faults or LinkFaults()
-        self._on_intruder = on_intruder
-        self._forgers: set[tuple[str, str]] = set()
+        self._on_rejected_peer = on_rejected_peer
+        self._reported_forgeries: set[tuple[str, str]] = set()
         self._clock = clock
         self._hybrid = hybrid or HybridClock()
         self._handlers = PeerHandlers(host_id=host_id, log_error=log_error)
         self._addresses_by_id: dict[HostId, str] = {}
         self._outboxes_by_id: dict[HostId, PeerOutbox] = {}
         self._pending_by_id: dict[int, _Pending] = {}
-        # Ids of two lives of a process differ, so that their calls can be told apart in logs.
+        # Ids differ between incarnations of a process, so that logs can distinguish their calls.
         first = xxhash.xxh32_intdigest(incarnation.encode()) << 24
         self._correlation_ids = itertools.count(first + 1)
         self._delays = DelayLine()
-        self._handling = 0
+        self._in_progress = 0
         self._context: Context | None = None
         self._nursery: trio.Nursery | None = None
         self._inbox: PeerInbox | None = None
         self._zap: ZapServer | None = None
         self.counters_by_id: defaultdict[HostId, LinkCounters] = defaultdict(LinkCounters)
         """Messages and bytes by peer."""
-        self._gone_counters = LinkCounters()
+        self._removed_counters = LinkCounters()
         self.dropped = DroppedCounters()
-        """Messages taken in and not used."""
+        """Counters of dropped messages."""
 
     @property
     def host_id(self) -> HostId:
@@ -106,14 +106,14 @@
 
     @property
     def address(self) -> str:
-        """`IP:port` really bound; empty before `run` has started."""
+        """Actual `IP:port` bound; empty before `run` has started."""
         return self._inbox.address if self._inbox else ""
 
     @property
     def totals(self) -> LinkCounters:
-        """Messages and bytes to and from all peers since the start, those gone included."""
+        """Messages and bytes to and from all peers since the start, removed peers included."""
         totals = LinkCounters()
-        totals.add(self._gone_counters)
+        totals.add(self._removed_counters)
         for counters in self.counters_by_id.values():
             totals.add(counters)
         return totals
@@ -125,7 +125,7 @@
 
     @property
     def refused_by_peer(self) -> dict[tuple[str, str], int]:
-        """The same by IP number and public key of the other side."""
+        """The same by IP address and public key of the peer."""
         return dict(self._zap.refused_by_peer) if self._zap else {}
 
     def set_peers(self, addresses_by_id: dict[HostId, str]) -> None:
@@ -136,10 +136,10 @@
                 del self._outboxes_by_id[peer]
                 outbox.close()
         for gone in self.counters_by_id.keys() - addresses_by_id.keys():
-            self._gone_counters.add(self.counters_by_id.pop(gone))
+            self._removed_counters.add(self.counters_by_id.pop(gone))
 
     def set_allowed_keys(self, allowed_by_host_id: dict[HostId, str]) -> None:
-        """Replace the list of public keys; connections that are up stay."""
+        """Replace the list of public keys; established connections stay open."""
         if self._curve is None or self._zap is None:
             raise ValueError("this link runs without CURVE keys")
         self._zap.set_allowed(allowed_by_host_id)
@@ -147,7 +147,7 @@
         self._curve.allowed_by_host_id.update(allowed_by_host_id)
 
     def handle(self, message_type: type[M], handler: PeerHandler) -> None:
-        """Route messages of this type to `handler`; raises ValueError if one is there."""
+        """Route messages of this type to `handler`; raises ValueError if one is set."""
         self._handlers.add(message_type, handler)
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -168,7 +168,7 @@
                     curve=self._curve,
                     counters_by_id=self.counters_by_id,
                     dropped=self.dropped,
-                    on_request=self._take_request,
+                    on_request=self._on_request,
                     on_forged=self._on_forged,
                 )
                 self._context, self._nursery = context, nursery
@@ -183,12 +183,12 @@
     async def call(
         self, *, peer: HostId, message: object, timeout_s: float
     ) -> Result[Any, StepError]:
-        """Send and wait for the typed answer; see the protocol for the errors."""
+        """Send and wait for the typed answer; see `protocol.peers.PeerLink` for the errors."""
         if peer == self._host_id:
-            return await self._call_here(message, timeout_s)
+            return await self._call_locally(message, timeout_s)
         outbox = self._outbox_of(peer)
         if outbox is None:
-            return _failure(peer, Reason.UNREACHABLE, "not known, not allowed or cut off")
+            return _failure(peer, Reason.UNREACHABLE, "unknown, not allowed or isolated")
         correlation_id = next(self._correlation_ids)
         frame = self._request_frame(peer_wire.CALL, correlation_id, peer, message)
         if len(frame) > MAX_MESSAGE_BYTES:
@@ -196,7 +196,7 @@
         return await self._exchange(outbox, peer, correlation_id, frame, timeout_s)
 
     def send(self, *, peer: HostId, message: object) -> None:
-        """Send without an answer; lost silently if the peer can't be reached."""
+        """Send a one-way message; it is lost silently if the peer can't be reached."""
         if peer == self._host_id:
             if self._nursery is not None:
                 self._nursery.start_soon(self._handle, None, peer, 0, message)
@@ -206,7 +206,7 @@
             return
         frame = self._request_frame(peer_wire.ONE_WAY, 0, peer, message)
         if len(frame) <= MAX_MESSAGE_BYTES:
-            self._depart(peer, lambda: outbox.send_or_wait(frame))
+            self._send_with_faults(peer, lambda: outbox.send_or_queue(frame))
 
     async def _exchange(
         self, outbox: PeerOutbox, peer: HostId, correlation_id: int, frame: bytes, timeout_s: float
@@ -215,7 +215,7 @@
         is_sent = False
         try:
             with trio.move_on_after(timeout_s):
-                is_sent = await self._hand_over(outbox, peer, frame)
+                is_sent = await self._enqueue(outbox, peer, frame)
                 if is_sent:
                     await pending.done.wait()
         finally:
@@ -226,9 +226,9 @@
             return _failure(peer, Reason.UNREACHABLE, "not connected, or its queue is full")
         return _failure(peer, Reason.TIMEOUT, f"no answer in {timeout_s:g} s")
 
-    async def _hand_over(self, outbox: PeerOutbox, peer: HostId, frame: bytes) -> bool:
+    async def _enqueue(self, outbox: PeerOutbox, peer: HostId, frame: bytes) -> bool:
         if peer in self._faults.lossy or peer in self._faults.delay_s_by_peer:
-            self._depart(peer, lambda: outbox.send_or_wait(frame))
+            self._send_with_faults(peer, lambda: outbox.send_or_queue(frame))
             return True
         while not outbox.try_send(frame):
             if outbox.is_closed:
@@ -236,8 +236,8 @@
             await outbox.wait_writable()
         return True
 
-    def _depart(self, peer: HostId, send: Callable[[], object]) -> None:
-        """Send now, later or never, as the faults have it."""
+    def _send_with_faults(self, peer: HostId, send: Callable[[], object]) -> None:
+        """Send, delay or drop, according to the injected faults."""
         if peer in self._faults.lossy or peer in self._faults.cut:
             return
         delay_s = self._faults.delay_s_by_peer.get(peer, 0.0)
@@ -282,27 +282,31 @@
             counters=self.counters_by_id[peer],
             dropped=self.dropped,
             clock=self._clock,
-            on_frame=lambda frame: self._take_answer(peer, frame),
+            on_frame=lambda frame: self._on_answer(peer, frame),
         )
         try:
             self._nursery.start_soon(outbox.run)
         except RuntimeError:
-            # The link has ended; a socket left open would hold up its context for ever.
+            # The link has ended; a socket left open would block the termination of its context.
             socket.close(linger=0)
             return None
         self._outboxes_by_id[peer] = outbox
         return outbox
 
     def _on_refused_key(self, address: str, key: str) -> None:
-        self._on_intruder(address, f"public key {key} is not allowed")
+        self._on_rejected_peer(address, f"public key {key} is not allowed")
 
-    def _on_forged(self, claimed: str, proved: str) -> None:
-        if (claimed, proved) in self._forgers or len(self._forgers) >= _FORGERS_KEPT:
+    def _on_forged(self, claimed: str, authenticated: str) -> None:
+        if (claimed, authenticated) in self._reported_forgeries or len(
+            self._reported_forgeries
+        ) >= _MAX_REPORTED_FORGERIES:
             return
-        self._forgers.add((claimed, proved))
-        self._on_intruder(proved, f"its key is that of {proved!r}, but it claims {claimed!r}")
+        self._reported_forgeries.add((claimed, authenticated))
+        self._on_rejected_peer(
+            authenticated, f"its key is that of {authenticated!r}, but it claims {claimed!r}"
+        )
 
-    def _take_answer(self, peer: HostId, frame: bytes) -> None:
+    def _on_answer(self, peer: HostId, frame: bytes) -> None:
         envelope = peer_wire.decode_envelope(frame)
         if envelope is None:
             self.dropped.malformed += 1
@@ -317,57 +321,61 @@
         pending.answer = envelope
         pending.done.set()
 
-    def _take_request(self, way_back: bytes, sender: HostId, envelope: Envelope) -> None:
+    def _on_request(self, return_route: bytes, sender: HostId, envelope: Envelope) -> None:
         if sender in self._faults.cut or self._nursery is None:
             return
         if envelope.target != self._digest:
             self.dropped.misdirected += 1
             detail = f"this address belongs to {self._host_id}"
-            self._refuse(way_back, sender, envelope, Reason.REFUSED, detail)
+            self._refuse(return_route, sender, envelope, Reason.REFUSED, detail)
             return
-        if self._handling >= MAX_HANDLED_AT_ONCE:
+        if self._in_progress >= MAX_CONCURRENT_MESSAGES:
             self.dropped.overloaded += 1
-            self._refuse(way_back, sender, envelope, Reason.OVERLOADED, "too many messages at once")
+            self._refuse(
+                return_route, sender, envelope, Reason.OVERLOADED, "too many messages at once"
+            )
             return
         self._observe(envelope)
         message = decode_message(envelope.name, bytes(envelope.body), peer=sender)
         if isinstance(message, Failure):
             self.dropped.malformed += 1
             detail = message.failure().detail
-            self._refuse(way_back, sender, envelope, Reason.INVALID, detail)
+            self._refuse(return_route, sender, envelope, Reason.INVALID, detail)
             return
-        asked = way_back if envelope.kind == peer_wire.CALL else None
-        self._handling += 1
+        call_route = return_route if envelope.kind == peer_wire.CALL else None
+        self._in_progress += 1
         self._nursery.start_soon(
-            self._handle_remote, asked, sender, envelope.correlation_id, message.unwrap()
+            self._handle_remote, call_route, sender, envelope.correlation_id, message.unwrap()
         )
 
     def _observe(self, envelope: Envelope) -> None:
         self._hybrid.observe(envelope.wall_ms, envelope.counter, wall_s=self._clock.wall())
 
     def _refuse(
-        self, way_back: bytes, sender: HostId, envelope: Envelope, reason: Reason, detail: str
+        self, return_route: bytes, sender: HostId, envelope: Envelope, reason: Reason, detail: str
     ) -> None:
         if envelope.kind == peer_wire.CALL:
             error = self._handlers.error(reason, detail)
-            self._answer(way_back, sender, envelope.correlation_id, error)
+            self._answer(return_route, sender, envelope.correlation_id, error)
 
     async def _handle_remote(
-        self, way_back: bytes | None, sender: HostId, correlation_id: int, message: Any
+        self, return_route: bytes | None, sender: HostId, correlation_id: int, message: Any
     ) -> None:
         try:
-            await self._handle(way_back, sender, correlation_id, message)
+            await self._handle(return_route, sender, correlation_id, message)
         finally:
-            self._handling -= 1
+            self._in_progress -= 1
 
     async def _handle(
-        self, way_back: bytes | None, sender: HostId, correlation_id: int, message: Any
+        self, return_route: bytes | None, sender: HostId, correlation_id: int, message: Any
     ) -> None:
-        answer = await self._handlers.ask(sender, message)
-        if way_back is not None:
-            self._answer(way_back, sender, correlation_id, answer)
+        answer = await self._handlers.dispatch(sender, message)
+        if return_route is not None:
+            self._answer(return_route, sender, correlation_id, answer)
 
-    def _answer(self, way_back: bytes, asker: HostId, correlation_id: int, answer: Any) -> None:
+    def _answer(
+        self, return_route: bytes, caller: HostId, correlation_id: int, answer: Any
+    ) -> None:
         at = self._hybrid.tick(self._clock.wall())
         frame = peer_wire.encode_answer(correlation_id=correlation_id, answer=answer, at=at)
         if len(frame) > MAX_MESSAGE_BYTES:
@@ -376,11 +384,11 @@
             frame = peer_wire.encode_answer(correlation_id=correlation_id, answer=error)
         inbox = self._inbox
         assert inbox is not None, "requests come only from the inbox"
-        self._depart(asker, lambda: inbox.answer(way_back, asker, frame))
+        self._send_with_faults(caller, lambda: inbox.answer(return_route, caller, frame))
 
-    async def _call_here(self, message: object, timeout_s: float) -> Result[Any, StepError]:
+    async def _call_locally(self, message: object, timeout_s: float) -> Result[Any, StepError]:
         with trio.move_on_after(timeout_s):
-            answer = await self._handlers.ask(self._host_id, message)
+            answer = await self._handlers.dispatch(self._host_id, message)
             if isinstance(answer, (Success, Failure)):
                 return answer
             return Failure(answer) if isinstance(answer, StepError) else Success(answer)
--- a/src/galenastall/transport/platform_http_call.py
+++ b/src/galenastall/transport/platform_http_call.py
@@ -1,4 +1,4 @@
-"""JSON calls of the platform's adapters, with typed answers and exact errors."""
+"""JSON calls of the platform's adapters, with typed responses and precise errors."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result
 
 from galenastall.state.errors import Reason, StepError
-from galenastall.transport.http_client import HttpClient, WholeAnswer, error_of_answer
+from galenastall.transport.http_client import BufferedResponse, HttpClient, error_from_response
 from galenastall.transport.http_json import decode_json
 
 T = TypeVar("T")
@@ -17,7 +17,7 @@
 
 
 class JsonCaller:
-    """Calls whose answers are JSON of a given type."""
+    """Makes calls whose responses are JSON of a given type."""
 
     def __init__(self, *, client: HttpClient, timeout_s: float, headers: Mapping[str, str]) -> None:
         """Send `headers` with each call."""
@@ -29,7 +29,7 @@
     async def get(
         self, *, address: str, path: str, answer_type: type[T], step: str, wait_s: float = 0.0
     ) -> Result[T, StepError]:
-        """Get a typed answer; `wait_s` is added to the timeout."""
+        """Get a typed response; `wait_s` is added to the time-out."""
         answer = await self._client.request(
             method="GET",
             address=address,
@@ -38,12 +38,12 @@
             headers=self._headers,
             step=step,
         )
-        return answer.bind(lambda whole: _typed(whole, answer_type, step=step, peer=address))
+        return answer.bind(lambda response: _typed(response, answer_type, step=step, peer=address))
 
     async def post(
         self, *, address: str, path: str, message: object, answer_type: type[T], step: str
     ) -> Result[T, StepError]:
-        """Post a JSON message and return the typed answer."""
+        """Post a JSON message and return the typed response."""
         answer = await self._client.request(
             method="POST",
             address=address,
@@ -53,16 +53,16 @@
             body=msgspec.json.encode(message),
             step=step,
         )
-        return answer.bind(lambda whole: _typed(whole, answer_type, step=step, peer=address))
+        return answer.bind(lambda response: _typed(response, answer_type, step=step, peer=address))
 
 
 def _typed(
-    answer: WholeAnswer, answer_type: type[T], *, step: str, peer: str
+    answer: BufferedResponse, answer_type: type[T], *, step: str, peer: str
 ) -> Result[T, StepError]:
     if answer.status // 100 != _OK_CLASS:
-        error = error_of_answer(answer, step=step, peer=peer)
+        error = error_from_response(answer, step=step, peer=peer)
         return Failure(replace(error, step=step, peer=peer))
-    # Success was said, so an answer that can't be read may stand for an effect.
+    # The server reported success, so a request with an unreadable response may have taken effect.
     return decode_json(answer.body, answer_type, step=step, peer=peer).alt(
         lambda error: replace(error, reason=Reason.CUT)
     )
--- a/src/galenastall/transport/platform_http_upstreams.py
+++ b/src/galenastall/transport/platform_http_upstreams.py
@@ -1,4 +1,4 @@
-"""Calls to executors over HTTP: bodies streamed, answers matched by attempt, never guessed."""
+"""Calls to executors over HTTP, with streamed bodies and responses matched by attempt id."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import AbstractAsyncContextManager
@@ -20,20 +20,20 @@
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.outcomes import Outcome
 from galenastall.transport.http_client import HttpClient
-from galenastall.transport.http_exchange import AnswerCutError, Exchange, HttpAnswer
+from galenastall.transport.http_exchange import Exchange, ResponseCutError, StreamedResponse
 
 STEP: Final = "upstream.call"
 DEFAULT_CONTENT_TYPE: Final = "application/octet-stream"
 
 _OK_CLASS: Final = 2
-_OUTCOMES_BY_WORD: Final = {outcome.value: outcome for outcome in Outcome}
+_OUTCOMES_BY_VALUE: Final = {outcome.value: outcome for outcome in Outcome}
 _REASONS_BY_STATUS: Final = {
     403: Reason.REFUSED,
     409: Reason.CONFLICT,
     429: Reason.OVERLOADED,
     503: Reason.OVERLOADED,
 }
-"""What an executor that ran nothing means; anything else is REFUSED."""
+"""Reasons for a status with outcome NOT_RUN; any other status is REFUSED."""
 
 
 class HttpUpstreams:
@@ -48,9 +48,9 @@
     def call(
         self, *, address: str, call: UpstreamCall, body: AsyncIterator[bytes]
     ) -> AbstractAsyncContextManager[Result[UpstreamAnswer, StepError]]:
-        """Send a request and stream its answer; see UpstreamService.
+        """Send a request and stream its response; see UpstreamService.
 
-        The call lasts until its not-after time; one that is past it is not sent.
+        The call lasts until its not-after time; a call past that time is not sent.
         """
         return _OpenCall(service=self, address=address, call=call, body=body)
 
@@ -85,7 +85,7 @@
 
 
 class _OpenCall(AbstractAsyncContextManager[Result[UpstreamAnswer, StepError]]):
-    """One call; a class, as a generator's bookkeeping costs more than the call's own."""
+    """One call; a class, since a generator-based context manager would cost more than it."""
 
     def __init__(
         self,
@@ -119,9 +119,9 @@
 
 
 def _interpret(
-    answer: HttpAnswer, call: UpstreamCall, address: str
+    answer: StreamedResponse, call: UpstreamCall, address: str
 ) -> Result[UpstreamAnswer, StepError]:
-    """Take an answer for what it says, and only if it names this attempt."""
+    """Interpret a response; it counts only if it names this attempt."""
     echoed = answer.headers.get(ATTEMPT_ID, "")
     if echoed != call.attempt_id:
         detail = f"status {answer.status} names attempt {echoed!r}, not {call.attempt_id!r}"
@@ -141,15 +141,15 @@
     )
 
 
-def _outcome_of(answer: HttpAnswer) -> Outcome:
-    """Return the executor's word; without one a success is done and the rest is unknown."""
-    outcome = _OUTCOMES_BY_WORD.get(answer.headers.get(OUTCOME, ""))
+def _outcome_of(answer: StreamedResponse) -> Outcome:
+    """Return the reported outcome; without one, a success status is DONE and others UNKNOWN."""
+    outcome = _OUTCOMES_BY_VALUE.get(answer.headers.get(OUTCOME, ""))
     if outcome is not None:
         return outcome
     return Outcome.DONE if answer.status // 100 == _OK_CLASS else Outcome.UNKNOWN
 
 
-def _refusal(answer: HttpAnswer, address: str) -> StepError:
+def _refusal(answer: StreamedResponse, address: str) -> StepError:
     retry_after = answer.headers.get("retry-after", "")
     return StepError(
         step=STEP,
@@ -161,7 +161,7 @@
 
 
 class _CheckedBody:
-    """Chunks of an answer's body, with a break told as UpstreamCutError."""
+    """Chunks of a response body; a truncation raises UpstreamCutError."""
 
     def __init__(self, chunks: AsyncIterator[bytes]) -> None:
         self._chunks = chunks
@@ -172,7 +172,7 @@
     async def __anext__(self) -> bytes:
         try:
             return await self._chunks.__anext__()
-        except AnswerCutError as error:
+        except ResponseCutError as error:
             raise UpstreamCutError(str(error)) from error
 
 
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The peer link over real sockets: answers, losses, cuts, keys and forged senders."""
+"""The peer link over real sockets: answers, losses, faults, keys and forged senders."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -23,7 +23,7 @@
 A, B, C = HostId("entry-a"), HostId("entry-b"), HostId("entry-c")
 FAR_S = 1000.0
 LOST = {Reason.TIMEOUT, Reason.UNREACHABLE}
-"""Ends of a call that the link sent into a dead connection, or could not send."""
+"""Reasons of a call that was sent into a dead connection or could not be sent."""
 
 
 @PEER_MESSAGES.register("test.ping")
@@ -41,7 +41,7 @@
 
 
 class Echo:
-    """A handler that can be held, and remembers what it saw."""
+    """A handler that can be blocked and records the messages it received."""
 
     def __init__(self) -> None:
         self.seen: list[tuple[HostId, int]] = []
@@ -110,7 +110,7 @@
 
 
 async def until(condition: Any) -> None:
-    """Let the loop and ZeroMQ's own thread go on until `condition()` holds."""
+    """Let the loop and ZeroMQ's I/O thread run until `condition()` holds."""
     while not condition():
         await trio.testing.wait_all_tasks_blocked(0.001)
 
@@ -118,14 +118,14 @@
 async def call_with_time_passing(
     link: ZmqPeerLink, mock_clock: trio.testing.MockClock, message: Ping
 ) -> Any:
-    """Call B once; time passes whenever nothing else happens, so that a lost call ends."""
+    """Call B once; advance the clock whenever all tasks are blocked, so that a lost call ends."""
     results: list[Any] = []
 
-    async def ask() -> None:
+    async def record_call() -> None:
         results.append(await link.call(peer=B, message=message, timeout_s=3.0))
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(ask)
+        nursery.start_soon(record_call)
         while not results:
             await trio.testing.wait_all_tasks_blocked(0.05)
             mock_clock.jump(1.0)
@@ -135,10 +135,10 @@
 async def call_until_answered(
     link: ZmqPeerLink, mock_clock: trio.testing.MockClock, message: Ping
 ) -> list[Any]:
-    """Call B until it answers; returns the results of all calls.
+    """Call B until it answers; return the results of all calls.
 
-    A connection that has just died may take a call that nobody reads; all that is allowed then is
-    that the call ends as lost, and that a later one gets through.
+    A connection that has just died may accept a call that nobody reads. Such a call must end as
+    lost, and a later one must succeed.
     """
     results: list[Any] = []
     while not results or isinstance(results[-1], Failure):
@@ -148,7 +148,7 @@
 
 
 def sent_of(results: list[Any]) -> int:
-    """Return how many of the calls were handed to a connection."""
+    """Return how many of the calls were passed to a connection."""
     return sum(
         1
         for result in results
@@ -157,7 +157,7 @@
 
 
 class Relay:
-    """Passes connections on to `target`; while silent it keeps them open and reads nothing."""
+    """Forwards connections to `target`; while silent it keeps them open and forwards nothing."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -172,11 +172,11 @@
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             port = listener.socket.getsockname()[1]
             relay.address = f"127.0.0.1:{port}"
-            nursery.start_soon(trio.serve_listeners, relay._pass_on, [listener])
+            nursery.start_soon(trio.serve_listeners, relay._forward, [listener])
             yield relay
             nursery.cancel_scope.cancel()
 
-    async def _pass_on(self, near: trio.SocketStream) -> None:
+    async def _forward(self, near: trio.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
             far = await trio.open_tcp_stream(host, int(port))
@@ -208,14 +208,14 @@
             await made.add(B)
             answers: dict[int, Any] = {}
 
-            async def ask(number: int) -> None:
+            async def record_call(number: int) -> None:
                 answers[number] = await link.call(
                     peer=B, message=Ping(number=number), timeout_s=FAR_S
                 )
 
             async with trio.open_nursery() as nursery:
                 for number in range(100, 600):
-                    nursery.start_soon(ask, number)
+                    nursery.start_soon(record_call, number)
         assert answers == {n: Success(Pong(number=n, sender=A)) for n in range(100, 600)}
         assert link.counters_by_id[B].messages_out == 500
         assert link.counters_by_id[B].messages_in == 500
@@ -293,11 +293,11 @@
             link.set_peers({B: "127.0.0.1:1"})
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked()
                 mock_clock.jump(4.0)
         assert reason_of(results[0]) is Reason.UNREACHABLE
@@ -333,11 +333,11 @@
             await made.add(B)
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked()
                 mock_clock.jump(4.0)
         assert reason_of(results[0]) is Reason.TIMEOUT
@@ -352,11 +352,11 @@
             echo.release = trio.Event()
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(number=1), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await echo.arrived.wait()
                 mock_clock.jump(4.0)
             assert reason_of(results[0]) is Reason.TIMEOUT
@@ -372,14 +372,14 @@
             link = await made.add(A)
             results: list[Any] = []
 
-            async def ask() -> None:
+            async def record_call() -> None:
                 results.append(await link.call(peer=B, message=Ping(number=1), timeout_s=3.0))
 
             async with trio.open_nursery() as nursery:
                 async with trio.open_nursery() as life:
                     first = await made.add(B, nursery=life)
                     made.echoes[B].release = trio.Event()
-                    nursery.start_soon(ask)
+                    nursery.start_soon(record_call)
                     await made.echoes[B].arrived.wait()
                     life.cancel_scope.cancel()
                 mock_clock.jump(4.0)
@@ -395,9 +395,9 @@
     async def test_call_into_a_dead_connection_times_out_and_a_later_one_is_answered(
         self, mock_clock: trio.testing.MockClock
     ) -> None:
-        """A call that leaves before its connection is known to be dead is lost.
+        """A call sent before its connection is known to be dead is lost.
 
-        Only its own time ends it: one that waited without end hung for 40 minutes.
+        Only its time-out ends it: a call without one hung for 40 minutes.
         """
         async with fleet() as made, Relay.open() as relay:
             link = await made.add(A)
@@ -464,9 +464,11 @@
             result = await link.call(peer=B, message=Ping(number=1), timeout_s=FAR_S)
         assert result == Success(Pong(number=1, sender=A))
 
-    async def test_wrong_key_gets_in_nowhere(self, mock_clock: trio.testing.MockClock) -> None:
+    async def test_unlisted_key_is_refused_by_every_host(
+        self, mock_clock: trio.testing.MockClock
+    ) -> None:
         keys, strangers = keys_of(A, B), keys_of(C)
-        stranger_keys = CurveKeys(
+        unlisted_keys = CurveKeys(
             public_key=strangers[C].public_key,
             secret_key=strangers[C].secret_key,
             allowed_by_host_id=keys[A].allowed_by_host_id,
@@ -474,33 +476,33 @@
         async with fleet() as made:
             await made.add(A, curve=keys[A])
             await made.add(B, curve=keys[B])
-            stranger = await made.add(C, curve=stranger_keys)
+            unlisted_link = await made.add(C, curve=unlisted_keys)
             results: list[Any] = []
 
-            async def ask(peer: HostId) -> None:
-                results.append(await stranger.call(peer=peer, message=Ping(), timeout_s=9.0))
+            async def record_call(peer: HostId) -> None:
+                results.append(await unlisted_link.call(peer=peer, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask, A)
-                nursery.start_soon(ask, B)
+                nursery.start_soon(record_call, A)
+                nursery.start_soon(record_call, B)
                 await until(lambda: all(made.links[h].refused_connections for h in (A, B)))
                 mock_clock.jump(10.0)
         assert [reason_of(result) for result in results] == [Reason.UNREACHABLE] * 2
         assert not made.echoes[A].seen
         assert not made.echoes[B].seen
 
-    async def test_no_key_gets_in_nowhere(self, mock_clock: trio.testing.MockClock) -> None:
+    async def test_link_without_a_key_is_refused(self, mock_clock: trio.testing.MockClock) -> None:
         keys = keys_of(A)
         async with fleet() as made:
             await made.add(A, curve=keys[A])
-            stranger = await made.add(C)
+            unlisted_link = await made.add(C)
             results: list[Any] = []
 
-            async def ask() -> None:
-                results.append(await stranger.call(peer=A, message=Ping(), timeout_s=9.0))
+            async def record_call() -> None:
+                results.append(await unlisted_link.call(peer=A, message=Ping(), timeout_s=9.0))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(record_call)
                 await trio.testing.wait_all_tasks_blocked(0.05)
                 mock_clock.jump(10.0)
         assert reason_of(results[0]) is Reason.UNREACHABLE
--- a/tests/test_platform_http_upstreams.py
+++ b/tests/test_platform_http_upstreams.py
@@ -1,4 +1,4 @@
-"""What the http adapter makes of answers that are not what they should be."""
+"""How the HTTP adapter interprets unexpected responses of executors."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -9,7 +9,7 @@
 from trio.testing import MockClock
 
 from galenastall.protocol.platform import UpstreamAnswer, UpstreamCutError
-from galenastall.standin.lean_http import LeanAnswer, LeanRequest, LeanServer
+from galenastall.standin.lean_http import LeanRequest, LeanResponse, LeanServer
 from galenastall.state.errors import Reason, StepError
 from galenastall.state.outcomes import Outcome
 from galenastall.transport.clock import TrioClock
@@ -31,12 +31,12 @@
 async def answer_to_call(
     data: bytes | None, *, not_after_s: float = 5.0
 ) -> AsyncIterator[Result[UpstreamAnswer, StepError]]:
-    """Call a server that answers with `data`, or never if that is None."""
+    """Call a server that responds with `data`, or never if that is None."""
 
-    async def answer(request: LeanRequest) -> LeanAnswer:
+    async def answer(request: LeanRequest) -> LeanResponse:
         if data is None:
             await trio.sleep_forever()
-        return LeanAnswer(data=data or b"", keeps_connection=False)
+        return LeanResponse(data=data or b"", keeps_connection=False)
 
     clock = TrioClock(wall_at_start=1e9)
     server = LeanServer(answer=answer)
@@ -74,7 +74,7 @@
             (200, "", Reason.CUT),
         ],
     )
-    async def test_only_the_executors_own_word_proves_not_run(
+    async def test_only_the_executors_own_answer_proves_not_run(
         self, status: int, headers: str, reason: Reason, jumping_clock: MockClock
     ) -> None:
         async with answer_to_call(answer_of(status, headers)) as answered:
@@ -124,7 +124,7 @@
         async with answer_to_call(data) as answered:
             assert answered.failure().reason is Reason.CUT
 
-    async def test_silence_ends_at_not_after(self, jumping_clock: MockClock) -> None:
+    async def test_unanswered_call_times_out_at_not_after(self, jumping_clock: MockClock) -> None:
         started = trio.current_time()
         async with answer_to_call(None, not_after_s=3.0) as answered:
             assert answered.failure().reason is Reason.TIMEOUT
