--- a/src/galenastall/bench/cell_load/emulation.py
+++ b/src/galenastall/bench/cell_load/emulation.py
@@ -28,7 +28,7 @@
 ORDER_S: Final = 0.003
 """Round-trip time of a call to an executor."""
 APPEND_S: Final = 0.007
-"""Latency of an append, as measured on the platform."""
+"""Latency of an append to the emulated platform store, in seconds."""
 APPEND_BYTES: Final = 1_500_000
 """Size limit of an append, as on the platform."""
 READ_S: Final = 0.005
